--- a/packages/heronladder-daemon/src/heronladder_daemon/compose_gateway.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/compose_gateway.py
@@ -67,7 +67,7 @@
         HeronladderError: If the address cannot be listened on.
     """
     server = make_server()
-    add_LendingServicer_to_server(gateway.tokens.book, server)
+    add_LendingServicer_to_server(gateway.tokens.loan_book, server)
     if server.add_insecure_port(address) == 0:
         raise HeronladderError("cannot listen", step="listen", peer=address)
     return server
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -140,7 +140,7 @@
         handlers.promises_noted = self.tokens.held.confirmed
         handlers.recall_prepaid = self.tokens.held.recall
         handlers.control_regained = self.tokens.held.control_regained
-        handlers.lenders = self.tokens.lenders_told
+        handlers.lenders = self.tokens.update_lenders
         self.crashing = CrashingRequests(self.link.configuration, environment, self.log)
         self.crash_reports = CrashReports(
             self.link, self.crashing, environment, self.metrics, self.log
@@ -329,7 +329,7 @@
         await asyncio.sleep(notice_s)
         # From now on, busy callers on kept connections must not hold this up.
         self.server.refusing = True
-        self.tokens.lend_no_more()
+        self.tokens.stop_lending()
         await stop_accepting()
         while self.server.in_flight and self._environment.monotonic() - began_s < grace_s:
             await asyncio.sleep(_STOP_POLL_S)
--- a/packages/heronladder-router/src/heronladder_router/request_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/request_tokens.py
@@ -76,7 +76,7 @@
                 request_id=request.request_id,
                 wanted=request.bounds.total,
                 limit=tenant.prepaid_tokens,
-                held=self._tokens.state_of(tenant.name),
+                held=self._tokens.describe_balance(tenant.name),
                 version=request.matched.version,
                 code=error.code,
             )
--- a/packages/heronladder-router/src/heronladder_router/tokens/access.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/access.py
@@ -86,7 +86,7 @@
         incarnation = environment.new_id(options.name)
         group = LendingGroup(options.group, options.region, lambda: link.cluster_version)
         who = (options.name, group, incarnation)
-        self.book = LoanBook(*who, self.held, self._tenant, self.key, metrics, log)
+        self.loan_book = LoanBook(*who, self.held, self._tenant, self.key, metrics, log)
         self.borrowed = BorrowedTokens(
             *who, self.lenders, stubs, self.key, environment, metrics, log
         )
@@ -118,7 +118,7 @@
                 return await self.held.reserve(tenant, tokens, wait_s)
             except PrepaidUnavailableError:
                 # What control says of the account holds for all holders.
-                if not self.held.window.out_of_touch or self._left_s(deadline_s) <= 0:
+                if not self.held.window.is_disconnected or self._left_s(deadline_s) <= 0:
                     raise
         if not serves_itself:
             self.held.note_demand(tenant.name, tokens)
@@ -144,7 +144,7 @@
             lending_pb2.LOAN_OUTCOME_UNSPECIFIED,
             lending_pb2.LOAN_OUTCOME_NO_CONTROL,
         )
-        return unknown and not serves_itself and not self.held.window.out_of_touch and left_s > 0
+        return unknown and not serves_itself and not self.held.window.is_disconnected and left_s > 0
 
     @staticmethod
     def _unavailable(tenant: str, got: LoanRefusal) -> PrepaidUnavailableError:
@@ -155,13 +155,13 @@
             retry_after_s=got.retry_after_s or _RETRY_AT_OTHERS_S,
         )
 
-    def state_of(self, tenant: str) -> str:
+    def describe_balance(self, tenant: str) -> str:
         """Return what is held of a tenant, for logs."""
         return self.held.held(tenant)
 
     # ---- control ----------------------------------------------------------
 
-    def lenders_told(self, told: Iterable[control_pb2.Lender]) -> None:
+    def update_lenders(self, told: Iterable[control_pb2.Lender]) -> None:
         """Take in what control tells of gateways; stock what this one holds from now on."""
         self.lenders.update(told)
         self._first_stock.stock()
@@ -169,7 +169,7 @@
     def drop_all(self) -> None:
         """Forget all tokens: control charged this incarnation for them."""
         self.held.drop_all()
-        self.book.forget_all()
+        self.loan_book.forget_all()
 
     # ---- life -------------------------------------------------------------
 
@@ -177,9 +177,9 @@
         """Begin to give back what is held for nothing."""
         self.held.start()
 
-    def lend_no_more(self) -> None:
+    def stop_lending(self) -> None:
         """Send borrowers elsewhere; loans that are open are settled as ever."""
-        self.book.stopping = True
+        self.loan_book.stopping = True
 
     async def return_all(self, patience_s: float) -> None:
         """Settle all loans and give everything back; own requests must have ended.
@@ -187,13 +187,13 @@
         Args:
             patience_s: Time in which others may still settle what they borrowed.
         """
-        self.lend_no_more()
+        self.stop_lending()
         deadline_s = self._environment.monotonic() + patience_s
         await self.borrowed.settle_all()
         await self.held.return_all()  # first: the time of a planned stop may run out below
-        if not self.book.open_loans:
+        if not self.loan_book.open_loans:
             return
-        while self.book.open_loans and self._environment.monotonic() < deadline_s:
+        while self.loan_book.open_loans and self._environment.monotonic() < deadline_s:
             await asyncio.sleep(_STOP_POLL_S)
         await self.held.return_all()
 
--- a/packages/heronladder-router/src/heronladder_router/tokens/balance.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/balance.py
@@ -43,10 +43,10 @@
     returned: int = 0
     spent: int = 0
     reserved: int = 0
-    announced: int = 0
+    promised: int = 0
     confirmed: int = 0
-    announced_pace: int = 0
-    confirmed_pace: int = 0
+    promised_rate: int = 0
+    confirmed_rate: int = 0
     draws: int = 0
     waited_for: int = 0
     unpromised: int = 0
@@ -122,11 +122,11 @@
         """
         ahead = max(_LEAST_AHEAD_TOKENS, int(self.likely_rate * ahead_s))
         needed = self.used + tokens + int(_ANNOUNCED_AGAIN_BELOW * ahead)
-        if needed > self.announced:
-            self.announced = self.used + tokens + ahead
+        if needed > self.promised:
+            self.promised = self.used + tokens + ahead
         pace = max(_LEAST_PACE, int(self.likely_rate * _PACE_SHARE))
-        if pace > self.announced_pace * _PACE_AGAIN_OVER:
-            self.announced_pace = pace
+        if pace > self.promised_rate * _PACE_AGAIN_OVER:
+            self.promised_rate = pace
 
     def give_back(self, tokens: int) -> None:
         """Set free tokens aside for control; a draw tells it."""
--- a/packages/heronladder-router/src/heronladder_router/tokens/held_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/held_tokens.py
@@ -19,7 +19,7 @@
 from heronladder_router.tokens.draw_pace import DrawPace
 from heronladder_router.tokens.lenders import Lenders
 from heronladder_router.tokens.refusals import RETRY_LATE_S, exhausted, too_late, unavailable
-from heronladder_router.tokens.window import SpendingWindow
+from heronladder_router.tokens.spending_window import SpendingWindow
 
 _HORIZON_S = 12.0  # spending that the tokens held are to cover, without control
 # Expected spending over the horizon from which a gateway stocks its own callers: ten requests
@@ -189,7 +189,7 @@
         balance = self._balance(tenant.name)
         if balance.free >= tokens:
             return
-        if self.window.out_of_touch:
+        if self.window.is_disconnected:
             raise unavailable(tenant.name, "control is out of reach", RETRY_LATE_S)
         left_s = deadline_s - self._environment.monotonic()
         if left_s <= 0:
@@ -272,7 +272,7 @@
         except PeerUnavailableError as error:
             # What a cut holds up says nothing of how long draws take: it would keep seconds of
             # spending held right after the cut, which a loss of all machines then costs.
-            if not self.window.out_of_touch:
+            if not self.window.is_disconnected:
                 self._pace.note(self._environment.monotonic() - began_s)
             raise unavailable(balance.tenant, error.message, self._pace.retry_s) from error
         self._pace.note(self._environment.monotonic() - began_s)
@@ -298,7 +298,7 @@
         if (
             balance.free > _DRAW_AHEAD_BELOW * self._level(balance)
             or now_s < balance.next_draw_ahead_s
-            or self.window.out_of_touch  # a draw that waits through a cut is for a past need
+            or self.window.is_disconnected  # a draw that waits through a cut is for a past need
             or self._stopping
         ):
             return
@@ -359,7 +359,7 @@
     async def _trim(self) -> None:
         while True:
             await asyncio.sleep(_TRIM_INTERVAL_S)
-            if self.window.out_of_touch:
+            if self.window.is_disconnected:
                 continue  # control would not hear of it, and others may ask for it
             for balance in list(self._balances.values()):
                 if not self._lenders.is_holder(balance.tenant):
--- a/packages/heronladder-router/src/heronladder_router/tokens/lending.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/lending.py
@@ -246,7 +246,7 @@
             reply.outcome = lending_pb2.LOAN_OUTCOME_EXHAUSTED
         elif self.stopping:
             reply.outcome = lending_pb2.LOAN_OUTCOME_STOPPING
-        elif self._held.window.out_of_touch:
+        elif self._held.window.is_disconnected:
             reply.outcome = lending_pb2.LOAN_OUTCOME_NO_CONTROL
         else:
             reply.outcome = lending_pb2.LOAN_OUTCOME_SHORT
--- a/packages/heronladder-router/src/heronladder_router/tokens/window.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/spending_window.py
@@ -50,7 +50,7 @@
         return self._environment.monotonic() - self._link.last_heard_s
 
     @property
-    def out_of_touch(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether waiting for a word of control is in vain."""
         return self.silent_s > _OUT_OF_TOUCH_S
 
@@ -79,7 +79,7 @@
             balance.announce(balance.unpromised, _ANNOUNCED_AHEAD_S)
             self._link.beat_now()
             opens_in_s = self._opens_in_s(balance, tokens)
-            if self.out_of_touch and opens_in_s <= _WINDOW_WAIT_S:
+            if self.is_disconnected and opens_in_s <= _WINDOW_WAIT_S:
                 # Out of touch for so long that soon as much, or all, may be used.
                 await self._confirmed.wait(max(0.0, opens_in_s) + _POLL_S)
                 continue
@@ -96,16 +96,16 @@
     def _allows(self, balance: TokenBalance, tokens: int) -> bool:
         if self.silent_s > WINDOW_HOLDS_S:
             return True
-        allowed = balance.confirmed + paced(balance.confirmed_pace, self.silent_s)
+        allowed = balance.confirmed + paced(balance.confirmed_rate, self.silent_s)
         return balance.used + tokens <= allowed
 
     def _opens_in_s(self, balance: TokenBalance, tokens: int) -> float:
         """Return when the tokens may be used if control stays silent, in seconds."""
         all_in_s = WINDOW_HOLDS_S - self.silent_s
-        if not balance.confirmed_pace:
+        if not balance.confirmed_rate:
             return all_in_s
         missing = balance.used + tokens - balance.confirmed
-        paced_in_s = PACE_FROM_S + missing / balance.confirmed_pace - self.silent_s
+        paced_in_s = PACE_FROM_S + missing / balance.confirmed_rate - self.silent_s
         return min(all_in_s, paced_in_s)
 
     # ---- what control is told ---------------------------------------------
@@ -121,9 +121,9 @@
         risen: dict[str, tuple[int, int]] = {}
         for balance in balances:
             balance.announce(0, _ANNOUNCED_AHEAD_S)
-            rose = balance.announced > balance.confirmed
-            if self._tell_all or rose or balance.announced_pace > balance.confirmed_pace:
-                risen[balance.tenant] = (balance.announced, balance.announced_pace)
+            rose = balance.promised > balance.confirmed
+            if self._tell_all or rose or balance.promised_rate > balance.confirmed_rate:
+                risen[balance.tenant] = (balance.promised, balance.promised_rate)
         self._tell_all = False
         for tenant, (most, pace) in risen.items():
             heartbeat.promises[tenant].most = most
@@ -138,5 +138,5 @@
                 balance = balances.get(tenant)
                 if balance is not None:
                     balance.confirmed = max(balance.confirmed, most)
-                    balance.confirmed_pace = max(balance.confirmed_pace, pace)
+                    balance.confirmed_rate = max(balance.confirmed_rate, pace)
         self._confirmed.give()
--- a/tests/lending_fleet.py
+++ b/tests/lending_fleet.py
@@ -178,7 +178,7 @@
         """Start a gateway, anew where it ran before."""
         process = Process(self, name, self.zones[name], self._key_file)
         self.processes[name] = process
-        process.access.lenders_told(self.lenders())
+        process.access.update_lenders(self.lenders())
         process.start()
         return process
 
--- a/tests/lending_process.py
+++ b/tests/lending_process.py
@@ -282,7 +282,7 @@
         process = self._fleet.processes.get(self._target)
         if process is None or not self._fleet.reaches(self._source, self._target):
             return None
-        reply = await process.access.book.Lend(request, None)
+        reply = await process.access.loan_book.Lend(request, None)
         if reply.outcome == lending_pb2.LOAN_OUTCOME_GRANTED:
             number = (self._target, request.borrower_incarnation, request.ask.number)
             holder = (process.name, process.link.record.incarnation)
--- a/tests/lending_run.py
+++ b/tests/lending_run.py
@@ -160,10 +160,12 @@
     else:  # another view of who holds
         seen = fleet.random.sample(fleet.lenders(), _SEEN_LENDERS)
         for each in list(fleet.processes.values())[:_OTHER_VIEWS]:
-            each.access.lenders_told([control_pb2.Lender(name=gone) for gone in fleet.zones] + seen)
+            each.access.update_lenders(
+                [control_pb2.Lender(name=gone) for gone in fleet.zones] + seen
+            )
 
 
-async def loss_run(seed: int) -> LendingFleet:
+async def outage_run(seed: int) -> LendingFleet:
     """Play one seed of losses right after, or amid, a silence of control; return the fleet, ended.
 
     Tokens last: what is used in a silence is what a lost gateway must be charged for.
@@ -183,7 +185,7 @@
     return fleet
 
 
-async def rush(fleet: LendingFleet, requests: int = _RUSH_REQUESTS) -> None:
+async def send_bursts(fleet: LendingFleet, requests: int = _RUSH_REQUESTS) -> None:
     """Ask holders for more than they promised, until cancelled.
 
     Others borrow, and ask no more for a moment after a refusal.
@@ -199,7 +201,7 @@
 async def _silence_and_loss(fleet: LendingFleet) -> None:
     cut = fleet.random.sample(sorted(ZONES), fleet.random.choice((0, 3, len(ZONES))))
     fleet.cut_from_control.update(cut)
-    rushing = asyncio.create_task(rush(fleet))
+    rushing = asyncio.create_task(send_bursts(fleet))
     await asyncio.sleep(fleet.random.choice(_SILENT_S))
     if fleet.random.random() < _HEALED_FIRST_CHANCE:
         fleet.cut_from_control.clear()
@@ -233,7 +235,7 @@
     )
     for name in ZONES:
         fleet.start(name)
-    rushing = asyncio.create_task(rush(fleet, _SCARCE_REQUESTS))
+    rushing = asyncio.create_task(send_bursts(fleet, _SCARCE_REQUESTS))
     asking = asyncio.create_task(traffic(fleet, _SCARCE_S, _BUSY_REQUESTS_A_SECOND, (0.5, 1.0)))
     while not asking.done():
         await asyncio.sleep(_RUSH_PAUSE_S * fleet.random.random())
@@ -261,7 +263,7 @@
     parser.add_argument("--regions", action="store_true", help="two regions and cuts between")
     parser.add_argument("--scarce", action="store_true", help="a rush for the last tokens")
     options = parser.parse_args()
-    run = loss_run if options.losses else region_run if options.regions else one_run
+    run = outage_run if options.losses else region_run if options.regions else one_run
     run = scarce_run if options.scarce else run
     failed = 0
     for seed in range(options.first, options.first + options.seeds):
--- a/tests/prepaid_losses.py
+++ b/tests/prepaid_loss_scenarios.py
@@ -6,7 +6,7 @@
 
 from lending_fleet import LendingFleet
 from lending_process import Weather
-from lending_run import ZONES, rush, traffic
+from lending_run import ZONES, send_bursts, traffic
 
 _LIMIT = 20_000_000
 _WARM_S = 4.0
@@ -23,7 +23,7 @@
     return fleet, callers
 
 
-async def lose_all(fleet: LendingFleet, *, leader_too: bool = True, dark_s: float = 0.7) -> None:
+async def crash_all(fleet: LendingFleet, *, leader_too: bool = True, dark_s: float = 0.7) -> None:
     for process in list(fleet.processes.values()):
         await process.crash()
     if leader_too:
@@ -41,7 +41,7 @@
     return fleet
 
 
-async def loss_amid_a_rush(
+async def loss_during_burst(
     silent_s: float, *, leader_first: bool = False, clock_ahead_s: float = 0.0
 ) -> LendingFleet:
     """All lose power when control has been silent for a while and callers asked for more.
@@ -58,35 +58,35 @@
     await asyncio.sleep(1)
     fleet.cut_from_control.update(ZONES)
     fleet.control.ended = leader_first
-    rushing = asyncio.create_task(rush(fleet))
+    rushing = asyncio.create_task(send_bursts(fleet))
     await asyncio.sleep(silent_s)
     rushing.cancel()
     fleet.wall_ahead_s.clear()
-    await lose_all(fleet)
+    await crash_all(fleet)
     return await end(fleet, callers)
 
 
-async def loss_as_silence_ends() -> LendingFleet:
+async def loss_on_reconnect() -> LendingFleet:
     """Gateways end as they are heard again, before the log has what they used meanwhile."""
     fleet, callers = await warm_fleet()
     fleet.cut_from_control.update(ZONES)
-    rushing = asyncio.create_task(rush(fleet))
+    rushing = asyncio.create_task(send_bursts(fleet))
     await asyncio.sleep(3.5)
     fleet.control.commit_s = 60.0
     fleet.cut_from_control.clear()
     await asyncio.sleep(0.9)  # heard, and told of that
     rushing.cancel()
-    await lose_all(fleet, leader_too=False)
+    await crash_all(fleet, leader_too=False)
     fleet.control.commit_s = 0.02
     return await end(fleet, callers)
 
 
-async def loss_of_an_unwritten_promise() -> LendingFleet:
+async def loss_of_uncommitted_promise() -> LendingFleet:
     """All lose power while the log takes long and callers ask for more."""
     fleet, callers = await warm_fleet()
     fleet.control.commit_s = 60.0
-    rushing = asyncio.create_task(rush(fleet))
+    rushing = asyncio.create_task(send_bursts(fleet))
     await asyncio.sleep(0.7)
     rushing.cancel()
-    await lose_all(fleet)
+    await crash_all(fleet)
     return await end(fleet, callers)
--- a/tests/test_gateway_lending.py
+++ b/tests/test_gateway_lending.py
@@ -98,7 +98,7 @@
             assert role is not None
             if "tenant-a" in role.tokens.held._balances:
                 spent += role.tokens.held._balances["tenant-a"].spent
-            on_loan += role.tokens.book.open_loans
+            on_loan += role.tokens.loan_book.open_loans
         return spent, on_loan
 
     async def test_gateways_that_were_never_asked_serve_in_a_cut(self) -> None:
--- a/tests/test_gateway_refusals.py
+++ b/tests/test_gateway_refusals.py
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self.waited_s = -1.0
 
-    def state_of(self, tenant: str) -> str:
+    def describe_balance(self, tenant: str) -> str:
         return "none"
 
     async def reserve(self, tenant: Any, tokens: int, wait_s: float, request_id: str) -> None:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -13,13 +13,13 @@
 from heronladder_router.tokens.balance import OwnReservation
 from heronladder_router.tokens.lenders import Lenders
 from heronladder_router.tokens.lending import LoanBook
-from heronladder_router.tokens.window import SpendingWindow
+from heronladder_router.tokens.spending_window import SpendingWindow
 from heronladder_runtime.errors import SettingsError
 from heronladder_schema.v1 import control_pb2, lending_pb2
 from lending_fleet import LendingFleet
 from lending_process import GROUP, TENANT, Process, Weather
 from lending_run import TOKENS, ZONES, one_run, scarce_run, traffic
-from prepaid_losses import loss_amid_a_rush
+from prepaid_loss_scenarios import loss_during_burst
 from support import run_virtual
 
 _LIMIT = 3_000_000
@@ -163,7 +163,7 @@
             await asyncio.sleep(3)
             lone = _borrower(fleet)
             self.assertEqual(await lone.serve(TOKENS, 1.0, 0.01), "served")
-            with patch.object(LoanBook, "_refusal", lambda book, request: "not_proved"):
+            with patch.object(LoanBook, "_refusal", lambda loan_book, request: "not_proved"):
                 fleet.messages = 0
                 await asyncio.sleep(5)
                 sent = fleet.messages
@@ -251,7 +251,9 @@
                 await asyncio.sleep(number * 0.005)
                 request.cancel()
             await asyncio.sleep(3)
-            open_loans = sum(process.access.book.open_loans for process in fleet.processes.values())
+            open_loans = sum(
+                process.access.loan_book.open_loans for process in fleet.processes.values()
+            )
             in_use = borrower.access.borrowed.loans_in_use
             await fleet.stop()
             return open_loans, in_use
@@ -271,7 +273,7 @@
                 if process.access.lenders.is_holder(TENANT)
             )
             fleet.stopping.add(holder.name)
-            holder.access.lend_no_more()
+            holder.access.stop_lending()
             await asyncio.sleep(1)
             await holder.access.return_all(1.0)
             await holder.crash()
@@ -344,7 +346,7 @@
             self.assertTrue(self._is_caught(range(3)))
 
     def test_a_lost_borrower_that_costs_nothing(self) -> None:
-        def charge(book: LoanBook, name: str, ended: Any) -> None:
+        def charge(loan_book: LoanBook, name: str, ended: Any) -> None:
             for loan in ended.open.values():
                 loan.settle(0)
             ended.open.clear()
@@ -360,7 +362,7 @@
             patch.object(SpendingWindow, "wait_until_within", wait),
             self.assertRaises(AssertionError),
         ):
-            run_virtual(loss_amid_a_rush(0.9, leader_first=True))
+            run_virtual(loss_during_burst(0.9, leader_first=True))
 
     def test_control_that_grants_all_that_wait_whatever_is_left(self) -> None:
         def grant(table: DecidedPrepaidTable, account: Any, order: control_pb2.DrawTokens) -> int:
@@ -387,7 +389,7 @@
         async def work(order: tuple[int, ...]) -> tuple[int, int, int]:
             fleet = _fleet(zones={"a0": "a", "b0": "b", "c0": "c"})
             lender = fleet.start("a0")
-            book = lender.access.book
+            loan_book = lender.access.loan_book
             await asyncio.sleep(2)
 
             def message(**more: Any) -> lending_pb2.LendRequest:
@@ -396,7 +398,7 @@
                     borrower="b0",
                     borrower_incarnation="b0-1",
                     lender="a0",
-                    lender_incarnation=book._incarnation,
+                    lender_incarnation=loan_book._incarnation,
                     **more,
                 )
 
@@ -412,13 +414,13 @@
             ]
             granted = False
             for position in order:
-                reply = await book.Lend(messages[position], None)
+                reply = await loan_book.Lend(messages[position], None)
                 is_first = position in (0, 1)
                 granted |= is_first and reply.outcome == lending_pb2.LOAN_OUTCOME_GRANTED
             # A borrower says that all below are settled only once that was confirmed.
             legal = order.index(4) > min(order.index(2), order.index(3))
             balance = lender.access.held._balances[TENANT]
-            result = (book.open_loans, balance.reserved, balance.spent)
+            result = (loan_book.open_loans, balance.reserved, balance.spent)
             await fleet.stop()
             if not legal:
                 return (1, 700, 400 if granted else 0)
@@ -437,7 +439,7 @@
             outcomes = []
             for number, incarnation in ((1, "old"), (1, "new"), (2, "old")):
                 ask = lending_pb2.LoanAsk(number=number, tenant=TENANT, tokens=900, wait_ms=50)
-                reply = await lender.access.book.Lend(
+                reply = await lender.access.loan_book.Lend(
                     lending_pb2.LendRequest(
                         group=GROUP,
                         borrower="b0",
--- a/tests/test_prepaid_promises.py
+++ b/tests/test_prepaid_promises.py
@@ -9,17 +9,17 @@
 from heronladder_control import prepaid_watch
 from heronladder_control.prepaid_watch import HolderKey, PrepaidWatch
 from heronladder_control.promise_notes import PromiseNotes
-from heronladder_router.tokens.window import SpendingWindow
+from heronladder_router.tokens.spending_window import SpendingWindow
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 from heronladder_runtime.prepaid_window import PACE_FROM_S, WINDOW_HOLDS_S, paced
 from heronladder_schema.v1 import control_pb2, resources_pb2
 from lending_process import TENANT
-from lending_run import loss_run
-from prepaid_losses import (
-    lose_all,
-    loss_amid_a_rush,
-    loss_as_silence_ends,
-    loss_of_an_unwritten_promise,
+from lending_run import outage_run
+from prepaid_loss_scenarios import (
+    crash_all,
+    loss_during_burst,
+    loss_on_reconnect,
+    loss_of_uncommitted_promise,
     warm_fleet,
 )
 from support import run_virtual
@@ -37,7 +37,7 @@
             held = fleet.charged
             handed_out = fleet.handed_out
             callers.cancel()
-            await lose_all(fleet)
+            await crash_all(fleet)
             await asyncio.sleep(4)
             closed = fleet.account.closed_charge
             await fleet.stop()
@@ -51,21 +51,21 @@
         for silent_s in (0.3, 0.9, 1.8, 3.4, 5.5):
             for leader_first in (False, True):
                 with self.subTest(silent_s=silent_s, leader_first=leader_first):
-                    run_virtual(loss_amid_a_rush(silent_s, leader_first=leader_first))
+                    run_virtual(loss_during_burst(silent_s, leader_first=leader_first))
 
     def test_wall_clocks_that_were_ahead_change_nothing(self) -> None:
-        run_virtual(loss_amid_a_rush(3.4, leader_first=True, clock_ahead_s=4.0))
+        run_virtual(loss_during_burst(3.4, leader_first=True, clock_ahead_s=4.0))
 
     def test_lost_as_a_silence_ends(self) -> None:
-        run_virtual(loss_as_silence_ends())
+        run_virtual(loss_on_reconnect())
 
     def test_lost_with_promises_that_never_came_into_the_log(self) -> None:
-        run_virtual(loss_of_an_unwritten_promise())
+        run_virtual(loss_of_uncommitted_promise())
 
     def test_random_losses_amid_silences(self) -> None:
         for seed in range(2):
             with self.subTest(seed=seed):
-                run_virtual(loss_run(seed))
+                run_virtual(outage_run(seed))
 
 
 def _newest_of_clocks(watch: PrepaidWatch, holder: HolderKey) -> float:
@@ -83,14 +83,14 @@
 
     def test_a_pace_that_is_not_charged(self) -> None:
         with patch.object(prepaid_watch, "paced", lambda *_: 0), self.assertRaises(AssertionError):
-            run_virtual(loss_amid_a_rush(1.8, leader_first=True))
+            run_virtual(loss_during_burst(1.8, leader_first=True))
 
     def test_the_newest_that_any_clock_tells(self) -> None:
         with (
             patch.object(PrepaidWatch, "_earlier_contact_s", _newest_of_clocks),
             self.assertRaises(AssertionError),
         ):
-            run_virtual(loss_amid_a_rush(3.4, leader_first=True, clock_ahead_s=4.0))
+            run_virtual(loss_during_burst(3.4, leader_first=True, clock_ahead_s=4.0))
 
     def test_a_silence_that_the_notes_do_not_tell(self) -> None:
         real = PromiseNotes._fill
@@ -100,7 +100,7 @@
             order.ClearField("silent")
 
         with patch.object(PromiseNotes, "_fill", fill), self.assertRaises(AssertionError):
-            run_virtual(loss_amid_a_rush(3.4))
+            run_virtual(loss_during_burst(3.4))
 
     def test_heard_before_what_was_used_is_in_the_log(self) -> None:
         real = PromiseNotes.heartbeat
@@ -111,7 +111,7 @@
             real(notes, session, told)
 
         with patch.object(PromiseNotes, "heartbeat", heartbeat), self.assertRaises(AssertionError):
-            run_virtual(loss_as_silence_ends())
+            run_virtual(loss_on_reconnect())
 
     def test_used_before_the_promise_is_in_the_log(self) -> None:
         real = SpendingWindow.fill_heartbeat
@@ -120,13 +120,13 @@
             known = list(balances)
             real(window, told, known)
             for balance in known:
-                balance.confirmed = balance.announced
+                balance.confirmed = balance.promised
 
         with (
             patch.object(SpendingWindow, "fill_heartbeat", fill),
             self.assertRaises(AssertionError),
         ):
-            run_virtual(loss_of_an_unwritten_promise())
+            run_virtual(loss_of_uncommitted_promise())
 
 
 class _Clock(Environment):
--- a/tests/test_prepaid_tokens.py
+++ b/tests/test_prepaid_tokens.py
@@ -308,10 +308,10 @@
         balance = TokenBalance("t")
         promises = 0
         for tick in range(20):
-            if balance.used + _REQUEST_TOKENS > balance.announced:
+            if balance.used + _REQUEST_TOKENS > balance.promised:
                 balance.announce(_REQUEST_TOKENS, 1.5)
                 promises += 1
             balance.take(_REQUEST_TOKENS, 100.0 + tick / 25)
         self.assertLessEqual(promises, 7)
         # No more than a second later, at the measured rate: it is charged for a lost gateway.
-        self.assertLessEqual(balance.announced, 100_000 + 1.5 * 100_000)
+        self.assertLessEqual(balance.promised, 100_000 + 1.5 * 100_000)
--- a/tests/test_stretched_group.py
+++ b/tests/test_stretched_group.py
@@ -53,7 +53,7 @@
             lender=lender.options.name,
             ask=lending_pb2.LoanAsk(number=1, tenant="t", tokens=5, wait_ms=1),
         )
-        reply = await lender.tokens.book.Lend(request, None)
+        reply = await lender.tokens.loan_book.Lend(request, None)
         # It has no tokens and no control here; but the message was meant for it.
         self.assertEqual(reply.outcome, lending_pb2.LOAN_OUTCOME_NO_CONTROL)
 
--- a/tests/test_suspension_held.py
+++ b/tests/test_suspension_held.py
@@ -66,12 +66,12 @@
         async def in_touch(fleet: Fleet) -> None:
             gateway = fleet.gateway.gateway
             assert gateway is not None
-            await _until(lambda: not gateway.tokens.held.window.out_of_touch)
+            await _until(lambda: not gateway.tokens.held.window.is_disconnected)
 
-        def out_of_touch(gateway: GatewayRole) -> bool:
-            return gateway.tokens.held.window.out_of_touch
+        def is_disconnected(gateway: GatewayRole) -> bool:
+            return gateway.tokens.held.window.is_disconnected
 
-        self.assertEqual(self._before_and_after(in_touch, out_of_touch), (False, True))
+        self.assertEqual(self._before_and_after(in_touch, is_disconnected), (False, True))
 
     def test_grants_of_a_roll_out_are_spent_by_nobody(self) -> None:
         async def on_trial(fleet: Fleet) -> None:
