--- a/packages/heronladder-router/src/heronladder_router/request_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/request_tokens.py
@@ -10,18 +10,20 @@
 from heronladder_router.host_routes import HostRouteTable
 from heronladder_router.tokens.access import Reservation, TokenAccess
 
-_LATE_TOKENS = 40  # an engine may make them before it notices that its reader left
-_RESERVE_SHARE = 0.2  # of the objective, waited at most for tokens: a refusal must come early
+_TOKENS_AFTER_DISCONNECT = 40  # an engine may make them before it notices that its reader left
+_RESERVE_WAIT_FRACTION = (
+    0.2  # of the objective, waited at most for tokens: a refusal must come early
+)
 # Of the objective, also where control is far (172 ms of 415 were waited): a refusal must reach its
 # caller within a quarter.
-_MOST_RESERVE_SHARE = 0.23
-_SHORTEST_RESERVE_S = 0.1
+_MAX_RESERVE_WAIT_FRACTION = 0.23
+_MIN_RESERVE_WAIT_S = 0.1
 # Tokens may take a draw and a promise, each there and back and over to a quorum, and control may
 # stand in another region: so many of the ways there and back are waited for besides, of
 # what a way takes beyond that within a region.
 _RESERVE_ROUND_TRIPS = 4
-_NEAR_ROUND_TRIP_S = 0.006  # within a region, on a busy machine
-_MOST_ADDED_S = 0.12  # a refusal must come early all the same
+_LOCAL_ROUND_TRIP_S = 0.006  # within a region, on a busy machine
+_MAX_REMOTE_CONTROL_S = 0.12  # a refusal must come early all the same
 
 
 class RequestTokens:
@@ -60,9 +62,12 @@
             return None
         left_s = request.deadline_s - self._environment.monotonic()
         objective_s = request.matched.route.objective_ms / MILLISECONDS_PER_SECOND
-        wait_s = max(_SHORTEST_RESERVE_S, _RESERVE_SHARE * objective_s) + self._far_control_s()
+        wait_s = (
+            max(_MIN_RESERVE_WAIT_S, _RESERVE_WAIT_FRACTION * objective_s)
+            + self._remote_control_allowance_s()
+        )
         if objective_s:
-            wait_s = min(wait_s, max(_SHORTEST_RESERVE_S, _MOST_RESERVE_SHARE * objective_s))
+            wait_s = min(wait_s, max(_MIN_RESERVE_WAIT_S, _MAX_RESERVE_WAIT_FRACTION * objective_s))
         wait_s = min(left_s, wait_s)
         try:
             return await self._tokens.reserve(
@@ -82,10 +87,10 @@
             )
             raise
 
-    def _far_control_s(self) -> float:
+    def _remote_control_allowance_s(self) -> float:
         """Return what tokens take longer because control stands far away."""
-        beyond_s = max(0.0, self._link.quickest_round_trip_s - _NEAR_ROUND_TRIP_S)
-        return min(_MOST_ADDED_S, _RESERVE_ROUND_TRIPS * beyond_s)
+        beyond_s = max(0.0, self._link.quickest_round_trip_s - _LOCAL_ROUND_TRIP_S)
+        return min(_MAX_REMOTE_CONTROL_S, _RESERVE_ROUND_TRIPS * beyond_s)
 
     def used(self, request: GatewayRequest, progress: AnswerProgress) -> int:
         """Return the most tokens that the tenant can have got.
@@ -102,5 +107,5 @@
             return bounds.total  # a whole answer, whose tokens are not told
         out = progress.cutter.events * per_event
         if not progress.finished:
-            out += _LATE_TOKENS
+            out += _TOKENS_AFTER_DISCONNECT
         return bounds.prompt + min(bounds.most_out, out)
--- a/packages/heronladder-router/src/heronladder_router/tokens/access.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/access.py
@@ -18,15 +18,15 @@
 from heronladder_router.errors import PrepaidExhaustedError, PrepaidUnavailableError
 from heronladder_router.tokens.balance import OwnReservation
 from heronladder_router.tokens.borrowing import BorrowedTokens, Loan, LoanRefusal, outcome_name
-from heronladder_router.tokens.first_stock import FirstStock
 from heronladder_router.tokens.held_tokens import HeldTokens
+from heronladder_router.tokens.initial_draws import InitialDraws
 from heronladder_router.tokens.lenders import Lenders
 from heronladder_router.tokens.lending import LoanBook
 from heronladder_router.tokens.lending_group import LendingGroup
 from heronladder_router.tokens.peer_key import PeerKey
 
 _STEP = "reserve_prepaid"
-_RETRY_AT_OTHERS_S = 0.3  # no lender answered: another gateway may reach one
+_RETRY_AT_OTHER_GATEWAY_S = 0.3  # no lender answered: another gateway may reach one
 _STOP_POLL_S = 0.02
 Reservation = OwnReservation | Loan
 
@@ -82,16 +82,16 @@
             options.name, options.zone, lends=bool(options.address), regions=options.zone_regions
         )
         self.held = HeldTokens(link, self.lenders, environment, log)
-        self._first_stock = FirstStock(self.held, self.lenders, link)
+        self._initial_draws = InitialDraws(self.held, self.lenders, link)
         incarnation = environment.new_id(options.name)
         group = LendingGroup(options.group, options.region, lambda: link.cluster_version)
         who = (options.name, group, incarnation)
-        self.loan_book = LoanBook(*who, self.held, self._tenant, self.key, metrics, log)
+        self.loan_book = LoanBook(*who, self.held, self._find_tenant, self.key, metrics, log)
         self.borrowed = BorrowedTokens(
             *who, self.lenders, stubs, self.key, environment, metrics, log
         )
 
-    def _tenant(self, name: str) -> resources_pb2.PrepaidTenant | None:
+    def _find_tenant(self, name: str) -> resources_pb2.PrepaidTenant | None:
         fleet = self._link.configuration.fleet()
         if fleet is None:
             return None
@@ -108,19 +108,19 @@
             PrepaidExhaustedError: If no gateway can hold so many.
             PrepaidUnavailableError: If they could not be got hold of in time.
         """
-        self.lenders.gateways = self._link.routers
-        if not self.lenders.takes_part:
+        self.lenders.gateway_count = self._link.routers
+        if not self.lenders.is_participating:
             return await self.held.reserve(tenant, tokens, wait_s)
         deadline_s = self._environment.monotonic() + wait_s
-        serves_itself = self.held.serves_itself(tenant.name)
-        if serves_itself or self.held.free(tenant.name) >= tokens:
+        reserves_locally = self.held.reserves_locally(tenant.name)
+        if reserves_locally or self.held.free(tenant.name) >= tokens:
             try:
                 return await self.held.reserve(tenant, tokens, wait_s)
             except PrepaidUnavailableError:
                 # What control says of the account holds for all holders.
                 if not self.held.window.is_disconnected or self._left_s(deadline_s) <= 0:
                     raise
-        if not serves_itself:
+        if not reserves_locally:
             self.held.note_demand(tenant.name, tokens)
         left_s = self._left_s(deadline_s)
         got = await self.borrowed.borrow(tenant.name, tokens, left_s, request_id)
@@ -131,20 +131,24 @@
                 f"what is left cannot hold {tokens} tokens", step=_STEP, peer=tenant.name
             )
         left_s = self._left_s(deadline_s)
-        if self._may_draw(got, serves_itself, left_s):
+        if self._may_draw_from_control(got, reserves_locally, left_s):
             return await self.held.reserve(tenant, tokens, left_s)
         raise self._unavailable(tenant.name, got)
 
     def _left_s(self, deadline_s: float) -> float:
         return deadline_s - self._environment.monotonic()
 
-    def _may_draw(self, got: LoanRefusal, serves_itself: bool, left_s: float) -> bool:
+    def _may_draw_from_control(
+        self, got: LoanRefusal, reserves_locally: bool, left_s: float
+    ) -> bool:
         """Whether to draw from control: it is in reach here, and was in no lender's."""
         unknown = got.outcome in (
             lending_pb2.LOAN_OUTCOME_UNSPECIFIED,
             lending_pb2.LOAN_OUTCOME_NO_CONTROL,
         )
-        return unknown and not serves_itself and not self.held.window.is_disconnected and left_s > 0
+        return (
+            unknown and not reserves_locally and not self.held.window.is_disconnected and left_s > 0
+        )
 
     @staticmethod
     def _unavailable(tenant: str, got: LoanRefusal) -> PrepaidUnavailableError:
@@ -152,19 +156,19 @@
             f"no lender had them: {outcome_name(got.outcome)} of {len(got.asked)} asked",
             step=_STEP,
             peer=tenant,
-            retry_after_s=got.retry_after_s or _RETRY_AT_OTHERS_S,
+            retry_after_s=got.retry_after_s or _RETRY_AT_OTHER_GATEWAY_S,
         )
 
     def describe_balance(self, tenant: str) -> str:
         """Return what is held of a tenant, for logs."""
-        return self.held.held(tenant)
+        return self.held.describe(tenant)
 
     # ---- control ----------------------------------------------------------
 
     def update_lenders(self, told: Iterable[control_pb2.Lender]) -> None:
         """Take in what control tells of gateways; stock what this one holds from now on."""
         self.lenders.update(told)
-        self._first_stock.stock()
+        self._initial_draws.draw_to_target()
 
     def drop_all(self) -> None:
         """Forget all tokens: control charged this incarnation for them."""
@@ -181,14 +185,14 @@
         """Send borrowers elsewhere; loans that are open are settled as ever."""
         self.loan_book.stopping = True
 
-    async def return_all(self, patience_s: float) -> None:
+    async def return_all(self, settle_timeout_s: float) -> None:
         """Settle all loans and give everything back; own requests must have ended.
 
         Args:
             patience_s: Time in which others may still settle what they borrowed.
         """
         self.stop_lending()
-        deadline_s = self._environment.monotonic() + patience_s
+        deadline_s = self._environment.monotonic() + settle_timeout_s
         await self.borrowed.settle_all()
         await self.held.return_all()  # first: the time of a planned stop may run out below
         if not self.loan_book.open_loans:
--- a/packages/heronladder-router/src/heronladder_router/tokens/balance.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/balance.py
@@ -4,11 +4,11 @@
 
 # Two common small requests. All of it is charged for a lost holder, and most holders of most
 # tenants use little: with 6,000 the promises of a gateway came to more than it held.
-_LEAST_AHEAD_TOKENS = 3_000
-_ANNOUNCED_AGAIN_BELOW = 0.8  # of what is to be covered
-_LEAST_PACE = 1_000  # tokens a second: a common small request each two seconds
-_PACE_SHARE = 1.25  # of the rate: a quarter for chance
-_PACE_AGAIN_OVER = 1.2  # times what was promised
+_MIN_PROMISE_MARGIN_TOKENS = 3_000
+_PROMISE_RENEWAL_FRACTION = 0.8  # of what is to be covered
+_MIN_PROMISED_TOKENS_PER_S = 1_000  # tokens a second: a common small request each two seconds
+_PROMISED_RATE_FACTOR = 1.25  # of the rate: a quarter for chance
+_RATE_RENEWAL_FACTOR = 1.2  # times what was promised
 _RATE_SMOOTHING = 0.3
 _RATE_INTERVAL_S = 1.0
 
@@ -48,10 +48,10 @@
     promised_rate: int = 0
     confirmed_rate: int = 0
     draws: int = 0
-    waited_for: int = 0
-    unpromised: int = 0
+    tokens_awaited: int = 0
+    awaiting_promise: int = 0
     rate: float = 0.0
-    told: tuple[int, int] | None = (0, 0)
+    reported: tuple[int, int] | None = (0, 0)
     is_short: bool = False
     refused_minimum: int = 0
     refused_until_s: float = 0.0
@@ -71,7 +71,7 @@
         return self.spent + self.reserved
 
     @property
-    def likely_rate(self) -> float:
+    def expected_rate(self) -> float:
         """Tokens asked for a second; before that is measured, what was asked for until now.
 
         With none, each request of a gateway's first second waits until it is promised.
@@ -79,16 +79,16 @@
         return self.rate if self._intervals else self._interval_tokens / _RATE_INTERVAL_S
 
     @property
-    def sums(self) -> tuple[int, int]:
+    def totals(self) -> tuple[int, int]:
         """What was given back, and what is used: control reckons from these what is unused."""
         return (self.returned, self.used)
 
     @property
-    def is_told(self) -> bool:
+    def is_reported(self) -> bool:
         """Whether control knows what is unused here."""
-        return self.sums == self.told
+        return self.totals == self.reported
 
-    def take(self, tokens: int, now_s: float) -> None:
+    def add_reservation(self, tokens: int, now_s: float) -> None:
         """Reserve tokens."""
         self.reserved += tokens
         self.note_demand(tokens, now_s)
@@ -113,22 +113,22 @@
         self.reserved -= reserved
         self.spent += min(used, reserved)
 
-    def announce(self, tokens: int, ahead_s: float) -> None:
+    def raise_promise(self, tokens: int, ahead_s: float) -> None:
         """Raise what is announced to cover a request and the time until control hears more.
 
         Args:
             tokens: Tokens about to be reserved.
             ahead_s: Time to cover, in seconds.
         """
-        ahead = max(_LEAST_AHEAD_TOKENS, int(self.likely_rate * ahead_s))
-        needed = self.used + tokens + int(_ANNOUNCED_AGAIN_BELOW * ahead)
+        ahead = max(_MIN_PROMISE_MARGIN_TOKENS, int(self.expected_rate * ahead_s))
+        needed = self.used + tokens + int(_PROMISE_RENEWAL_FRACTION * ahead)
         if needed > self.promised:
             self.promised = self.used + tokens + ahead
-        pace = max(_LEAST_PACE, int(self.likely_rate * _PACE_SHARE))
-        if pace > self.promised_rate * _PACE_AGAIN_OVER:
+        pace = max(_MIN_PROMISED_TOKENS_PER_S, int(self.expected_rate * _PROMISED_RATE_FACTOR))
+        if pace > self.promised_rate * _RATE_RENEWAL_FACTOR:
             self.promised_rate = pace
 
-    def give_back(self, tokens: int) -> None:
+    def return_tokens(self, tokens: int) -> None:
         """Set free tokens aside for control; a draw tells it."""
         self.returned += tokens
 
--- a/packages/heronladder-router/src/heronladder_router/tokens/borrowing.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/borrowing.py
@@ -22,18 +22,18 @@
 from heronladder_router.tokens.lending_group import LendingGroup
 from heronladder_router.tokens.peer_key import PeerKey
 
-_MOST_ASKED = 3  # lenders for one request
-_SHARE_OF_WAIT = 0.5  # of what is left of the wait, for each lender but the last
-_LEAST_WAIT_S = 0.03  # an answer within a zone takes so long on a busy machine
-_FAR_ROUND_TRIPS = 2.5  # time that a lender in another region gets
-_FAR_FIRST_WAIT_S = 0.06  # the same before one answered: two ways of 12 ms
+_MAX_LENDERS_ASKED = 3  # lenders for one request
+_ATTEMPT_FRACTION = 0.5  # of what is left of the wait, for each lender but the last
+_MIN_ATTEMPT_S = 0.03  # an answer within a zone takes so long on a busy machine
+_REMOTE_RESPONSE_FACTOR = 2.5  # time that a lender in another region gets
+_REMOTE_DEFAULT_S = 0.06  # the same before one answered: two ways of 12 ms
 _ANSWER_MARGIN_S = 0.01  # a lender answers so much before its answer is given up
-_SET_ASIDE_S = 1.0  # a lender that did not answer is asked last
-_SETTLE_PAUSE_S = 0.1  # over which settlements of one lender are gathered
+_DEPRIORITIZED_S = 1.0  # a lender that did not answer is asked last
+_SETTLE_BATCH_S = 0.1  # over which settlements of one lender are gathered
 _SETTLE_TIMEOUT_S = 1.0
-_SETTLE_AGAIN_S = 0.5
+_SETTLE_RETRY_S = 0.5
 _REFUSAL_HOLDS_S = 0.4  # a shortage costs no storm of messages (as for draws)
-_TELLS_NOTHING = (  # of the tenant's tokens
+_UNINFORMATIVE_OUTCOMES = (  # of the tenant's tokens
     lending_pb2.LOAN_OUTCOME_STOPPING,
     lending_pb2.LOAN_OUTCOME_REFUSED,
     lending_pb2.LOAN_OUTCOME_CLOSED,
@@ -64,16 +64,16 @@
     outcome: lending_pb2.LoanOutcome.ValueType = _NO_ANSWER
     retry_after_s: float = 0.0
     asked: list[str] = field(default_factory=list)
-    until_s: float = float("-inf")
+    valid_until_s: float = float("-inf")
 
-    def holds(self, tokens: int, now_s: float) -> bool:
+    def applies_to(self, tokens: int, now_s: float) -> bool:
         """Whether another request for so many tokens need not ask."""
-        return now_s < self.until_s and tokens >= self.tokens
+        return now_s < self.valid_until_s and tokens >= self.tokens
 
-    def note(self, name: str, reply: lending_pb2.LendReply | None) -> None:
+    def add_reply(self, name: str, reply: lending_pb2.LendReply | None) -> None:
         """Take in what one lender answered; None if it did not."""
         self.asked.append(name)
-        if reply is None or reply.outcome in _TELLS_NOTHING:
+        if reply is None or reply.outcome in _UNINFORMATIVE_OUTCOMES:
             return
         retry_after_s = reply.retry_after_ms / MILLISECONDS_PER_SECOND
         # One with control in reach knows more of what is left than one without.
@@ -150,14 +150,14 @@
         self._accounts: dict[str, LenderAccount] = {}
         self._refusals: dict[str, LoanRefusal] = {}  # the newest, by tenant
         metrics.gauge("loans_in_use", lambda: float(self.loans_in_use))
-        metrics.gauge("loan_settlements_dropped", lambda: float(self._dropped()))
+        metrics.gauge("loan_settlements_dropped", lambda: float(self._dropped_settlements()))
 
     @property
     def loans_in_use(self) -> int:
         """Loans that were asked for and are not settled."""
         return sum(len(account.open) for account in self._accounts.values())
 
-    def _dropped(self) -> int:
+    def _dropped_settlements(self) -> int:
         return sum(account.dropped for account in self._accounts.values())
 
     async def stop(self) -> None:
@@ -179,51 +179,51 @@
         """
         began_s = self._environment.monotonic()
         deadline_s = began_s + wait_s
-        known = self._refusals.get(tenant)
-        if known is not None and known.holds(tokens, began_s):
-            return known
+        recent = self._refusals.get(tenant)
+        if recent is not None and recent.applies_to(tokens, began_s):
+            return recent
         refusal = LoanRefusal(tokens)
-        candidates = self._in_order(tenant)[:_MOST_ASKED]
+        candidates = self._candidates(tenant)[:_MAX_LENDERS_ASKED]
         for position, lender in enumerate(candidates):
             left_s = deadline_s - self._environment.monotonic()
             if left_s <= 0:
                 break
-            patience_s = self._patience_s(candidates[position + 1 :], left_s)
+            patience_s = self._attempt_timeout_s(candidates[position + 1 :], left_s)
             ask = lending_pb2.LoanAsk(tenant=tenant, tokens=tokens, request_id=request_id)
-            got = await self._ask(lender, ask, min(left_s, patience_s))
+            got = await self._request_loan(lender, ask, min(left_s, patience_s))
             if isinstance(got, Loan):
                 return got
-            refusal.note(lender.name, got)
+            refusal.add_reply(lender.name, got)
             if refusal.outcome == lending_pb2.LOAN_OUTCOME_EXHAUSTED:
                 break
         if refusal.outcome != _NO_ANSWER:
-            refusal.until_s = self._environment.monotonic() + _REFUSAL_HOLDS_S
+            refusal.valid_until_s = self._environment.monotonic() + _REFUSAL_HOLDS_S
             self._refusals[tenant] = refusal
         return refusal
 
-    def _in_order(self, tenant: str) -> list[Lender]:
+    def _candidates(self, tenant: str) -> list[Lender]:
         """Return whom to ask: those that answered before ones that did not."""
         now_s = self._environment.monotonic()
         return sorted(
-            self._lenders.to_ask(tenant),
-            key=lambda lender: self._account(lender.name).aside_until_s > now_s,
+            self._lenders.lender_candidates(tenant),
+            key=lambda lender: self._account(lender.name).deprioritized_until_s > now_s,
         )
 
-    def _patience_s(self, later: list[Lender], left_s: float) -> float:
+    def _attempt_timeout_s(self, later: list[Lender], left_s: float) -> float:
         """Return how long a lender may take, so that those to be asked after it get theirs."""
         if not later:
             return left_s
-        patience_s = left_s * _SHARE_OF_WAIT
-        far = next((lender for lender in later if self._lenders.is_far(lender)), None)
+        patience_s = left_s * _ATTEMPT_FRACTION
+        far = next((lender for lender in later if self._lenders.is_remote(lender)), None)
         if far is not None:
-            patience_s = min(patience_s, left_s - self._far_wait_s(far))
-        return max(_LEAST_WAIT_S, patience_s)
+            patience_s = min(patience_s, left_s - self._remote_timeout_s(far))
+        return max(_MIN_ATTEMPT_S, patience_s)
 
-    def _far_wait_s(self, lender: Lender) -> float:
-        quickest_s = self._account(lender.name).quickest_s
-        if quickest_s == float("inf"):
-            return _FAR_FIRST_WAIT_S
-        return quickest_s * _FAR_ROUND_TRIPS
+    def _remote_timeout_s(self, lender: Lender) -> float:
+        min_response_s = self._account(lender.name).min_response_s
+        if min_response_s == float("inf"):
+            return _REMOTE_DEFAULT_S
+        return min_response_s * _REMOTE_RESPONSE_FACTOR
 
     def _account(self, lender: str) -> LenderAccount:
         account = self._accounts.get(lender)
@@ -231,11 +231,11 @@
             account = self._accounts[lender] = LenderAccount(lender)
         return account
 
-    async def _ask(
+    async def _request_loan(
         self, lender: Lender, ask: lending_pb2.LoanAsk, patience_s: float
     ) -> Loan | lending_pb2.LendReply | None:
         account = self._account(lender.name)
-        ask.number = account.begin()
+        ask.number = account.open_loan()
         answer_s = max(0.0, patience_s - _ANSWER_MARGIN_S)
         ask.wait_ms = int(answer_s * MILLISECONDS_PER_SECOND)
         began_s = self._environment.monotonic()
@@ -243,20 +243,20 @@
         try:
             reply = await self._send(lender, account, ask, patience_s)
         finally:
-            account.asking.discard(ask.number)
+            account.pending.discard(ask.number)
             granted = reply is not None and reply.outcome == lending_pb2.LOAN_OUTCOME_GRANTED
             if reply is None or reply.outcome == lending_pb2.LOAN_OUTCOME_CLOSED:
                 # No answer came, the request was given up, or a copy of the ask is still
                 # waited for there: it may have been granted, or yet be.
                 self.settle(account, ask.number, 0)
             elif not granted:
-                account.refused(ask.number)
+                account.discard_refused(ask.number)
         took_s = self._environment.monotonic() - began_s
         self._metrics.observe("loan_asked", took_s)
         if reply is not None:
-            account.quickest_s = min(account.quickest_s, took_s)
+            account.min_response_s = min(account.min_response_s, took_s)
         else:
-            account.aside_until_s = self._environment.monotonic() + _SET_ASIDE_S
+            account.deprioritized_until_s = self._environment.monotonic() + _DEPRIORITIZED_S
         self._log_answer(lender, ask, reply, took_s)
         if not granted:
             return reply
@@ -272,7 +272,7 @@
     ) -> None:
         outcome = outcome_name(_NO_ANSWER if reply is None else reply.outcome)
         self._metrics.add("loans_asked", outcome)
-        far = self._lenders.is_far(lender)
+        far = self._lenders.is_remote(lender)
         if far:
             self._metrics.add("loans_asked_across", outcome)
         self._log.info(
@@ -300,7 +300,7 @@
         """Send a message to a lender; return its answer, or None if none came."""
         sent = list(account.unsettled)
         request = lending_pb2.LendRequest(
-            group=self._group.name_for(far=self._lenders.is_far(lender)),
+            group=self._group.name_for(is_remote=self._lenders.is_remote(lender)),
             borrower=self._name,
             borrower_incarnation=self._incarnation,
             lender=lender.name,
@@ -318,15 +318,15 @@
             self._metrics.add("loan_messages_lost")
             self._log.debug("loan_message_lost", step="lend", peer=lender.name, why=repr(error))
             return None
-        if not self._key.proves(reply):
+        if not self._key.verifies(reply):
             self._metrics.add("loan_messages_refused", "not_proved")
             self._log.warning(
                 "loan_message_refused", step="borrow", peer=lender.name, why="not_proved"
             )
             return None
-        return self._take(account, request, reply)
+        return self._process_reply(account, request, reply)
 
-    def _take(
+    def _process_reply(
         self,
         account: LenderAccount,
         request: lending_pb2.LendRequest,
@@ -337,38 +337,40 @@
         if not account.incarnation:
             account.incarnation = reply.lender_incarnation
         if reply.lender_incarnation != account.incarnation:
-            loans = account.lender_ended(reply.lender_incarnation)
+            loans = account.reset_incarnation(reply.lender_incarnation)
             self._log.info("lender_restarted", step="lend", peer=account.lender, loans=loans)
         elif request.lender_incarnation == account.incarnation:
-            account.confirmed(list(request.settlements))
+            account.discard_confirmed(list(request.settlements))
         return reply
 
-    def _tell_later(self, account: LenderAccount) -> None:
-        if account.teller is None or account.teller.done():
-            account.teller = self._tasks.start("settle_loans", self._tell(account))
+    def _schedule_settlements(self, account: LenderAccount) -> None:
+        if account.settlement_task is None or account.settlement_task.done():
+            account.settlement_task = self._tasks.start(
+                "settle_loans", self._send_settlements(account)
+            )
 
     def settle(self, account: LenderAccount, number: int, used: int) -> None:
         """Note what became of a loan, and have its lender told."""
         account.settle(number, used)
-        self._tell_later(account)
+        self._schedule_settlements(account)
 
-    async def _tell(self, account: LenderAccount) -> None:
+    async def _send_settlements(self, account: LenderAccount) -> None:
         """Tell a lender what was used until it has all of it, or is gone."""
-        await asyncio.sleep(_SETTLE_PAUSE_S)
+        await asyncio.sleep(_SETTLE_BATCH_S)
         while account.unsettled:
-            lender = self._lenders.known(account.lender)
+            lender = self._lenders.find(account.lender)
             if lender is None:
                 self._log.info("lender_gone", step="settle_loans", peer=account.lender)
-                account.lender_ended("")
+                account.reset_incarnation("")
                 return
             reply = await self._send(lender, account, None, _SETTLE_TIMEOUT_S)
             # A refusal takes nothing in: without a pause both ends would do nothing else.
             if reply is None or reply.outcome == lending_pb2.LOAN_OUTCOME_REFUSED:
-                await asyncio.sleep(_SETTLE_AGAIN_S)
+                await asyncio.sleep(_SETTLE_RETRY_S)
 
     async def settle_all(self) -> None:
         """Tell all lenders at once what was used, before a planned stop."""
         for account in list(self._accounts.values()):
-            lender = self._lenders.known(account.lender)
+            lender = self._lenders.find(account.lender)
             if lender is not None and account.unsettled:
                 await self._send(lender, account, None, _SETTLE_TIMEOUT_S)
--- a/packages/heronladder-router/src/heronladder_router/tokens/held_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/held_tokens.py
@@ -16,25 +16,30 @@
 
 from heronladder_router.errors import PrepaidUnavailableError
 from heronladder_router.tokens.balance import OwnReservation, TokenBalance
-from heronladder_router.tokens.draw_pace import DrawPace
+from heronladder_router.tokens.draw_latency import DrawLatency
 from heronladder_router.tokens.lenders import Lenders
-from heronladder_router.tokens.refusals import RETRY_LATE_S, exhausted, too_late, unavailable
+from heronladder_router.tokens.reservation_errors import (
+    LATE_RETRY_S,
+    exhausted_error,
+    timed_out_error,
+    unavailable_error,
+)
 from heronladder_router.tokens.spending_window import SpendingWindow
 
 _HORIZON_S = 12.0  # spending that the tokens held are to cover, without control
 # Expected spending over the horizon from which a gateway stocks its own callers: ten requests
 # of the largest that are common, 12,000 tokens.
-_OWN_STOCK_TOKENS = 120_000
-_FIRST_SHARE = 4  # all holders together hold one part in four before a rate is known
-_AFTER_CUT_S = 6.0  # for so long no more is held than is needed
+_LOCAL_BALANCE_THRESHOLD_TOKENS = 120_000
+_INITIAL_LIMIT_DIVISOR = 4  # all holders together hold one part in four before a rate is known
+_RECENT_RECONNECT_S = 6.0  # for so long no more is held than is needed
 _DRAW_TIMEOUT_S = 1.0
 _DRAW_AHEAD_PAUSE_S = 0.7
-_DRAW_AHEAD_BELOW = 0.8  # of the target; a cut comes without notice
+_DRAW_AHEAD_FRACTION = 0.8  # of the target; a cut comes without notice
 _RECALL_PAUSE_S = 0.04
 _REFUSAL_HOLDS_S = 0.4
 _TRIM_INTERVAL_S = 1.0
-_LEAST_TRIMMED_TOKENS = 50_000
-_TAKEN_IN = (control_pb2.RESULT_CODE_OK, control_pb2.RESULT_CODE_EXHAUSTED)
+_MIN_TRIMMED_TOKENS = 50_000
+_APPLIED_CODES = (control_pb2.RESULT_CODE_OK, control_pb2.RESULT_CODE_EXHAUSTED)
 
 
 class HeldTokens:
@@ -60,8 +65,8 @@
         self._drawing: dict[str, asyncio.Task[control_pb2.CommandResult | None]] = {}
         self._limits: dict[str, int] = {}
         self._returning: set[str] = set()  # tenants of whom control is about to be told
-        self._pace = DrawPace()
-        self.window = SpendingWindow(link, environment, self._pace)
+        self._draw_latency = DrawLatency()
+        self.window = SpendingWindow(link, environment, self._draw_latency)
         self._stopping = False
         link.configuration.listen(self._configuration_changed)
 
@@ -81,7 +86,7 @@
 
     # ---- reservations -----------------------------------------------------
 
-    def held(self, tenant: str) -> str:
+    def describe(self, tenant: str) -> str:
         """Return what is held of a tenant, for logs."""
         balance = self._balances.get(tenant)
         if balance is None:
@@ -110,39 +115,41 @@
         while True:
             balance = self._balance(tenant.name)
             if balance.free >= tokens:
-                await self.window.wait_until_within(balance, tokens, deadline_s)
+                await self.window.wait_for_window(balance, tokens, deadline_s)
                 if balance.free < tokens or balance is not self._balances.get(tenant.name):
                     continue  # another took them while this one waited
-                balance.take(tokens, self._environment.monotonic())
+                balance.add_reservation(tokens, self._environment.monotonic())
                 self._draw_ahead(tenant, balance)
                 return OwnReservation(balance, tokens)
-            self._refuse_known(balance, tokens)
-            balance.waited_for += tokens
+            self._raise_if_recently_refused(balance, tokens)
+            balance.tokens_awaited += tokens
             try:
-                await self._draw_for(tenant, tokens, deadline_s)
+                await self._await_draw(tenant, tokens, deadline_s)
             finally:
-                balance.waited_for -= tokens
+                balance.tokens_awaited -= tokens
 
     def _balance(self, tenant: str) -> TokenBalance:
         return self._balances.setdefault(tenant, TokenBalance(tenant))
 
-    def _refuse_known(self, balance: TokenBalance, tokens: int) -> None:
-        held = self._environment.monotonic() < balance.refused_until_s
-        if held and balance.free < tokens and balance.refused_minimum <= tokens:
-            raise exhausted(balance.tenant, tokens)
+    def _raise_if_recently_refused(self, balance: TokenBalance, tokens: int) -> None:
+        refusal_is_recent = self._environment.monotonic() < balance.refused_until_s
+        if refusal_is_recent and balance.free < tokens and balance.refused_minimum <= tokens:
+            raise exhausted_error(balance.tenant, tokens)
 
     # ---- draws ------------------------------------------------------------
 
     def _target(self, balance: TokenBalance) -> int:
-        if not self._holds_ahead(balance):
+        if not self._keeps_balance(balance):
             return 0  # tokens held at every gateway would lie where nobody asks
         needed = int(balance.rate * _HORIZON_S)
         if not self._lenders.is_holder(balance.tenant):
             return needed
         limit = self._limits.get(balance.tenant, 0)
-        return max(needed, limit // (_FIRST_SHARE * self._lenders.holder_count(balance.tenant)))
+        return max(
+            needed, limit // (_INITIAL_LIMIT_DIVISOR * self._lenders.holder_count(balance.tenant))
+        )
 
-    def _holds_ahead(self, balance: TokenBalance) -> bool:
+    def _keeps_balance(self, balance: TokenBalance) -> bool:
         """Whether tokens are held here ahead of need.
 
         Of a tenant this gateway holds for others, or one whose callers keep to it: each of
@@ -150,35 +157,35 @@
         """
         if self._lenders.is_holder(balance.tenant):
             return True
-        return balance.rate * _HORIZON_S >= _OWN_STOCK_TOKENS
+        return balance.rate * _HORIZON_S >= _LOCAL_BALANCE_THRESHOLD_TOKENS
 
-    def serves_itself(self, tenant: str) -> bool:
+    def reserves_locally(self, tenant: str) -> bool:
         """Whether a tenant's requests are to be served from what is held here."""
-        return self._holds_ahead(self._balance(tenant))
+        return self._keeps_balance(self._balance(tenant))
 
     def note_demand(self, tenant: str, tokens: int) -> None:
         """Count a request whose tokens are asked of others."""
         self._balance(tenant).note_demand(tokens, self._environment.monotonic())
 
-    def _growth(self, balance: TokenBalance) -> int:
+    def _draw_amount(self, balance: TokenBalance) -> int:
         """Return how much to draw beside what is missing."""
-        return max(0, self._level(balance) - balance.free)
+        return max(0, self._current_target(balance) - balance.free)
 
-    def _level(self, balance: TokenBalance) -> int:
+    def _current_target(self, balance: TokenBalance) -> int:
         """Return the tokens to hold just now; right after a cut only for some draws' time."""
         target = self._target(balance)
-        if self._after_cut():
-            return min(target, self._held_after_cut(balance))
+        if self._recently_reconnected():
+            return min(target, self._tokens_after_reconnect(balance))
         return target
 
-    def _held_after_cut(self, balance: TokenBalance) -> int:
+    def _tokens_after_reconnect(self, balance: TokenBalance) -> int:
         """Return the tokens that are held right after a cut."""
-        return int(balance.rate * min(self._pace.held_after_cut_s, _HORIZON_S))
+        return int(balance.rate * min(self._draw_latency.coverage_after_reconnect_s, _HORIZON_S))
 
-    def _after_cut(self) -> bool:
-        return self._environment.monotonic() < self._link.regained_s + _AFTER_CUT_S
+    def _recently_reconnected(self) -> bool:
+        return self._environment.monotonic() < self._link.regained_s + _RECENT_RECONNECT_S
 
-    async def _draw_for(
+    async def _await_draw(
         self, tenant: resources_pb2.PrepaidTenant, tokens: int, deadline_s: float
     ) -> None:
         """Wait for a draw that may bring so many tokens; the caller looks again then.
@@ -190,23 +197,23 @@
         if balance.free >= tokens:
             return
         if self.window.is_disconnected:
-            raise unavailable(tenant.name, "control is out of reach", RETRY_LATE_S)
+            raise unavailable_error(tenant.name, "control is out of reach", LATE_RETRY_S)
         left_s = deadline_s - self._environment.monotonic()
         if left_s <= 0:
-            raise too_late(balance, self._pace.retry_s)
+            raise timed_out_error(balance, self._draw_latency.retry_s)
         drawing = self._drawing.get(tenant.name)
         began_here = drawing is None
         if drawing is None:
-            drawing = self._tasks.start("draw", self._draw_waited_for(balance, tokens))
+            drawing = self._tasks.start("draw", self._draw_for_waiting(balance, tokens))
             self._drawing[tenant.name] = drawing
         await asyncio.wait([drawing], timeout=left_s)
         if not drawing.done() or drawing.cancelled():  # cancelled: this gateway ends
-            raise too_late(balance, self._pace.retry_s)
+            raise timed_out_error(balance, self._draw_latency.retry_s)
         result = drawing.result() if began_here else None
         if result is not None and balance.free < tokens:
-            await self._act_on_shortage(balance, tokens, result)
+            await self._handle_shortage(balance, tokens, result)
 
-    async def _draw_waited_for(
+    async def _draw_for_waiting(
         self, balance: TokenBalance, tokens: int
     ) -> control_pb2.CommandResult | None:
         """Draw what all waiting requests of a tenant need, at least one request's tokens.
@@ -219,8 +226,8 @@
                 missing = tokens - balance.free
                 if missing <= 0 or balance is not self._balances.get(balance.tenant):
                     return None
-                needed = max(missing, balance.waited_for - balance.free)
-                wanted = max(needed, self._growth(balance))
+                needed = max(missing, balance.tokens_awaited - balance.free)
+                wanted = max(needed, self._draw_amount(balance))
                 return await self._draw(balance, wanted, missing, _DRAW_TIMEOUT_S, needed)
         except PrepaidUnavailableError as error:
             self._log_not_drawn(balance, error)
@@ -231,17 +238,17 @@
     def _log_not_drawn(self, balance: TokenBalance, error: PrepaidUnavailableError) -> None:
         self._log.info("prepaid_not_drawn", step="draw", peer=balance.tenant, why=error.message)
 
-    async def _act_on_shortage(
+    async def _handle_shortage(
         self, balance: TokenBalance, tokens: int, result: control_pb2.CommandResult
     ) -> None:
         """Refuse a request that control has too little for, or wait for others to give back."""
         if result.surely_exhausted:
             balance.refused_minimum = tokens
             balance.refused_until_s = self._environment.monotonic() + _REFUSAL_HOLDS_S
-            raise exhausted(balance.tenant, tokens)
+            raise exhausted_error(balance.tenant, tokens)
         if not result.recallable:
             why = "what is left is charged for lost routers"
-            raise unavailable(balance.tenant, why, RETRY_LATE_S)
+            raise unavailable_error(balance.tenant, why, LATE_RETRY_S)
         await asyncio.sleep(_RECALL_PAUSE_S)
 
     async def _draw(
@@ -265,7 +272,7 @@
         draw.returned = balance.returned
         draw.spent = balance.spent
         draw.reserved = balance.reserved
-        telling, balance.told = balance.sums, None  # without an answer, more may be granted
+        telling, balance.reported = balance.totals, None  # without an answer, more may be granted
         began_s = self._environment.monotonic()
         try:
             result = await self._link.call(command, timeout_s)
@@ -273,11 +280,13 @@
             # What a cut holds up says nothing of how long draws take: it would keep seconds of
             # spending held right after the cut, which a loss of all machines then costs.
             if not self.window.is_disconnected:
-                self._pace.note(self._environment.monotonic() - began_s)
-            raise unavailable(balance.tenant, error.message, self._pace.retry_s) from error
-        self._pace.note(self._environment.monotonic() - began_s)
-        if result.code in _TAKEN_IN:
-            balance.told = telling
+                self._draw_latency.observe(self._environment.monotonic() - began_s)
+            raise unavailable_error(
+                balance.tenant, error.message, self._draw_latency.retry_s
+            ) from error
+        self._draw_latency.observe(self._environment.monotonic() - began_s)
+        if result.code in _APPLIED_CODES:
+            balance.reported = telling
         balance.is_short = result.code == control_pb2.RESULT_CODE_EXHAUSTED
         granted = result.granted - balance.granted
         balance.granted = max(balance.granted, result.granted)
@@ -296,28 +305,28 @@
     def _draw_ahead(self, tenant: resources_pb2.PrepaidTenant, balance: TokenBalance) -> None:
         now_s = self._environment.monotonic()
         if (
-            balance.free > _DRAW_AHEAD_BELOW * self._level(balance)
+            balance.free > _DRAW_AHEAD_FRACTION * self._current_target(balance)
             or now_s < balance.next_draw_ahead_s
             or self.window.is_disconnected  # a draw that waits through a cut is for a past need
             or self._stopping
         ):
             return
         balance.next_draw_ahead_s = now_s + _DRAW_AHEAD_PAUSE_S
-        self._tasks.start("draw_ahead", self._exchange(balance, grow=True))
+        self._tasks.start("draw_ahead", self._report_and_draw(balance, grow=True))
 
-    def stock(self, tenant: resources_pb2.PrepaidTenant) -> None:
+    def draw_to_target(self, tenant: resources_pb2.PrepaidTenant) -> None:
         """Draw what is held of a tenant ahead of need."""
         balance = self._balance(tenant.name)
-        if self._level(balance):
+        if self._current_target(balance):
             self._draw_ahead(tenant, balance)
 
-    async def _exchange(self, balance: TokenBalance, *, grow: bool) -> None:
+    async def _report_and_draw(self, balance: TokenBalance, *, grow: bool) -> None:
         """Tell control what was used and given back, and draw more if the balance is to grow."""
         async with self._locks.setdefault(balance.tenant, asyncio.Lock()):
             self._returning.discard(balance.tenant)
             if balance is not self._balances.get(balance.tenant):
                 return
-            wanted = self._growth(balance) if grow else 0
+            wanted = self._draw_amount(balance) if grow else 0
             try:
                 await self._draw(balance, wanted, 0, _DRAW_TIMEOUT_S)
             except PrepaidUnavailableError as error:
@@ -329,32 +338,32 @@
         """Give back all that no request holds."""
         balance = self._balances.get(tenant)
         if balance is not None:
-            balance.give_back(balance.free)
-            self._return(balance)
+            balance.return_tokens(balance.free)
+            self._report_returned(balance)
 
-    def _return(self, balance: TokenBalance) -> None:
+    def _report_returned(self, balance: TokenBalance) -> None:
         """Tell control what was given back, unless it knows or is about to be told.
 
         Askers of an emptied account have all gateways give back, again and again: 900 draws a
         second that brought and gave nothing kept those from their answers that would have.
         """
-        if balance.is_told or balance.tenant in self._returning:
+        if balance.is_reported or balance.tenant in self._returning:
             return
         self._returning.add(balance.tenant)
-        self._tasks.start("return_prepaid", self._exchange(balance, grow=False))
+        self._tasks.start("return_prepaid", self._report_and_draw(balance, grow=False))
 
     def control_regained(self) -> None:
         """Give back what was held for the cut that has just ended."""
         for balance in list(self._balances.values()):
-            balance.give_back(max(0, balance.free - self._held_after_cut(balance)))
-            self._return(balance)
+            balance.return_tokens(max(0, balance.free - self._tokens_after_reconnect(balance)))
+            self._report_returned(balance)
 
     async def return_all(self) -> None:
         """Give everything back before a planned stop; requests must have ended."""
         self._stopping = True
         for balance in list(self._balances.values()):
-            balance.give_back(balance.free)
-            await self._exchange(balance, grow=False)
+            balance.return_tokens(balance.free)
+            await self._report_and_draw(balance, grow=False)
 
     async def _trim(self) -> None:
         while True:
@@ -366,9 +375,9 @@
                     # Callers that have gone elsewhere leave no stock behind.
                     balance.note_demand(0, self._environment.monotonic())
                 extra = balance.free - 2 * self._target(balance)
-                if extra > (_LEAST_TRIMMED_TOKENS if self._holds_ahead(balance) else 0):
-                    balance.give_back(extra)
-                    await self._exchange(balance, grow=False)
+                if extra > (_MIN_TRIMMED_TOKENS if self._keeps_balance(balance) else 0):
+                    balance.return_tokens(extra)
+                    await self._report_and_draw(balance, grow=False)
 
     def _configuration_changed(self) -> None:
         """Give back what a lowered limit no longer covers; forget refusals of a raised one."""
--- a/packages/heronladder-router/src/heronladder_router/tokens/first_stock.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/initial_draws.py
@@ -13,10 +13,10 @@
 from heronladder_router.tokens.held_tokens import HeldTokens
 from heronladder_router.tokens.lenders import Lenders
 
-_STOCKED = 64  # tenants, the largest: each costs an entry of control's log
+_MAX_TENANTS = 64  # tenants, the largest: each costs an entry of control's log
 
 
-class FirstStock:
+class InitialDraws:
     """Draws for the tenants that this gateway is a holder of.
 
     Args:
@@ -37,13 +37,13 @@
         if fleet is None:
             return
         limited = (tenant for tenant in fleet.tenants if tenant.limited)
-        self._largest = nlargest(_STOCKED, limited, key=lambda one: one.prepaid_tokens)
-        self.stock()
+        self._largest = nlargest(_MAX_TENANTS, limited, key=lambda one: one.prepaid_tokens)
+        self.draw_to_target()
 
-    def stock(self) -> None:
+    def draw_to_target(self) -> None:
         """Draw what is missing, where this gateway is a holder."""
-        if not self._lenders.takes_part:
+        if not self._lenders.is_participating:
             return
         for tenant in self._largest:
             if self._lenders.is_holder(tenant.name):
-                self._held.stock(tenant)
+                self._held.draw_to_target(tenant)
--- a/packages/heronladder-router/src/heronladder_router/tokens/lender_account.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/lender_account.py
@@ -6,7 +6,7 @@
 
 from heronladder_schema.v1 import lending_pb2
 
-_SETTLEMENTS_KEPT = 4_096  # for each lender; beyond it the oldest stay charged
+_MAX_UNSETTLED = 4_096  # for each lender; beyond it the oldest stay charged
 
 
 @dataclass
@@ -30,18 +30,18 @@
     incarnation: str = ""
     last_number: int = 0
     open: set[int] = field(default_factory=set)
-    asking: set[int] = field(default_factory=set)
+    pending: set[int] = field(default_factory=set)
     unsettled: deque[lending_pb2.LoanSettlement] = field(default_factory=deque)
     dropped: int = 0
-    aside_until_s: float = float("-inf")
-    teller: "asyncio.Task[None] | None" = None
-    quickest_s: float = float("inf")
+    deprioritized_until_s: float = float("-inf")
+    settlement_task: "asyncio.Task[None] | None" = None
+    min_response_s: float = float("inf")
 
-    def begin(self) -> int:
+    def open_loan(self) -> int:
         """Return the number of a new loan."""
         self.last_number += 1
         self.open.add(self.last_number)
-        self.asking.add(self.last_number)
+        self.pending.add(self.last_number)
         return self.last_number
 
     def settle(self, number: int, used: int) -> None:
@@ -49,13 +49,13 @@
         if number not in self.open:
             return
         self.open.discard(number)
-        if len(self.unsettled) >= _SETTLEMENTS_KEPT:
+        if len(self.unsettled) >= _MAX_UNSETTLED:
             # It stays open, and so charged at its lender: what was used must not be freed.
             self.open.add(self.unsettled.popleft().number)
             self.dropped += 1
         self.unsettled.append(lending_pb2.LoanSettlement(number=number, used=used))
 
-    def refused(self, number: int) -> None:
+    def discard_refused(self, number: int) -> None:
         """Note that the lender refused a loan: there is nothing to settle."""
         self.open.discard(number)
 
@@ -64,21 +64,21 @@
         told = (settlement.number for settlement in self.unsettled)
         return min([*self.open, *told], default=self.last_number + 1)
 
-    def confirmed(self, sent: list[lending_pb2.LoanSettlement]) -> None:
+    def discard_confirmed(self, sent: list[lending_pb2.LoanSettlement]) -> None:
         """Forget settlements that the lender has."""
         numbers = {settlement.number for settlement in sent}
         kept = [entry for entry in self.unsettled if entry.number not in numbers]
         self.unsettled.clear()
         self.unsettled.extend(kept)
 
-    def lender_ended(self, incarnation: str) -> int:
+    def reset_incarnation(self, incarnation: str) -> int:
         """Begin anew with a lender that restarted; return how many loans it forgot.
 
         Loans whose answer has not come may be of its new incarnation: they are kept, and
         telling the wrong one what became of them changes nothing there.
         """
-        forgotten = len(self.open - self.asking)
+        forgotten = len(self.open - self.pending)
         self.incarnation = incarnation
-        self.open &= self.asking
+        self.open &= self.pending
         self.unsettled.clear()
         return forgotten
--- a/packages/heronladder-router/src/heronladder_router/tokens/lenders.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/lenders.py
@@ -17,10 +17,10 @@
 # Holders of a tenant, at most: as many as one request asks. With five, of which three are
 # asked, a replayed cut served 0.82 of the tokens asked for, with three 0.91
 # (docs/design/token-pools.md).
-_HOLDERS = 3
+_MAX_HOLDERS = 3
 # Of each region, where there are several: one may be down, and more would each draw over the
 # link between regions.
-_HOLDERS_IN_REGION = 2
+_MAX_HOLDERS_PER_REGION = 2
 
 
 @dataclass(frozen=True)
@@ -38,7 +38,7 @@
     address: str
 
 
-def _weight(tenant: str, name: str) -> int:
+def _hash_weight(tenant: str, name: str) -> int:
     return xxhash.xxh64_intdigest(f"{tenant}\0{name}".encode())
 
 
@@ -62,7 +62,7 @@
         self._known: dict[str, Lender] = {}
         self._holders: dict[str, list[Lender]] = {}  # found so far, by tenant
         self.names: frozenset[str] = frozenset()  # of all gateways that control has told of
-        self.gateways = 1  # that control counts; told by the link
+        self.gateway_count = 1  # that control counts; told by the link
 
     def update(self, told: Iterable[control_pb2.Lender]) -> None:
         """Take in what control tells of gateways that came, changed or went."""
@@ -74,12 +74,12 @@
         self.names = frozenset(self._known)
         self._holders.clear()
 
-    def known(self, name: str) -> Lender | None:
+    def find(self, name: str) -> Lender | None:
         """Return a gateway by its name, or None."""
         return self._known.get(name)
 
     @property
-    def takes_part(self) -> bool:
+    def is_participating(self) -> bool:
         """Whether this gateway lends and borrows: control has told others of it."""
         return self._lends and self._name in self._known
 
@@ -87,24 +87,24 @@
         """Return a tenant's holders, in the same order at every gateway."""
         found = self._holders.get(tenant)
         if found is None:
-            found = self._holders[tenant] = self._choose(tenant)
+            found = self._holders[tenant] = self._select_holders(tenant)
         return found
 
-    def _choose(self, tenant: str) -> list[Lender]:
+    def _select_holders(self, tenant: str) -> list[Lender]:
         best: dict[str, Lender] = {}
         for lender in self._known.values():
             held = best.get(lender.zone)
-            if held is None or _weight(tenant, lender.name) > _weight(tenant, held.name):
+            if held is None or _hash_weight(tenant, lender.name) > _hash_weight(tenant, held.name):
                 best[lender.zone] = lender
-        ordered = sorted(best.values(), key=lambda lender: -_weight(tenant, lender.zone))
+        ordered = sorted(best.values(), key=lambda lender: -_hash_weight(tenant, lender.zone))
         regions = {self._region(lender) for lender in ordered}
         if len(regions) <= 1:
-            return ordered[:_HOLDERS]
+            return ordered[:_MAX_HOLDERS]
         held_in = dict.fromkeys(regions, 0)
         holders = []
         for lender in ordered:
             region = self._region(lender)
-            if held_in[region] < _HOLDERS_IN_REGION:
+            if held_in[region] < _MAX_HOLDERS_PER_REGION:
                 held_in[region] += 1
                 holders.append(lender)
         return holders
@@ -112,23 +112,25 @@
     def _region(self, lender: Lender) -> str:
         return self._regions.get(lender.zone, "")
 
-    def is_far(self, lender: Lender) -> bool:
+    def is_remote(self, lender: Lender) -> bool:
         """Whether a gateway stands in another region."""
         return is_far(self._zone, lender.zone, self._regions)
 
-    def to_ask(self, tenant: str) -> list[Lender]:
+    def lender_candidates(self, tenant: str) -> list[Lender]:
         """Return the other holders of a tenant: of this zone, this region, then elsewhere."""
         others = [lender for lender in self.holders(tenant) if lender.name != self._name]
-        return sorted(others, key=lambda lender: (self.is_far(lender), lender.zone != self._zone))
+        return sorted(
+            others, key=lambda lender: (self.is_remote(lender), lender.zone != self._zone)
+        )
 
     def is_holder(self, tenant: str) -> bool:
         """Whether this gateway holds tokens of a tenant ahead of need."""
-        if not self.takes_part:
+        if not self.is_participating:
             return True
         return any(lender.name == self._name for lender in self.holders(tenant))
 
     def holder_count(self, tenant: str) -> int:
         """Return how many gateways hold tokens of a tenant ahead of need; at least 1."""
-        if not self.takes_part:
-            return max(1, self.gateways)
+        if not self.is_participating:
+            return max(1, self.gateway_count)
         return max(1, len(self.holders(tenant)))
--- a/packages/heronladder-router/src/heronladder_router/tokens/lending.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/lending.py
@@ -25,8 +25,8 @@
 from heronladder_router.tokens.lending_group import LendingGroup
 from heronladder_router.tokens.peer_key import PeerKey
 
-_ENDED_KEPT = 16  # incarnations of a borrower that may not borrow any more
-_LONGEST_WAIT_S = 2.0  # for tokens, whatever a borrower asks
+_MAX_ENDED_INCARNATIONS = 16  # incarnations of a borrower that may not borrow any more
+_MAX_WAIT_S = 2.0  # for tokens, whatever a borrower asks
 TenantFinder = Callable[[str], resources_pb2.PrepaidTenant | None]
 
 
@@ -101,7 +101,7 @@
         self, request: lending_pb2.LendRequest, context: Any
     ) -> lending_pb2.LendReply:
         reply = lending_pb2.LendReply(lender_incarnation=self._incarnation)
-        refusal = self._refusal(request)
+        refusal = self._refusal_reason(request)
         if refusal:
             self._metrics.add("loan_messages_refused", refusal)
             self._log.warning(
@@ -112,13 +112,13 @@
             borrower = self._borrower(request)
             self._settle(borrower, request)
             if request.HasField("ask"):
-                await self._answer(borrower, request, reply)
+                await self._process_ask(borrower, request, reply)
         self._key.sign(reply)
         return reply
 
-    def _refusal(self, request: lending_pb2.LendRequest) -> str:
+    def _refusal_reason(self, request: lending_pb2.LendRequest) -> str:
         """Return why a message is not acted on; empty if it is."""
-        if not self._key.proves(request):
+        if not self._key.verifies(request):
             return "not_proved"
         if request.lender != self._name or not self._group.is_own(request.group):
             return "meant_for_another"
@@ -136,12 +136,12 @@
             return known
         added = _Borrower(request.borrower_incarnation)
         if known is not None:
-            added.ended = [*known.ended, known.incarnation][-_ENDED_KEPT:]
-            self._charge_ended(request.borrower, known)
+            added.ended = [*known.ended, known.incarnation][-_MAX_ENDED_INCARNATIONS:]
+            self._charge_ended_incarnation(request.borrower, known)
         self._borrowers[request.borrower] = added
         return added
 
-    def _charge_ended(self, name: str, ended: _Borrower) -> None:
+    def _charge_ended_incarnation(self, name: str, ended: _Borrower) -> None:
         """Count all that an ended borrower had on loan as used: it may have handed it out."""
         tokens = sum(loan.tokens for loan in ended.open.values())
         for loan in ended.open.values():
@@ -187,7 +187,7 @@
 
     # ---- what is asked for ------------------------------------------------
 
-    async def _answer(
+    async def _process_ask(
         self,
         borrower: _Borrower,
         request: lending_pb2.LendRequest,
@@ -205,7 +205,7 @@
             loan = await self._reserve(ask)
         except CallerError as error:
             borrower.settled.add(ask.number)  # a copy that comes late gets nothing
-            self._refuse(reply, error)
+            self._fill_refusal(reply, error)
         else:
             self._grant(borrower, ask, loan, reply)
         finally:
@@ -221,7 +221,7 @@
         if self.stopping or tenant is None:
             why = "the lender is stopping" if self.stopping else "the tenant is not known"
             raise PrepaidUnavailableError(why, step="lend", peer=ask.tenant, retry_after_s=0.0)
-        wait_s = min(ask.wait_ms / MILLISECONDS_PER_SECOND, _LONGEST_WAIT_S)
+        wait_s = min(ask.wait_ms / MILLISECONDS_PER_SECOND, _MAX_WAIT_S)
         return await self._held.reserve(tenant, ask.tokens, wait_s)
 
     def _grant(
@@ -241,7 +241,7 @@
         reply.outcome = lending_pb2.LOAN_OUTCOME_GRANTED
         self._metrics.add("tokens_lent", amount=loan.tokens)
 
-    def _refuse(self, reply: lending_pb2.LendReply, error: CallerError) -> None:
+    def _fill_refusal(self, reply: lending_pb2.LendReply, error: CallerError) -> None:
         if isinstance(error, PrepaidExhaustedError):
             reply.outcome = lending_pb2.LOAN_OUTCOME_EXHAUSTED
         elif self.stopping:
@@ -264,6 +264,6 @@
             request_id=request.ask.request_id,
             tenant=request.ask.tenant,
             wanted=request.ask.tokens,
-            held=self._held.held(request.ask.tenant),
+            held=self._held.describe(request.ask.tenant),
             outcome=outcome,
         )
--- a/packages/heronladder-router/src/heronladder_router/tokens/lending_group.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/lending_group.py
@@ -6,7 +6,7 @@
 from heronladder_runtime.cluster_versions import since
 from heronladder_schema.v1 import control_pb2
 
-_NAMED_SINCE = since(control_pb2.Command.DESCRIPTOR.fields_by_name["name_group"])
+_GROUP_NAME_VERSION = since(control_pb2.Command.DESCRIPTOR.fields_by_name["name_group"])
 
 
 @dataclass(frozen=True)
@@ -23,13 +23,13 @@
     region: str
     cluster_version: Callable[[], int]
 
-    def name_for(self, *, far: bool) -> str:
+    def name_for(self, *, is_remote: bool) -> str:
         """Return the name by which a lender knows the group.
 
         Args:
             far: Whether it stands in another region, where earlier builds lend nothing to this one.
         """
-        is_named = far or self.cluster_version() >= _NAMED_SINCE
+        is_named = is_remote or self.cluster_version() >= _GROUP_NAME_VERSION
         return self.group if is_named else self.region
 
     def is_own(self, name: str) -> bool:
--- a/packages/heronladder-router/src/heronladder_router/tokens/peer_key.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/peer_key.py
@@ -61,7 +61,7 @@
             message.tag = b""
             message.tag = self._tag(self._keys[0], message)
 
-    def proves(self, message: TaggedMessage) -> bool:
+    def verifies(self, message: TaggedMessage) -> bool:
         """Whether a message was signed with one of the keys, or none is asked for."""
         if not self._keys:
             return True
--- a/packages/heronladder-router/src/heronladder_router/tokens/refusals.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/reservation_errors.py
@@ -3,27 +3,27 @@
 from heronladder_router.errors import PrepaidExhaustedError, PrepaidUnavailableError
 from heronladder_router.tokens.balance import TokenBalance
 
-RETRY_LATE_S = 5.0  # a cut from control lasts seconds; an earlier try would be in vain
+LATE_RETRY_S = 5.0  # a cut from control lasts seconds; an earlier try would be in vain
 _STEP = "reserve_prepaid"
 
 
-def exhausted(tenant: str, tokens: int) -> PrepaidExhaustedError:
+def exhausted_error(tenant: str, tokens: int) -> PrepaidExhaustedError:
     """Return the error of a request that no gateway can hold."""
     return PrepaidExhaustedError(
         f"what is left cannot hold {tokens} tokens", step=_STEP, peer=tenant
     )
 
 
-def unavailable(tenant: str, why: str, retry_after_s: float) -> PrepaidUnavailableError:
+def unavailable_error(tenant: str, why: str, retry_after_s: float) -> PrepaidUnavailableError:
     """Return the error of a request whose tokens could not be got hold of in time."""
     return PrepaidUnavailableError(why, step=_STEP, peer=tenant, retry_after_s=retry_after_s)
 
 
-def too_late(balance: TokenBalance, retry_s: float) -> PrepaidUnavailableError:
+def timed_out_error(balance: TokenBalance, retry_s: float) -> PrepaidUnavailableError:
     """Return the error of a request whose time is out; with a short account, come back late.
 
     Callers that were told ``retry_s`` then came back to be refused again.
     """
     if balance.is_short:
-        return unavailable(balance.tenant, "others hold what is left", RETRY_LATE_S)
-    return unavailable(balance.tenant, "no tokens came in time", retry_s)
+        return unavailable_error(balance.tenant, "others hold what is left", LATE_RETRY_S)
+    return unavailable_error(balance.tenant, "no tokens came in time", retry_s)
--- a/packages/heronladder-router/src/heronladder_router/tokens/spending_window.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/spending_window.py
@@ -16,14 +16,14 @@
 
 from heronladder_router.errors import PrepaidUnavailableError
 from heronladder_router.tokens.balance import TokenBalance
-from heronladder_router.tokens.draw_pace import DrawPace
+from heronladder_router.tokens.draw_latency import DrawLatency
 
 # Spending that is promised ahead: the silence before the pace counts, and a way to the log and
 # back over a thin link. All of it is charged for a lost gateway.
-_ANNOUNCED_AHEAD_S = PACE_FROM_S + 0.9
-_WINDOW_WAIT_S = 0.5  # the window opens so soon that a request may wait for it
+_PROMISE_AHEAD_S = PACE_FROM_S + 0.9
+_MAX_OPENING_WAIT_S = 0.5  # the window opens so soon that a request may wait for it
 _POLL_S = 0.01
-_OUT_OF_TOUCH_S = 1.2  # without a word of control, waiting for tokens is in vain
+_DISCONNECTED_S = 1.2  # without a word of control, waiting for tokens is in vain
 
 
 class SpendingWindow:
@@ -35,13 +35,13 @@
         pace: How long draws take.
     """
 
-    def __init__(self, link: ControlLink, environment: Environment, pace: DrawPace) -> None:
+    def __init__(self, link: ControlLink, environment: Environment, pace: DrawLatency) -> None:
         self._link = link
         self._environment = environment
-        self._pace = pace
+        self._draw_latency = pace
         self._confirmed = Pulse()
         # Promised with each heartbeat, by tenant: the most, and the pace.
-        self._told: dict[int, dict[str, tuple[int, int]]] = {}
+        self._sent_promises: dict[int, dict[str, tuple[int, int]]] = {}
         self._tell_all = True
 
     @property
@@ -52,45 +52,43 @@
     @property
     def is_disconnected(self) -> bool:
         """Whether waiting for a word of control is in vain."""
-        return self.silent_s > _OUT_OF_TOUCH_S
+        return self.silent_s > _DISCONNECTED_S
 
     def forget(self) -> None:
         """Forget what was told under an incarnation that has ended."""
-        self._told.clear()
+        self._sent_promises.clear()
 
-    async def wait_until_within(
-        self, balance: TokenBalance, tokens: int, deadline_s: float
-    ) -> None:
+    async def wait_for_window(self, balance: TokenBalance, tokens: int, deadline_s: float) -> None:
         """Wait until the tokens may be used without control having heard of more.
 
         Raises:
             PrepaidUnavailableError: If control did not confirm in time.
         """
         # All that wait are promised at once: one by one the last would wait for each before it.
-        balance.unpromised += tokens
+        balance.awaiting_promise += tokens
         try:
             await self._wait(balance, tokens, deadline_s)
         finally:
-            balance.unpromised -= tokens
+            balance.awaiting_promise -= tokens
 
     async def _wait(self, balance: TokenBalance, tokens: int, deadline_s: float) -> None:
         while not self._allows(balance, tokens):
             # Control is told before they are used.
-            balance.announce(balance.unpromised, _ANNOUNCED_AHEAD_S)
+            balance.raise_promise(balance.awaiting_promise, _PROMISE_AHEAD_S)
             self._link.beat_now()
-            opens_in_s = self._opens_in_s(balance, tokens)
-            if self.is_disconnected and opens_in_s <= _WINDOW_WAIT_S:
+            opens_in_s = self._time_until_allowed_s(balance, tokens)
+            if self.is_disconnected and opens_in_s <= _MAX_OPENING_WAIT_S:
                 # Out of touch for so long that soon as much, or all, may be used.
                 await self._confirmed.wait(max(0.0, opens_in_s) + _POLL_S)
                 continue
             left_s = deadline_s - self._environment.monotonic()
             if left_s <= 0 or not await self._confirmed.wait(left_s):
-                opens_in_s = self._opens_in_s(balance, tokens)
+                opens_in_s = self._time_until_allowed_s(balance, tokens)
                 raise PrepaidUnavailableError(
                     "control did not confirm in time",
                     step="reserve_prepaid",
                     peer=balance.tenant,
-                    retry_after_s=max(self._pace.retry_s, opens_in_s + _POLL_S),
+                    retry_after_s=max(self._draw_latency.retry_s, opens_in_s + _POLL_S),
                 )
 
     def _allows(self, balance: TokenBalance, tokens: int) -> bool:
@@ -99,7 +97,7 @@
         allowed = balance.confirmed + paced(balance.confirmed_rate, self.silent_s)
         return balance.used + tokens <= allowed
 
-    def _opens_in_s(self, balance: TokenBalance, tokens: int) -> float:
+    def _time_until_allowed_s(self, balance: TokenBalance, tokens: int) -> float:
         """Return when the tokens may be used if control stays silent, in seconds."""
         all_in_s = WINDOW_HOLDS_S - self.silent_s
         if not balance.confirmed_rate:
@@ -120,7 +118,7 @@
         """Promise what control does not have yet; all with the first of a stream."""
         risen: dict[str, tuple[int, int]] = {}
         for balance in balances:
-            balance.announce(0, _ANNOUNCED_AHEAD_S)
+            balance.raise_promise(0, _PROMISE_AHEAD_S)
             rose = balance.promised > balance.confirmed
             if self._tell_all or rose or balance.promised_rate > balance.confirmed_rate:
                 risen[balance.tenant] = (balance.promised, balance.promised_rate)
@@ -129,12 +127,12 @@
             heartbeat.promises[tenant].most = most
             heartbeat.promises[tenant].pace = pace
         if risen:
-            self._told[heartbeat.number] = risen
+            self._sent_promises[heartbeat.number] = risen
 
     def confirmed(self, number: int, balances: dict[str, TokenBalance]) -> None:
         """Note that control's log has a heartbeat's promises, and all before on its stream."""
-        for told in [key for key in self._told if key <= number]:
-            for tenant, (most, pace) in self._told.pop(told).items():
+        for told in [key for key in self._sent_promises if key <= number]:
+            for tenant, (most, pace) in self._sent_promises.pop(told).items():
                 balance = balances.get(tenant)
                 if balance is not None:
                     balance.confirmed = max(balance.confirmed, most)
--- a/tests/lending_control.py
+++ b/tests/lending_control.py
@@ -27,14 +27,14 @@
 class LeaderClock(Environment):
     """A steady clock that began at some moment of its own."""
 
-    ahead_s = 0.0
+    epoch_offset_s = 0.0
 
     def monotonic(self) -> float:
         """Return seconds on this leader's clock."""
-        return super().monotonic() + self.ahead_s
+        return super().monotonic() + self.epoch_offset_s
 
 
-class ControlStandIn:
+class FakeControl:
     """One leader.
 
     Args:
@@ -52,7 +52,7 @@
         current: dict[str, str],
     ) -> None:
         self.environment = LeaderClock(environment.random, virtual=True)
-        self.environment.ahead_s = environment.random.random() * 1000
+        self.environment.epoch_offset_s = environment.random.random() * 1000
         self.table = table
         self.term = term
         self.commit_s = _COMMIT_S  # longest time until an entry is in the log
--- a/tests/lending_fleet.py
+++ b/tests/lending_fleet.py
@@ -14,14 +14,14 @@
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import control_pb2, ledger_pb2
-from lending_control import ControlStandIn
+from lending_control import FakeControl
 from lending_process import (
-    FAR_S,
+    REMOTE_DELAY_S,
     TENANT,
-    Configuration,
+    FakeConfiguration,
+    GatewayProcess,
     HolderKey,
-    Process,
-    Weather,
+    MessageFaults,
 )
 
 _EPOCH_MS = 1_800_000_000_000
@@ -44,7 +44,7 @@
         random: Random,
         zones: dict[str, str],
         limit: int,
-        weather: Weather,
+        message_faults: MessageFaults,
         key_file: str = "",
         regions: dict[str, str] | None = None,
     ) -> None:
@@ -54,20 +54,20 @@
         self.zones = zones
         self.limit = limit
         self.highest_limit = limit
-        self.weather = weather
+        self.message_faults = message_faults
         self._key_file = key_file
         self.tasks = TaskGroupOwner(EventLog("test", "network"))
         table = DecidedPrepaidTable()
-        table.set_limits([Configuration(limit).tenant])
+        table.set_limits([FakeConfiguration(limit).tenant])
         self.current: dict[str, str] = {}  # incarnation of each gateway that may act
-        self.control = ControlStandIn(self.environment, table, 1, self.current)
+        self.control = FakeControl(self.environment, table, 1, self.current)
         self.control.start()
-        self.wall_ahead_s: dict[str, float] = {}  # of each gateway's machine
-        self.processes: dict[str, Process] = {}
+        self.wall_clock_offset_s: dict[str, float] = {}  # of each gateway's machine
+        self.processes: dict[str, GatewayProcess] = {}
         self.requests: dict[str, set[asyncio.Task[str]]] = {}
         self.stopping: set[str] = set()  # gateways that get no new callers
-        self.cut_from_control: set[str] = set()
-        self.cut_pairs: set[frozenset[str]] = set()
+        self.partitioned_from_control: set[str] = set()
+        self.partitioned_pairs: set[frozenset[str]] = set()
         self.handed_out = 0
         self.granted: dict[
             tuple[str, str, int], HolderKey
@@ -91,7 +91,7 @@
 
     def wall_ms(self, name: str) -> int:
         """Return the time of day at a gateway's machine."""
-        now_s = self.environment.monotonic() + self.wall_ahead_s.get(name, 0.0)
+        now_s = self.environment.monotonic() + self.wall_clock_offset_s.get(name, 0.0)
         return int(now_s * MILLISECONDS_PER_SECOND) + _EPOCH_MS
 
     @property
@@ -104,7 +104,7 @@
         """Tokens used, or that somebody may still use, as control knows."""
         return self.table.charged(self.account)
 
-    def register(self, process: Process) -> None:
+    def register(self, process: GatewayProcess) -> None:
         """Take in a process that began; the one before it has ended."""
         self.current[process.name] = process.incarnation
         self.control.prepaid_watch.replaced(process.name, process.incarnation)
@@ -140,7 +140,7 @@
         self.charged_for[holder] = self.charged_for.get(holder, 0) + charge
         self._check(holder)
 
-    def declare_gone(self, process: Process) -> None:
+    def declare_gone(self, process: GatewayProcess) -> None:
         """Charge a gateway that was silent for long, which goes on and comes back."""
         earlier = process.link.record.incarnation
         self.current.pop(process.name, None)
@@ -151,7 +151,7 @@
         self.control.prepaid_watch.replaced(process.name, process.link.record.incarnation)
         process.link.end_stream()
 
-    def control_restarts(self) -> None:
+    def restart_control(self) -> None:
         """Let another leader begin from a snapshot: what was not in the log is lost."""
         snapshot = control_pb2.StateSnapshot()
         self.table.save(snapshot)
@@ -159,14 +159,14 @@
         table.load(control_pb2.StateSnapshot.FromString(snapshot.SerializeToString()))
         self.tasks.start("end_leader", self.control.end())
         self.control.ended = True
-        self.control = ControlStandIn(self.environment, table, self.term + 1, self.current)
+        self.control = FakeControl(self.environment, table, self.term + 1, self.current)
         self.control.start()
 
     def set_limit(self, limit: int) -> None:
         """Change the limit, at control and everywhere."""
         self.limit = limit
         self.highest_limit = max(self.highest_limit, limit)
-        self.table.set_limits([Configuration(limit).tenant])
+        self.table.set_limits([FakeConfiguration(limit).tenant])
         for process in self.processes.values():
             process.link.configuration.limit = limit
             for listener in process.link.configuration.listeners:
@@ -174,9 +174,9 @@
 
     # ---- gateways ---------------------------------------------------------
 
-    def start(self, name: str) -> Process:
+    def start(self, name: str) -> GatewayProcess:
         """Start a gateway, anew where it ran before."""
-        process = Process(self, name, self.zones[name], self._key_file)
+        process = GatewayProcess(self, name, self.zones[name], self._key_file)
         self.processes[name] = process
         process.access.update_lenders(self.lenders())
         process.start()
@@ -190,10 +190,10 @@
         ]
 
     def begin(
-        self, process: Process, tokens: int, used_share: float, lasts_s: float
+        self, process: GatewayProcess, tokens: int, used_fraction: float, duration_s: float
     ) -> "asyncio.Task[str]":
         """Begin a request at a gateway."""
-        task = self.tasks.start("request", process.serve(tokens, used_share, lasts_s))
+        task = self.tasks.start("request", process.serve(tokens, used_fraction, duration_s))
         running = self.requests.setdefault(process.incarnation, set())
         running.add(task)
         task.add_done_callback(running.discard)
@@ -230,12 +230,12 @@
 
     # ---- the network ------------------------------------------------------
 
-    def reaches_control(self, process: Process) -> bool:
+    def reaches_control(self, process: GatewayProcess) -> bool:
         """Whether a process runs and control is in its reach."""
         alive = self.processes.get(process.name) is process
-        return alive and process.name not in self.cut_from_control
+        return alive and process.name not in self.partitioned_from_control
 
-    async def passes_to_control(self, process: Process) -> None:
+    async def passes_to_control(self, process: GatewayProcess) -> None:
         """Take the time of a message to or from control; waits for ever in a cut."""
         await asyncio.sleep(self.delay_s())
         while not self.reaches_control(process):
@@ -243,29 +243,31 @@
 
     def reaches(self, one: str, other: str) -> bool:
         """Whether messages pass between two gateways."""
-        return frozenset((one, other)) not in self.cut_pairs
+        return frozenset((one, other)) not in self.partitioned_pairs
 
     def delay_s(self) -> float:
         """Return how long a message takes."""
-        return self.random.random() * self.weather.delay_s
+        return self.random.random() * self.message_faults.delay_s
 
     def region(self, name: str) -> str:
         """Return the region of a gateway."""
         return self.regions.get(self.zones[name], "")
 
-    def far_s(self, one: str, other: str) -> float:
+    def remote_delay_s(self, one: str, other: str) -> float:
         """Return what the way between two gateways adds, in seconds."""
-        return FAR_S if self.region(one) != self.region(other) else 0.0
+        return REMOTE_DELAY_S if self.region(one) != self.region(other) else 0.0
 
-    def cut_region(self, region: str) -> None:
+    def partition_region(self, region: str) -> None:
         """Cut a region off from all others, and from control."""
         inside = {name for name in self.zones if self.region(name) == region}
-        self.cut_from_control.update(inside)
+        self.partitioned_from_control.update(inside)
         for name in inside:
-            self.cut_pairs.update(frozenset((name, other)) for other in set(self.zones) - inside)
+            self.partitioned_pairs.update(
+                frozenset((name, other)) for other in set(self.zones) - inside
+            )
 
     def copies(self) -> int:
         """Return how often a message arrives."""
-        if self.random.random() < self.weather.lost:
+        if self.random.random() < self.message_faults.lost:
             return 0
-        return 2 if self.random.random() < self.weather.doubled else 1
+        return 2 if self.random.random() < self.message_faults.duplicated else 1
--- a/tests/lending_process.py
+++ b/tests/lending_process.py
@@ -25,13 +25,13 @@
 TENANT = "t"
 GROUP = "r"
 HEARTBEAT_S = 0.3
-FAR_S = 0.012  # one way between regions
+REMOTE_DELAY_S = 0.012  # one way between regions
 HolderKey = tuple[str, str]  # gateway, its incarnation as control knows it
 PROMPT_SHARE = 0.6  # of a request's tokens, handed out with its first event
 
 
 @dataclass
-class Configuration:
+class FakeConfiguration:
     """A configuration with one tenant, whose limit can be changed."""
 
     limit: int
@@ -49,15 +49,15 @@
 
 
 @dataclass(frozen=True)
-class Weather:
+class MessageFaults:
     """How messages fare: chances of each, and the longest delay in seconds."""
 
     lost: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
     delay_s: float = 0.02
 
 
-class Process:
+class GatewayProcess:
     """One life of a gateway."""
 
     def __init__(self, fleet: LendingFleet, name: str, zone: str, key_file: str) -> None:
@@ -66,7 +66,7 @@
         self.log = EventLog("test", name)
         self.tasks = TaskGroupOwner(self.log)
         self.incarnation = fleet.environment.new_id(name)
-        self.link = Link(fleet, self)
+        self.link = FakeControlLink(fleet, self)
         options = LendingOptions(
             name,
             GROUP,
@@ -80,7 +80,7 @@
         self.access = TokenAccess(
             options,
             cast(ControlLink, self.link),
-            cast(Any, Stubs(fleet, name)),
+            cast(Any, FakeLendingStubs(fleet, name)),
             fleet.environment,
             self.metrics,
             self.log,
@@ -107,7 +107,7 @@
         await self.tasks.stop()
         await self.access.stop()
 
-    async def serve(self, tokens: int, used_share: float, lasts_s: float) -> str:
+    async def serve(self, tokens: int, used_fraction: float, duration_s: float) -> str:
         """Serve a request; return "served", or why it was refused."""
         tenant = self.link.configuration.tenant
         try:
@@ -118,8 +118,8 @@
         holder = self._holder_of(reservation)
         try:
             for share in (PROMPT_SHARE, 1 - PROMPT_SHARE):
-                await asyncio.sleep(lasts_s / 2)
-                amount = int(tokens * share * used_share)
+                await asyncio.sleep(duration_s / 2)
+                amount = int(tokens * share * used_fraction)
                 self.fleet.hand_out(amount, holder)
                 used += amount
         finally:
@@ -135,13 +135,13 @@
         return (self.name, self.link.record.incarnation)
 
 
-class Link:
+class FakeControlLink:
     """A gateway's link to control, with what ``TokenAccess`` asks of it."""
 
-    def __init__(self, fleet: LendingFleet, process: Process) -> None:
+    def __init__(self, fleet: LendingFleet, process: GatewayProcess) -> None:
         self._fleet = fleet
         self._process = process
-        self.configuration = Configuration(fleet.limit)
+        self.configuration = FakeConfiguration(fleet.limit)
         self.record = ledger_pb2.DaemonRecord(name=process.name, incarnation=process.incarnation)
         self.last_heard_s = fleet.environment.monotonic()
         self.regained_s = float("-inf")
@@ -243,7 +243,7 @@
         self._stream = 0
 
 
-class Stubs:
+class FakeLendingStubs:
     """Carries loan messages, which may be lost, doubled, late or out of order."""
 
     def __init__(self, fleet: LendingFleet, source: str) -> None:
@@ -251,9 +251,9 @@
         self._source = source
         self._target = ""
 
-    def lending(self, address: str) -> Stubs:
+    def lending(self, address: str) -> FakeLendingStubs:
         """Return a stub of a gateway."""
-        stub = Stubs(self._fleet, self._source)
+        stub = FakeLendingStubs(self._fleet, self._source)
         stub._target = address
         return stub
 
@@ -277,8 +277,8 @@
         return reply
 
     async def _deliver(self, request: lending_pb2.LendRequest) -> lending_pb2.LendReply | None:
-        far_s = self._fleet.far_s(self._source, self._target)
-        await asyncio.sleep(self._fleet.delay_s() + far_s)
+        remote_delay_s = self._fleet.remote_delay_s(self._source, self._target)
+        await asyncio.sleep(self._fleet.delay_s() + remote_delay_s)
         process = self._fleet.processes.get(self._target)
         if process is None or not self._fleet.reaches(self._source, self._target):
             return None
@@ -287,5 +287,5 @@
             number = (self._target, request.borrower_incarnation, request.ask.number)
             holder = (process.name, process.link.record.incarnation)
             self._fleet.granted.setdefault(number, holder)
-        await asyncio.sleep(far_s)
+        await asyncio.sleep(remote_delay_s)
         return reply
--- a/tests/lending_run.py
+++ b/tests/lending_run.py
@@ -12,7 +12,7 @@
 
 from heronladder_schema.v1 import control_pb2
 from lending_fleet import LendingFleet
-from lending_process import TENANT, Weather
+from lending_process import TENANT, MessageFaults
 from support import run_virtual
 
 REGIONS = {zone: region for zone, region in zip("abcdef", ("n", "s") * 3, strict=True)}
@@ -21,39 +21,39 @@
 TOKENS = 5_000
 _LIMIT = 600_000
 _LIMITS = (500_000, 600_000, 700_000)
-_SECONDS = 30.0
-_LOSSES_S = 20.0
-_REQUESTS_A_SECOND = 20
-_POWER_LOSS_CHANCE = 0.3  # of the troubles that may be one
-_LASTING_LIMIT = 20_000_000
-_BUSY_REQUESTS_A_SECOND = 50
-_RUSH_PAUSE_S = 0.1
-_RUSH_REQUESTS = 3  # each time, at each holder
-_RUSH_TOKENS = 25_000
-_SILENT_S = (0.0, 0.4, 0.9, 1.8, 3.0, 4.2, 5.5)
-_HEALED_FIRST_CHANCE = 0.3
-_AFTER_CUT_S = (0.02, 0.1, 0.3, 0.7)
-_LEADER_LOST_CHANCE = 0.7
-_DARK_S = (0.7, 1.5, 3.0, 6.0)
-_CLOCKS_SET = 3  # of the twelve at once
-_WALL_AHEAD_S = (-2.0, 0.0, 2.0)
-_BURST_CHANCE = 0.5
+_RUN_S = 30.0
+_OUTAGE_RUN_S = 20.0
+_REQUESTS_PER_SECOND = 20
+_POWER_LOSS_PROBABILITY = 0.3  # of the troubles that may be one
+_LARGE_LIMIT = 20_000_000
+_BUSY_REQUESTS_PER_SECOND = 50
+_BURST_INTERVAL_S = 0.1
+_REQUESTS_PER_BURST = 3  # each time, at each holder
+_BURST_TOKENS = 25_000
+_DISCONNECTED_S = (0.0, 0.4, 0.9, 1.8, 3.0, 4.2, 5.5)
+_RECONNECT_FIRST_PROBABILITY = 0.3
+_AFTER_RECONNECT_S = (0.02, 0.1, 0.3, 0.7)
+_LEADER_LOST_PROBABILITY = 0.7
+_DOWN_S = (0.7, 1.5, 3.0, 6.0)
+_CHANGED_CLOCKS = 3  # of the twelve at once
+_WALL_CLOCK_OFFSETS_S = (-2.0, 0.0, 2.0)
+_BURST_PROBABILITY = 0.5
 _BURST_REQUESTS = 20
-_BURST_LASTS_S = 0.05
-_SEEN_LENDERS = 6
-_OTHER_VIEWS = 5
-_SCARCE_LIMIT = 1_500_000
-_SCARCE_S = 8.0
-_SCARCE_REQUESTS = 2
-_RECALL_CHANCE = 0.3
-_CRASH_CHANCE = 0.02
-_REGION_CUT_CHANCE = 0.25  # of the troubles
+_BURST_REQUEST_DURATION_S = 0.05
+_VISIBLE_LENDERS = 6
+_GATEWAYS_WITH_OTHER_VIEW = 5
+_EXHAUSTION_LIMIT = 1_500_000
+_EXHAUSTION_RUN_S = 8.0
+_EXHAUSTION_REQUESTS_PER_BURST = 2
+_RECALL_PROBABILITY = 0.3
+_CRASH_PROBABILITY = 0.02
+_REGION_PARTITION_PROBABILITY = 0.25  # of the troubles
 
 
 async def traffic(
     fleet: LendingFleet,
     seconds: float,
-    a_second: int,
+    requests_per_second: int,
     shares: tuple[float, ...] = (0.0, 0.5, 1.0),
 ) -> dict[str, int]:
     """Have callers ask at gateways drawn at random; return answers by kind.
@@ -65,12 +65,12 @@
         shares: What of the tokens asked for a request may use.
     """
     tasks = []
-    for _ in range(int(seconds * a_second)):
+    for _ in range(int(seconds * requests_per_second)):
         running = [one for one in fleet.processes.values() if one.name not in fleet.stopping]
         if running:
             share = fleet.random.choice(shares)
             tasks.append(fleet.begin(fleet.random.choice(running), TOKENS, share, 0.4))
-        await asyncio.sleep(1 / a_second)
+        await asyncio.sleep(1 / requests_per_second)
     got: dict[str, int] = {}
     for answer in await asyncio.gather(*tasks, return_exceptions=True):
         kind = answer if isinstance(answer, str) else "lost"
@@ -80,20 +80,20 @@
     return got
 
 
-async def one_run(seed: int) -> LendingFleet:
+async def random_run(seed: int) -> LendingFleet:
     """Play one seed; return the fleet, ended.
 
     Raises:
         AssertionError: If a caller got what was not charged, or a limit was passed.
     """
-    weather = Weather(lost=0.1, doubled=0.1, delay_s=0.25)
-    fleet = LendingFleet(Random(seed), ZONES, _LIMIT, weather)
+    message_faults = MessageFaults(lost=0.1, duplicated=0.1, delay_s=0.25)
+    fleet = LendingFleet(Random(seed), ZONES, _LIMIT, message_faults)
     for name in ZONES:
         fleet.start(name)
-    requests = asyncio.create_task(traffic(fleet, _SECONDS, _REQUESTS_A_SECOND))
+    requests = asyncio.create_task(traffic(fleet, _RUN_S, _REQUESTS_PER_SECOND))
     while not requests.done():
         await asyncio.sleep(0.2 + fleet.random.random())
-        await _some_trouble(fleet)
+        await _inject_fault(fleet)
     requests.result()
     await fleet.stop()
     assert fleet.charged <= fleet.highest_limit, (fleet.charged, fleet.highest_limit)
@@ -106,60 +106,60 @@
     Raises:
         AssertionError: If a caller got what was not charged, or a limit was passed.
     """
-    weather = Weather(lost=0.1, doubled=0.1, delay_s=0.25)
-    fleet = LendingFleet(Random(seed), REGION_ZONES, _LIMIT, weather, regions=REGIONS)
+    message_faults = MessageFaults(lost=0.1, duplicated=0.1, delay_s=0.25)
+    fleet = LendingFleet(Random(seed), REGION_ZONES, _LIMIT, message_faults, regions=REGIONS)
     for name in REGION_ZONES:
         fleet.start(name)
-    requests = asyncio.create_task(traffic(fleet, _SECONDS, _REQUESTS_A_SECOND))
+    requests = asyncio.create_task(traffic(fleet, _RUN_S, _REQUESTS_PER_SECOND))
     while not requests.done():
         await asyncio.sleep(0.2 + fleet.random.random())
-        if fleet.random.random() < _REGION_CUT_CHANCE:
-            fleet.cut_region(fleet.random.choice(("n", "s")))
+        if fleet.random.random() < _REGION_PARTITION_PROBABILITY:
+            fleet.partition_region(fleet.random.choice(("n", "s")))
         else:
-            await _some_trouble(fleet)
+            await _inject_fault(fleet)
     requests.result()
     await fleet.stop()
     assert fleet.charged <= fleet.highest_limit, (fleet.charged, fleet.highest_limit)
     return fleet
 
 
-async def _some_trouble(fleet: LendingFleet) -> None:
+async def _inject_fault(fleet: LendingFleet) -> None:
     name = fleet.random.choice(sorted(fleet.zones))
     process = fleet.processes.get(name)
     kind = fleet.random.randrange(10)
     if kind == 0 and process is not None:
-        if fleet.random.random() < _BURST_CHANCE:
+        if fleet.random.random() < _BURST_PROBABILITY:
             for _ in range(_BURST_REQUESTS):  # more than was announced, between two heartbeats
-                fleet.begin(process, TOKENS, 1.0, _BURST_LASTS_S)
-            await asyncio.sleep(2 * _BURST_LASTS_S)
+                fleet.begin(process, TOKENS, 1.0, _BURST_REQUEST_DURATION_S)
+            await asyncio.sleep(2 * _BURST_REQUEST_DURATION_S)
         await process.crash()
         await asyncio.sleep(0.3)
         fleet.start(name)
     elif kind == 1:
-        fleet.cut_from_control.update(fleet.zones)
+        fleet.partitioned_from_control.update(fleet.zones)
     elif kind in (2, 3):
-        fleet.cut_from_control.clear()
-        fleet.cut_pairs.clear()
+        fleet.partitioned_from_control.clear()
+        fleet.partitioned_pairs.clear()
     elif kind == 4:
-        fleet.control_restarts()
+        fleet.restart_control()
     elif kind == 5 and process is not None:
-        fleet.cut_from_control.discard(name)
+        fleet.partitioned_from_control.discard(name)
         fleet.declare_gone(process)  # as one that was frozen, and comes back
     elif kind == 6:
         fleet.set_limit(fleet.random.choice(_LIMITS))
-    elif kind == 7 and fleet.random.random() < _POWER_LOSS_CHANCE:
+    elif kind == 7 and fleet.random.random() < _POWER_LOSS_PROBABILITY:
         for each in list(fleet.processes.values()):
             await each.crash()
-        fleet.control_restarts()
-        await asyncio.sleep(fleet.random.choice(_DARK_S))
+        fleet.restart_control()
+        await asyncio.sleep(fleet.random.choice(_DOWN_S))
         for each_name in fleet.zones:
             fleet.start(each_name)
     elif kind == 9:  # the time of day is set on some machines, or set back
-        for each_name in fleet.random.sample(sorted(fleet.zones), _CLOCKS_SET):
-            fleet.wall_ahead_s[each_name] = fleet.random.choice(_WALL_AHEAD_S)
+        for each_name in fleet.random.sample(sorted(fleet.zones), _CHANGED_CLOCKS):
+            fleet.wall_clock_offset_s[each_name] = fleet.random.choice(_WALL_CLOCK_OFFSETS_S)
     else:  # another view of who holds
-        seen = fleet.random.sample(fleet.lenders(), _SEEN_LENDERS)
-        for each in list(fleet.processes.values())[:_OTHER_VIEWS]:
+        seen = fleet.random.sample(fleet.lenders(), _VISIBLE_LENDERS)
+        for each in list(fleet.processes.values())[:_GATEWAYS_WITH_OTHER_VIEW]:
             each.access.update_lenders(
                 [control_pb2.Lender(name=gone) for gone in fleet.zones] + seen
             )
@@ -173,19 +173,19 @@
     Raises:
         AssertionError: If a caller got what was not charged.
     """
-    fleet = LendingFleet(Random(seed), ZONES, _LASTING_LIMIT, Weather(delay_s=0.05))
+    fleet = LendingFleet(Random(seed), ZONES, _LARGE_LIMIT, MessageFaults(delay_s=0.05))
     for name in ZONES:
         fleet.start(name)
-    requests = asyncio.create_task(traffic(fleet, _LOSSES_S, _BUSY_REQUESTS_A_SECOND, (1.0,)))
+    requests = asyncio.create_task(traffic(fleet, _OUTAGE_RUN_S, _BUSY_REQUESTS_PER_SECOND, (1.0,)))
     while not requests.done():
         await asyncio.sleep(1.0 + fleet.random.random())
-        await _silence_and_loss(fleet)
+        await _outage_and_loss(fleet)
     requests.result()
     await fleet.stop()
     return fleet
 
 
-async def send_bursts(fleet: LendingFleet, requests: int = _RUSH_REQUESTS) -> None:
+async def send_bursts(fleet: LendingFleet, requests: int = _REQUESTS_PER_BURST) -> None:
     """Ask holders for more than they promised, until cancelled.
 
     Others borrow, and ask no more for a moment after a refusal.
@@ -194,35 +194,35 @@
         for process in list(fleet.processes.values()):
             if process.access.lenders.is_holder(TENANT):
                 for _ in range(requests):
-                    fleet.begin(process, _RUSH_TOKENS, 1.0, _BURST_LASTS_S)
-        await asyncio.sleep(_RUSH_PAUSE_S)
+                    fleet.begin(process, _BURST_TOKENS, 1.0, _BURST_REQUEST_DURATION_S)
+        await asyncio.sleep(_BURST_INTERVAL_S)
 
 
-async def _silence_and_loss(fleet: LendingFleet) -> None:
+async def _outage_and_loss(fleet: LendingFleet) -> None:
     cut = fleet.random.sample(sorted(ZONES), fleet.random.choice((0, 3, len(ZONES))))
-    fleet.cut_from_control.update(cut)
+    fleet.partitioned_from_control.update(cut)
     rushing = asyncio.create_task(send_bursts(fleet))
-    await asyncio.sleep(fleet.random.choice(_SILENT_S))
-    if fleet.random.random() < _HEALED_FIRST_CHANCE:
-        fleet.cut_from_control.clear()
-        await asyncio.sleep(fleet.random.choice(_AFTER_CUT_S))
+    await asyncio.sleep(fleet.random.choice(_DISCONNECTED_S))
+    if fleet.random.random() < _RECONNECT_FIRST_PROBABILITY:
+        fleet.partitioned_from_control.clear()
+        await asyncio.sleep(fleet.random.choice(_AFTER_RECONNECT_S))
     rushing.cancel()
     lost = fleet.random.choice((list(ZONES), fleet.random.sample(sorted(ZONES), 4)))
     for name in lost:
         if name in fleet.processes:
             await fleet.processes[name].crash()
-    if fleet.random.random() < _LEADER_LOST_CHANCE:
-        fleet.control_restarts()
-    fleet.cut_from_control.clear()
-    fleet.wall_ahead_s.clear()
-    for name in fleet.random.sample(sorted(ZONES), _CLOCKS_SET):
-        fleet.wall_ahead_s[name] = fleet.random.choice(_WALL_AHEAD_S)
-    await asyncio.sleep(fleet.random.choice(_DARK_S))
+    if fleet.random.random() < _LEADER_LOST_PROBABILITY:
+        fleet.restart_control()
+    fleet.partitioned_from_control.clear()
+    fleet.wall_clock_offset_s.clear()
+    for name in fleet.random.sample(sorted(ZONES), _CHANGED_CLOCKS):
+        fleet.wall_clock_offset_s[name] = fleet.random.choice(_WALL_CLOCK_OFFSETS_S)
+    await asyncio.sleep(fleet.random.choice(_DOWN_S))
     for name in lost:
         fleet.start(name)
 
 
-async def scarce_run(seed: int) -> LendingFleet:
+async def exhaustion_run(seed: int) -> LendingFleet:
     """Play one seed in which all rush for the last tokens; return the fleet, ended.
 
     Gateways are asked to give back again and again, and some are lost.
@@ -231,18 +231,23 @@
         AssertionError: If callers got more than the limit, or than what was charged.
     """
     fleet = LendingFleet(
-        Random(seed), ZONES, _SCARCE_LIMIT, Weather(lost=0.05, doubled=0.05, delay_s=0.05)
+        Random(seed),
+        ZONES,
+        _EXHAUSTION_LIMIT,
+        MessageFaults(lost=0.05, duplicated=0.05, delay_s=0.05),
     )
     for name in ZONES:
         fleet.start(name)
-    rushing = asyncio.create_task(send_bursts(fleet, _SCARCE_REQUESTS))
-    asking = asyncio.create_task(traffic(fleet, _SCARCE_S, _BUSY_REQUESTS_A_SECOND, (0.5, 1.0)))
+    rushing = asyncio.create_task(send_bursts(fleet, _EXHAUSTION_REQUESTS_PER_BURST))
+    asking = asyncio.create_task(
+        traffic(fleet, _EXHAUSTION_RUN_S, _BUSY_REQUESTS_PER_SECOND, (0.5, 1.0))
+    )
     while not asking.done():
-        await asyncio.sleep(_RUSH_PAUSE_S * fleet.random.random())
+        await asyncio.sleep(_BURST_INTERVAL_S * fleet.random.random())
         for process in list(fleet.processes.values()):
-            if fleet.random.random() < _RECALL_CHANCE:
+            if fleet.random.random() < _RECALL_PROBABILITY:
                 process.access.held.recall(TENANT)
-        if fleet.random.random() < _CRASH_CHANCE:
+        if fleet.random.random() < _CRASH_PROBABILITY:
             name = fleet.random.choice(sorted(ZONES))
             await fleet.processes[name].crash()
             fleet.start(name)
@@ -250,7 +255,7 @@
     asking.result()
     handed_out, charged = fleet.handed_out, fleet.charged
     await fleet.stop()
-    assert handed_out <= charged <= _SCARCE_LIMIT, (handed_out, charged, _SCARCE_LIMIT)
+    assert handed_out <= charged <= _EXHAUSTION_LIMIT, (handed_out, charged, _EXHAUSTION_LIMIT)
     return fleet
 
 
@@ -263,8 +268,8 @@
     parser.add_argument("--regions", action="store_true", help="two regions and cuts between")
     parser.add_argument("--scarce", action="store_true", help="a rush for the last tokens")
     options = parser.parse_args()
-    run = outage_run if options.losses else region_run if options.regions else one_run
-    run = scarce_run if options.scarce else run
+    run = outage_run if options.losses else region_run if options.regions else random_run
+    run = exhaustion_run if options.scarce else run
     failed = 0
     for seed in range(options.first, options.first + options.seeds):
         try:
--- a/tests/prepaid_loss_scenarios.py
+++ b/tests/prepaid_loss_scenarios.py
@@ -5,31 +5,31 @@
 from typing import Any
 
 from lending_fleet import LendingFleet
-from lending_process import Weather
+from lending_process import MessageFaults
 from lending_run import ZONES, send_bursts, traffic
 
 _LIMIT = 20_000_000
-_WARM_S = 4.0
-_CLOCKS_AHEAD = sorted(ZONES)[::3]  # a third of all
+_WARMUP_S = 4.0
+_OFFSET_CLOCKS = sorted(ZONES)[::3]  # a third of all
 
 
 async def warm_fleet(seed: int = 3) -> tuple[LendingFleet, "asyncio.Task[Any]"]:
     """Return gateways that have served for some seconds, and their callers."""
-    fleet = LendingFleet(Random(seed), ZONES, _LIMIT, Weather(delay_s=0.05))
+    fleet = LendingFleet(Random(seed), ZONES, _LIMIT, MessageFaults(delay_s=0.05))
     for name in ZONES:
         fleet.start(name)
     callers = asyncio.create_task(traffic(fleet, 30.0, 50, (1.0,)))
-    await asyncio.sleep(_WARM_S)
+    await asyncio.sleep(_WARMUP_S)
     return fleet, callers
 
 
-async def crash_all(fleet: LendingFleet, *, leader_too: bool = True, dark_s: float = 0.7) -> None:
+async def crash_all(fleet: LendingFleet, *, leader_too: bool = True, down_s: float = 0.7) -> None:
     for process in list(fleet.processes.values()):
         await process.crash()
     if leader_too:
-        fleet.control_restarts()
-    fleet.cut_from_control.clear()
-    await asyncio.sleep(dark_s)
+        fleet.restart_control()
+    fleet.partitioned_from_control.clear()
+    await asyncio.sleep(down_s)
     for name in ZONES:
         fleet.start(name)
 
@@ -42,7 +42,7 @@
 
 
 async def loss_during_burst(
-    silent_s: float, *, leader_first: bool = False, clock_ahead_s: float = 0.0
+    silent_s: float, *, leader_first: bool = False, clock_offset_s: float = 0.0
 ) -> LendingFleet:
     """All lose power when control has been silent for a while and callers asked for more.
 
@@ -53,15 +53,15 @@
         clock_ahead_s: How far a third of the wall clocks was ahead then, and is not later.
     """
     fleet, callers = await warm_fleet()
-    for name in _CLOCKS_AHEAD:
-        fleet.wall_ahead_s[name] = clock_ahead_s
+    for name in _OFFSET_CLOCKS:
+        fleet.wall_clock_offset_s[name] = clock_offset_s
     await asyncio.sleep(1)
-    fleet.cut_from_control.update(ZONES)
+    fleet.partitioned_from_control.update(ZONES)
     fleet.control.ended = leader_first
     rushing = asyncio.create_task(send_bursts(fleet))
     await asyncio.sleep(silent_s)
     rushing.cancel()
-    fleet.wall_ahead_s.clear()
+    fleet.wall_clock_offset_s.clear()
     await crash_all(fleet)
     return await end(fleet, callers)
 
@@ -69,11 +69,11 @@
 async def loss_on_reconnect() -> LendingFleet:
     """Gateways end as they are heard again, before the log has what they used meanwhile."""
     fleet, callers = await warm_fleet()
-    fleet.cut_from_control.update(ZONES)
+    fleet.partitioned_from_control.update(ZONES)
     rushing = asyncio.create_task(send_bursts(fleet))
     await asyncio.sleep(3.5)
     fleet.control.commit_s = 60.0
-    fleet.cut_from_control.clear()
+    fleet.partitioned_from_control.clear()
     await asyncio.sleep(0.9)  # heard, and told of that
     rushing.cancel()
     await crash_all(fleet, leader_too=False)
--- a/tests/test_gateway_lending.py
+++ b/tests/test_gateway_lending.py
@@ -22,10 +22,10 @@
 
 _LIMIT = 1_000_000
 _PROMPT_TOKENS = 1_000
-_MOST_OUT = 80
+_MAX_OUTPUT_TOKENS = 80
 _GATEWAYS = 4
-_OUT_OF_TOUCH_S = 2.5  # by then all that is held may be used
-_PATIENCE_S = 10.0
+_DISCONNECTED_S = 2.5  # by then all that is held may be used
+_TIMEOUT_S = 10.0
 _ENGINE = {"slots": 8, "kvCapacityTokens": 100_000, "stride": 8}
 
 
@@ -50,7 +50,7 @@
         for number in range(2, _GATEWAYS + 1):
             await self.fleet.add_gateway(f"front-{number}")
         await self.fleet.add_replica("i-1", _done)
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             while not all(
                 gateway.knows("i-1") and self._lenders(gateway) == _GATEWAYS
                 for gateway in self.fleet.gateways
@@ -68,13 +68,13 @@
             "/safe/",
             Request_Id=f"r-{number}",
             Deadline_Ms="900",
-            Token_Usage=f"{_PROMPT_TOKENS},{_MOST_OUT}",
+            Token_Usage=f"{_PROMPT_TOKENS},{_MAX_OUTPUT_TOKENS}",
             Prompt_Prefix="a:1000",
         )
 
     async def _ask_until_served(self, gateway: StartedGateway) -> None:
         """Ask as a caller does that is told when to come back: a loan may come too late."""
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             while True:
                 got = await self._ask(gateway, next(self._numbers))
                 if got.status == 200:
@@ -105,13 +105,13 @@
         """Tokens lay at one gateway; the others refused all while control was out of reach."""
         await self._ask_until_served(self.fleet.gateways[0])
         await self.fleet.control.abort()
-        await asyncio.sleep(_OUT_OF_TOUCH_S)
+        await asyncio.sleep(_DISCONNECTED_S)
         for gateway in self.fleet.gateways:
             await self._ask_until_served(gateway)
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             while self._spent_and_on_loan()[1]:
                 await asyncio.sleep(0.05)
-        each = _PROMPT_TOKENS + _MOST_OUT
+        each = _PROMPT_TOKENS + _MAX_OUTPUT_TOKENS
         self.assertEqual(self._spent_and_on_loan(), ((_GATEWAYS + 1) * each, 0))
 
     async def test_with_the_holder_gone_a_gateway_draws_itself(self) -> None:
@@ -132,21 +132,22 @@
         await holder.daemon.gateway.stop()
         assert self.fleet.control.control is not None
         account = self.fleet.control.control.state.prepaid.accounts["tenant-a"]
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             # The gateway that holds for the tenant from now on has drawn its stock.
             while (
-                grant_rules.charged(account) - self._free_at(others) != _PROMPT_TOKENS + _MOST_OUT
+                grant_rules.charged(account) - self._free_tokens_at(others)
+                != _PROMPT_TOKENS + _MAX_OUTPUT_TOKENS
             ):
                 await asyncio.sleep(0.05)
             while any(
                 entry.holder == holder.daemon.settings.common.name for entry in account.holders
             ):
                 await asyncio.sleep(0.05)
-        self.assertIn(used, (0, _PROMPT_TOKENS + _MOST_OUT))
+        self.assertIn(used, (0, _PROMPT_TOKENS + _MAX_OUTPUT_TOKENS))
         self.assertEqual(account.closed_charge, used)
 
     @staticmethod
-    def _free_at(gateways: "list[StartedGateway]") -> int:
+    def _free_tokens_at(gateways: "list[StartedGateway]") -> int:
         roles = [gateway.daemon.gateway for gateway in gateways]
         return sum(role.tokens.held.free("tenant-a") for role in roles if role is not None)
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -17,20 +17,24 @@
 from heronladder_runtime.errors import SettingsError
 from heronladder_schema.v1 import control_pb2, lending_pb2
 from lending_fleet import LendingFleet
-from lending_process import GROUP, TENANT, Process, Weather
-from lending_run import TOKENS, ZONES, one_run, scarce_run, traffic
+from lending_process import GROUP, TENANT, GatewayProcess, MessageFaults
+from lending_run import TOKENS, ZONES, exhaustion_run, random_run, traffic
 from prepaid_loss_scenarios import loss_during_burst
 from support import run_virtual
 
 _LIMIT = 3_000_000
 
 
-def _fleet(seed: int = 1, weather: Weather | None = None, **changes: Any) -> LendingFleet:
+def _fleet(
+    seed: int = 1, message_faults: MessageFaults | None = None, **changes: Any
+) -> LendingFleet:
     zones = changes.pop("zones", ZONES)
-    return LendingFleet(Random(seed), zones, changes.pop("limit", _LIMIT), weather or Weather())
+    return LendingFleet(
+        Random(seed), zones, changes.pop("limit", _LIMIT), message_faults or MessageFaults()
+    )
 
 
-def _borrower(fleet: LendingFleet) -> Process:
+def _borrower(fleet: LendingFleet) -> GatewayProcess:
     """Return a gateway that holds no tokens ahead of need."""
     return next(
         process
@@ -41,9 +45,9 @@
 
 async def _settle_all(fleet: LendingFleet) -> None:
     """Let messages pass again, and have all gateways give everything back."""
-    fleet.cut_from_control.clear()
-    fleet.cut_pairs.clear()
-    fleet.weather = Weather()
+    fleet.partitioned_from_control.clear()
+    fleet.partitioned_pairs.clear()
+    fleet.message_faults = MessageFaults()
     await asyncio.sleep(8)
     for process in list(fleet.processes.values()):
         await process.access.return_all(1.0)
@@ -58,9 +62,9 @@
             for name in ZONES:
                 fleet.start(name)
             await traffic(fleet, 10, 20)
-            fleet.cut_from_control.update(ZONES)
+            fleet.partitioned_from_control.update(ZONES)
             got = await traffic(fleet, 8, 20)
-            fleet.cut_from_control.clear()
+            fleet.partitioned_from_control.clear()
             await _settle_all(fleet)
             left = fleet.charged - fleet.handed_out
             await fleet.stop()
@@ -76,8 +80,10 @@
             for name in ZONES:
                 fleet.start(name)
             await asyncio.sleep(3)
-            fleet.cut_from_control.update(ZONES)
-            fleet.cut_pairs.update(frozenset(pair) for pair in itertools.combinations(ZONES, 2))
+            fleet.partitioned_from_control.update(ZONES)
+            fleet.partitioned_pairs.update(
+                frozenset(pair) for pair in itertools.combinations(ZONES, 2)
+            )
             await asyncio.sleep(4)
             lone = _borrower(fleet)
             fleet.messages = 0
@@ -163,7 +169,7 @@
             await asyncio.sleep(3)
             lone = _borrower(fleet)
             self.assertEqual(await lone.serve(TOKENS, 1.0, 0.01), "served")
-            with patch.object(LoanBook, "_refusal", lambda loan_book, request: "not_proved"):
+            with patch.object(LoanBook, "_refusal_reason", lambda loan_book, request: "not_proved"):
                 fleet.messages = 0
                 await asyncio.sleep(5)
                 sent = fleet.messages
@@ -188,7 +194,7 @@
                 fleet.start(name)
             await asyncio.sleep(1)
             busy = _borrower(fleet)
-            fleet.cut_pairs.update(frozenset((busy.name, other)) for other in ZONES)
+            fleet.partitioned_pairs.update(frozenset((busy.name, other)) for other in ZONES)
             got: dict[str, int] = {}
             for number in range(100):
                 answer = await busy.serve(TOKENS, 1.0, 0.05)
@@ -241,7 +247,7 @@
 
     def test_a_request_given_up_while_it_asks_leaves_nothing_on_loan(self) -> None:
         async def work() -> tuple[int, int]:
-            fleet = _fleet(weather=Weather(delay_s=0.1))
+            fleet = _fleet(message_faults=MessageFaults(delay_s=0.1))
             for name in ZONES:
                 fleet.start(name)
             await asyncio.sleep(3)
@@ -293,21 +299,23 @@
         # What one seed serves is chance: 187 to 231 of 400 over 30 seeds, mean 205.
         served_by_seed = []
         for seed in range(12):
-            weather = Weather(lost=0.1, doubled=0.1, delay_s=0.25)
+            message_faults = MessageFaults(lost=0.1, duplicated=0.1, delay_s=0.25)
 
-            async def work(seed: int = seed, weather: Weather = weather) -> tuple[int, int, int]:
-                fleet = _fleet(seed, weather)
+            async def work(
+                seed: int = seed, message_faults: MessageFaults = message_faults
+            ) -> tuple[int, int, int]:
+                fleet = _fleet(seed, message_faults)
                 for name in ZONES:
                     fleet.start(name)
                 requests = asyncio.create_task(traffic(fleet, 20, 20))
                 for _ in range(4):
                     await asyncio.sleep(2)
-                    fleet.cut_from_control.update(fleet.random.sample(sorted(ZONES), 8))
+                    fleet.partitioned_from_control.update(fleet.random.sample(sorted(ZONES), 8))
                     pairs = list(itertools.combinations(ZONES, 2))
-                    fleet.cut_pairs.update(map(frozenset, fleet.random.sample(pairs, 20)))
+                    fleet.partitioned_pairs.update(map(frozenset, fleet.random.sample(pairs, 20)))
                     await asyncio.sleep(3)
-                    fleet.cut_from_control.clear()
-                    fleet.cut_pairs.clear()
+                    fleet.partitioned_from_control.clear()
+                    fleet.partitioned_pairs.clear()
                 got = await requests
                 await _settle_all(fleet)
                 await fleet.stop()
@@ -323,7 +331,7 @@
     def test_nothing_passes_a_limit_while_all_that_can_end_ends(self) -> None:
         for seed in range(10):
             with self.subTest(seed=seed):
-                fleet = run_virtual(one_run(seed))
+                fleet = run_virtual(random_run(seed))
                 self.assertGreater(fleet.handed_out, 50_000)
 
 
@@ -333,7 +341,7 @@
     def _is_caught(self, seeds: range) -> bool:
         for seed in seeds:
             try:
-                run_virtual(one_run(seed))
+                run_virtual(random_run(seed))
             except AssertionError:
                 return True
         return False
@@ -351,7 +359,7 @@
                 loan.settle(0)
             ended.open.clear()
 
-        with patch.object(LoanBook, "_charge_ended", charge):
+        with patch.object(LoanBook, "_charge_ended_incarnation", charge):
             self.assertTrue(self._is_caught(range(6)))
 
     def test_a_holder_that_uses_more_than_it_announced(self) -> None:
@@ -359,7 +367,7 @@
             return
 
         with (
-            patch.object(SpendingWindow, "wait_until_within", wait),
+            patch.object(SpendingWindow, "wait_for_window", wait),
             self.assertRaises(AssertionError),
         ):
             run_virtual(loss_during_burst(0.9, leader_first=True))
@@ -373,12 +381,12 @@
             self.assertRaises(AssertionError),
         ):
             for seed in range(3):
-                run_virtual(scarce_run(seed))
+                run_virtual(exhaustion_run(seed))
 
     def test_a_rush_for_the_last_tokens_passes_no_limit(self) -> None:
         for seed in range(6):
             with self.subTest(seed=seed):
-                fleet = run_virtual(scarce_run(seed))
+                fleet = run_virtual(exhaustion_run(seed))
                 self.assertGreater(fleet.handed_out, 300_000)
 
 
@@ -463,7 +471,7 @@
             file = Path(folder) / "keys"
             file.write_text("first\n")
             zones = {"a0": "a", "a1": "a"}
-            fleet = LendingFleet(Random(1), zones, _LIMIT, Weather(), str(file))
+            fleet = LendingFleet(Random(1), zones, _LIMIT, MessageFaults(), str(file))
             processes = [fleet.start(name) for name in zones]
             await asyncio.sleep(2)
             one = next(
@@ -473,7 +481,7 @@
             answers = []
 
             async def ask() -> None:
-                fleet.cut_from_control.add(one.name)  # so that it cannot draw itself
+                fleet.partitioned_from_control.add(one.name)  # so that it cannot draw itself
                 await asyncio.sleep(1.3)
                 answers.append(await one.serve(TOKENS, 1.0, 0.1))
 
@@ -498,7 +506,7 @@
 
 def _fleet_with_key(file: str) -> None:
     async def work() -> None:
-        LendingFleet(Random(1), {"a0": "a"}, _LIMIT, Weather(), file).start("a0")
+        LendingFleet(Random(1), {"a0": "a"}, _LIMIT, MessageFaults(), file).start("a0")
 
     run_virtual(work())
 
--- a/tests/test_prepaid_promises.py
+++ b/tests/test_prepaid_promises.py
@@ -18,8 +18,8 @@
 from prepaid_loss_scenarios import (
     crash_all,
     loss_during_burst,
-    loss_on_reconnect,
     loss_of_uncommitted_promise,
+    loss_on_reconnect,
     warm_fleet,
 )
 from support import run_virtual
@@ -54,7 +54,7 @@
                     run_virtual(loss_during_burst(silent_s, leader_first=leader_first))
 
     def test_wall_clocks_that_were_ahead_change_nothing(self) -> None:
-        run_virtual(loss_during_burst(3.4, leader_first=True, clock_ahead_s=4.0))
+        run_virtual(loss_during_burst(3.4, leader_first=True, clock_offset_s=4.0))
 
     def test_lost_as_a_silence_ends(self) -> None:
         run_virtual(loss_on_reconnect())
@@ -90,7 +90,7 @@
             patch.object(PrepaidWatch, "_earlier_contact_s", _newest_of_clocks),
             self.assertRaises(AssertionError),
         ):
-            run_virtual(loss_during_burst(3.4, leader_first=True, clock_ahead_s=4.0))
+            run_virtual(loss_during_burst(3.4, leader_first=True, clock_offset_s=4.0))
 
     def test_a_silence_that_the_notes_do_not_tell(self) -> None:
         real = PromiseNotes._fill
--- a/tests/test_prepaid_tokens.py
+++ b/tests/test_prepaid_tokens.py
@@ -115,18 +115,18 @@
             listener()
         self.addAsyncCleanup(self.tokens.stop)
 
-    async def _serve(self, seconds: int, a_second: int = 4) -> None:
+    async def _serve(self, seconds: int, requests_per_second: int = 4) -> None:
         """Serve requests at a steady rate."""
-        for _ in range(seconds * a_second):
+        for _ in range(seconds * requests_per_second):
             if self.control.reached:
                 self.control.last_heard_s = self.clock.now_s
             reservation = await self.tokens.reserve(_TENANT, _REQUEST_TOKENS, 0.01)
             reservation.settle(_REQUEST_TOKENS)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            self.clock.now_s += 1 / a_second
+            self.clock.now_s += 1 / requests_per_second
 
-    async def _settle_tasks(self) -> None:
+    async def _run_pending_tasks(self) -> None:
         for _ in range(10):
             await asyncio.sleep(0)
 
@@ -138,7 +138,7 @@
         before = len(self.control.draws)
         await self._serve(4)
         self.control.heal(self.clock.now_s)
-        await self._settle_tasks()
+        await self._run_pending_tasks()
         later = self.control.draws[before:]
         self.assertEqual([draw.wanted for draw in later], [0] * len(later))
 
@@ -151,7 +151,7 @@
         self.clock.now_s += WINDOW_HOLDS_S + 0.1
         self.control.heal(self.clock.now_s)
         self.tokens.control_regained()
-        await self._settle_tasks()
+        await self._run_pending_tasks()
         self.assertLess(self.control.table.charged(account) - 160_000, 20_000)
 
     async def test_a_holder_reaches_its_target_with_one_draw(self) -> None:
@@ -164,7 +164,7 @@
         await self._serve(4)
         self.control.regained_s = self.clock.now_s  # little is held right after a cut
         self.tokens.control_regained()
-        await self._settle_tasks()
+        await self._run_pending_tasks()
         before = len(self.control.draws)
         waiting = [
             self.tokens.reserve(_TENANT, _REQUEST_TOKENS, _BUSY_MACHINE_S) for _ in range(20)
@@ -177,13 +177,13 @@
         """900 draws a second gave and brought nothing, on a day whose hot tenants ran out."""
         await self._serve(4)
         self.tokens.recall(_TENANT.name)
-        await self._settle_tasks()
+        await self._run_pending_tasks()
         self.assertEqual(self.tokens.free(_TENANT.name), 0)
         self.assertEqual(self.control.table.charged(_account(self.control)), 80_000)
         before = len(self.control.draws)
         for _ in range(10):
             self.tokens.recall(_TENANT.name)
-            await self._settle_tasks()
+            await self._run_pending_tasks()
         self.assertEqual(len(self.control.draws), before)
 
     async def test_recalls_that_come_at_once_are_answered_by_one_draw(self) -> None:
@@ -191,7 +191,7 @@
         before = len(self.control.draws)
         for _ in range(10):
             self.tokens.recall(_TENANT.name)
-        await self._settle_tasks()
+        await self._run_pending_tasks()
         self.assertEqual(len(self.control.draws) - before, 1)
         self.assertEqual(self.control.table.charged(_account(self.control)), 80_000)
 
@@ -199,13 +199,13 @@
         """Control reckons from what it was told last whether others have any left."""
         await self._serve(4)
         self.tokens.recall(_TENANT.name)
-        await self._settle_tasks()
+        await self._run_pending_tasks()
         reservation = await self.tokens.reserve(_TENANT, _REQUEST_TOKENS, 0.01)
         self.tokens.recall(_TENANT.name)
-        await self._settle_tasks()
+        await self._run_pending_tasks()
         reservation.settle(1_000)
         self.tokens.recall(_TENANT.name)
-        await self._settle_tasks()
+        await self._run_pending_tasks()
         self.assertEqual(self.control.table.charged(_account(self.control)), 81_000)
         holder = _account(self.control).holders[0]
         self.assertEqual((holder.spent, holder.reserved), (81_000, 0))
@@ -229,7 +229,7 @@
         with self.assertRaisesRegex(PrepaidUnavailableError, "no tokens came in time"):
             await self.tokens.reserve(_TENANT, _REQUEST_TOKENS, 0.01)
         self.control.heal(self.clock.now_s)
-        await self._settle_tasks()
+        await self._run_pending_tasks()
         before = len(self.control.draws)
         self.assertEqual(before, 1)
         await self.tokens.reserve(_TENANT, _REQUEST_TOKENS, 0.01)
@@ -239,26 +239,26 @@
         """Choked link of one gateway, scale-2: each request waited for a draw of its own."""
         await self._serve(8)
         self.control.regained_s = self.clock.now_s
-        quick = self.tokens._held_after_cut(self.tokens._balance(_TENANT.name))
+        quick = self.tokens._tokens_after_reconnect(self.tokens._balance(_TENANT.name))
         self.control.draw_takes_s = 0.5
         for _ in range(8):
             await self.tokens._draw(self.tokens._balance(_TENANT.name), 0, 0, 1.0)
-        slow = self.tokens._held_after_cut(self.tokens._balance(_TENANT.name))
+        slow = self.tokens._tokens_after_reconnect(self.tokens._balance(_TENANT.name))
         self.assertGreater(slow, 4 * quick)
-        self.assertGreater(self.tokens._pace.retry_s, 0.8)
+        self.assertGreater(self.tokens._draw_latency.retry_s, 0.8)
 
     async def test_draws_that_a_cut_holds_up_are_not_slow_draws(self) -> None:
         """Each counted as 1 s, so that seconds of spending stayed held as the cut ended."""
         await self._serve(8)
         balance = self.tokens._balance(_TENANT.name)
-        before = self.tokens._held_after_cut(balance)
+        before = self.tokens._tokens_after_reconnect(balance)
         self.control.cut()
         self.control.silent_call_takes_s = 1.0
         self.clock.now_s += 2.0  # what is silent for so long is a cut
         for _ in range(8):
             with self.assertRaises(PrepaidUnavailableError):
                 await self.tokens._draw(balance, 0, 0, 0.01)
-        self.assertEqual(self.tokens._held_after_cut(balance), before)
+        self.assertEqual(self.tokens._tokens_after_reconnect(balance), before)
 
     async def test_a_refusal_tells_when_the_window_opens(self) -> None:
         """Callers of the first 2 s of a cut were told 5 s, and came back in it once more."""
@@ -266,7 +266,7 @@
         self.control.cut()
         self.clock.now_s += 0.75
         with self.assertRaises(PrepaidUnavailableError) as refused:
-            await self._serve(1, a_second=100_000)
+            await self._serve(1, requests_per_second=100_000)
         self.assertEqual(refused.exception.message, "control did not confirm in time")
         told_s = refused.exception.retry_after_s
         assert told_s is not None
@@ -282,7 +282,9 @@
         balance = self.tokens._balance(_TENANT.name)
         window = self.tokens.window
         for tokens in (_REQUEST_TOKENS, 4 * _REQUEST_TOKENS, 1_000_000):
-            opens_in_s = window._opens_in_s(balance, balance.confirmed - balance.used + tokens)
+            opens_in_s = window._time_until_allowed_s(
+                balance, balance.confirmed - balance.used + tokens
+            )
             self.assertLessEqual(opens_in_s, WINDOW_HOLDS_S)
             for after_s, allowed in ((opens_in_s - 0.01, False), (opens_in_s + 0.01, True)):
                 self.clock.now_s += after_s
@@ -300,7 +302,7 @@
         """Two cuts came 5 s after the start, and too little was held for them."""
         balance = TokenBalance("t")
         for tick in range(12):
-            balance.take(250, 100.0 + tick / 4)
+            balance.add_reservation(250, 100.0 + tick / 4)
         self.assertAlmostEqual(balance.rate, 1_000.0)
 
     def test_in_the_first_second_few_requests_wait_for_a_promise(self) -> None:
@@ -309,9 +311,9 @@
         promises = 0
         for tick in range(20):
             if balance.used + _REQUEST_TOKENS > balance.promised:
-                balance.announce(_REQUEST_TOKENS, 1.5)
+                balance.raise_promise(_REQUEST_TOKENS, 1.5)
                 promises += 1
-            balance.take(_REQUEST_TOKENS, 100.0 + tick / 25)
+            balance.add_reservation(_REQUEST_TOKENS, 100.0 + tick / 25)
         self.assertLessEqual(promises, 7)
         # No more than a second later, at the measured rate: it is charged for a lost gateway.
         self.assertLessEqual(balance.promised, 100_000 + 1.5 * 100_000)
--- a/tests/test_prepaid_use.py
+++ b/tests/test_prepaid_use.py
@@ -19,10 +19,10 @@
 )
 
 _PROMPT_TOKENS = 1_000
-_MOST_OUT = 80
-_TOKENS_AN_EVENT = 8
-_AFTER_A_CUT = 40  # an engine may make them before it notices that its reader left
-_ENGINE = {"slots": 8, "kvCapacityTokens": 100_000, "stride": _TOKENS_AN_EVENT}
+_MAX_OUTPUT_TOKENS = 80
+_TOKENS_PER_EVENT = 8
+_TOKENS_AFTER_DISCONNECT = 40  # an engine may make them before it notices that its reader left
+_ENGINE = {"slots": 8, "kvCapacityTokens": 100_000, "stride": _TOKENS_PER_EVENT}
 _STREAMS = {"kind": "streaming", "gapAimMs": 400, "targetLatencyMs": UNHURRIED_MS}
 
 
@@ -53,7 +53,10 @@
 
     async def _used(self, path: str) -> int:
         """Make one request; return what it cost."""
-        headers = {"Token_Usage": f"{_PROMPT_TOKENS},{_MOST_OUT}", "Prompt_Prefix": "a:1000"}
+        headers = {
+            "Token_Usage": f"{_PROMPT_TOKENS},{_MAX_OUTPUT_TOKENS}",
+            "Prompt_Prefix": "a:1000",
+        }
         try:
             await self.fleet.request(path, **headers)
         except OSError:
@@ -87,22 +90,22 @@
             return stream_head(received) + event(1) + event(2)
 
         await self.fleet.add_replica("i-1", cut)
-        expected = _PROMPT_TOKENS + 2 * _TOKENS_AN_EVENT + _AFTER_A_CUT
+        expected = _PROMPT_TOKENS + 2 * _TOKENS_PER_EVENT + _TOKENS_AFTER_DISCONNECT
         self.assertEqual(await self._used("/stream/"), expected)
 
     async def test_a_prompt_is_charged_once_when_a_stream_goes_on_elsewhere(self) -> None:
         sent = []
 
-        async def in_two(replica: StandInReplica, received: Received) -> bytes:
+        async def close_after_one_event(replica: StandInReplica, received: Received) -> bytes:
             sent.append(received)
             replica.close_after = True
             if len(sent) == 1:
                 return stream_head(received) + event(1)
             return stream_head(received) + event(2) + END_OF_CHUNKS
 
-        await self.fleet.add_replica("i-1", in_two)
-        await self.fleet.add_replica("i-2", in_two)
-        self.assertEqual(await self._used("/resumable/"), _PROMPT_TOKENS + 2 * _TOKENS_AN_EVENT)
+        await self.fleet.add_replica("i-1", close_after_one_event)
+        await self.fleet.add_replica("i-2", close_after_one_event)
+        self.assertEqual(await self._used("/resumable/"), _PROMPT_TOKENS + 2 * _TOKENS_PER_EVENT)
 
 
 if __name__ == "__main__":
--- a/tests/test_region_tokens.py
+++ b/tests/test_region_tokens.py
@@ -11,7 +11,7 @@
 from heronladder_router.tokens.lenders import Lenders
 from heronladder_schema.v1 import control_pb2
 from lending_fleet import LendingFleet
-from lending_process import TENANT, Process, Weather
+from lending_process import TENANT, GatewayProcess, MessageFaults
 from lending_run import REGION_ZONES, REGIONS, TOKENS, region_run, traffic
 from support import run_virtual
 
@@ -19,30 +19,32 @@
 _SHORTEST_WAIT_S = 0.1  # that a request may wait for tokens
 
 
-def _told() -> list[control_pb2.Lender]:
+def _lender_records() -> list[control_pb2.Lender]:
     return [
         control_pb2.Lender(name=name, zone=zone, address=name)
         for name, zone in REGION_ZONES.items()
     ]
 
 
-def _one_sided() -> tuple[dict[str, str], str]:
+def _regions_with_one_sided_zones() -> tuple[dict[str, str], str]:
     """Return regions in which the three best zones of the tenant stand together, and the other."""
     lenders = Lenders("a0", "a", lends=True)
-    lenders.update(_told())
+    lenders.update(_lender_records())
     best = {lender.zone for lender in lenders.holders(TENANT)}
     assert len(best) == 3
     return {zone: "n" if zone in best else "s" for zone in REGIONS}, "s"
 
 
 def _fleet(regions: dict[str, str]) -> LendingFleet:
-    fleet = LendingFleet(Random(1), REGION_ZONES, _LIMIT, Weather(delay_s=0.004), regions=regions)
+    fleet = LendingFleet(
+        Random(1), REGION_ZONES, _LIMIT, MessageFaults(delay_s=0.004), regions=regions
+    )
     for name in REGION_ZONES:
         fleet.start(name)
     return fleet
 
 
-def _borrower(fleet: LendingFleet, region: str) -> Process:
+def _borrower(fleet: LendingFleet, region: str) -> GatewayProcess:
     """Return a gateway of a region that holds no tokens ahead of need."""
     return next(
         process
@@ -58,12 +60,12 @@
             views = set()
             for zone in REGIONS:
                 lenders = Lenders(f"{zone}0", zone, lends=True, regions=REGIONS)
-                lenders.update(_told())
+                lenders.update(_lender_records())
                 holders = lenders.holders(f"tenant-{number}")
                 views.add(tuple(holder.name for holder in holders))
                 count = [REGIONS[holder.zone] for holder in holders]
                 self.assertEqual((count.count("n"), count.count("s")), (2, 2))
-                order = [REGIONS[one.zone] for one in lenders.to_ask(f"tenant-{number}")]
+                order = [REGIONS[one.zone] for one in lenders.lender_candidates(f"tenant-{number}")]
                 self.assertEqual(order, sorted(order, key=lambda region: region != REGIONS[zone]))
             self.assertEqual(len(views), 1)
 
@@ -71,7 +73,7 @@
         plain = Lenders("a0", "a", lends=True)
         named = Lenders("a0", "a", lends=True, regions=dict.fromkeys(REGIONS, "one"))
         for lenders in (plain, named):
-            lenders.update(_told())
+            lenders.update(_lender_records())
         for number in range(50):
             self.assertEqual(plain.holders(f"t{number}"), named.holders(f"t{number}"))
 
@@ -79,10 +81,10 @@
 class RegionCutTest(unittest.TestCase):
     def test_what_lies_in_a_region_serves_it_while_the_link_is_cut(self) -> None:
         async def work() -> dict[str, int]:
-            regions, cut = _one_sided()
+            regions, cut = _regions_with_one_sided_zones()
             fleet = _fleet(regions)
             await traffic(fleet, 10, 40)
-            fleet.cut_region(cut)
+            fleet.partition_region(cut)
             inside = [name for name in REGION_ZONES if fleet.region(name) == cut]
             fleet.stopping.update(set(REGION_ZONES) - set(inside))
             got = await traffic(fleet, 6, 20)
@@ -97,10 +99,10 @@
             fleet = _fleet(REGIONS)
             await traffic(fleet, 5, 20)
             lone = _borrower(fleet, "s")
-            fleet.cut_from_control.add(lone.name)
+            fleet.partitioned_from_control.add(lone.name)
             for holder in lone.access.lenders.holders(TENANT):
-                if not lone.access.lenders.is_far(holder):
-                    fleet.cut_pairs.add(frozenset((lone.name, holder.name)))
+                if not lone.access.lenders.is_remote(holder):
+                    fleet.partitioned_pairs.add(frozenset((lone.name, holder.name)))
             await asyncio.sleep(3)
             tenant = lone.link.configuration.tenant
             got = await lone.access.reserve(tenant, TOKENS, _SHORTEST_WAIT_S, "request")
@@ -124,19 +126,21 @@
         """A draw and a promise over 24 ms there and back took all of the 100 ms."""
         added = []
         for round_trip_s in (0.0, 0.002, 0.006, 0.024, 1.0):
-            added.append(round(_request_tokens(None, round_trip_s)._far_control_s(), 3))
+            added.append(
+                round(_request_tokens(None, round_trip_s)._remote_control_allowance_s(), 3)
+            )
         self.assertEqual(added, [0.0, 0.0, 0.0, 0.072, 0.12])
 
     def test_no_wait_for_tokens_reaches_a_quarter_of_the_objective(self) -> None:
         """A refusal of 172 ms came after two fifths of an objective of 415 ms."""
         waits = []
         for objective_ms in (0, 200, 415, 600, 1_000):
-            tokens = _Waits()
+            tokens = _RecordingTokens()
             self._reserve(tokens, objective_ms, round_trip_s=0.024)
             waits.append(round(tokens.wait_s, 4))
         self.assertEqual(waits, [0.172, 0.1, 0.1, 0.138, 0.23])
 
-    def _reserve(self, tokens: "_Waits", objective_ms: int, round_trip_s: float) -> None:
+    def _reserve(self, tokens: "_RecordingTokens", objective_ms: int, round_trip_s: float) -> None:
         request = SimpleNamespace(
             matched=SimpleNamespace(
                 tenant=SimpleNamespace(limited=True, name="t"),
@@ -149,14 +153,14 @@
         asyncio.run(_request_tokens(tokens, round_trip_s).reserve(cast(GatewayRequest, request)))
 
 
-def _request_tokens(tokens: "_Waits | None", round_trip_s: float) -> RequestTokens:
+def _request_tokens(tokens: "_RecordingTokens | None", round_trip_s: float) -> RequestTokens:
     link: Any = SimpleNamespace(quickest_round_trip_s=round_trip_s)
     environment: Any = SimpleNamespace(monotonic=lambda: 100.0)
     nothing: Any = None
     return RequestTokens(link, nothing, cast(Any, tokens), environment, nothing)
 
 
-class _Waits:
+class _RecordingTokens:
     """Tokens that note how long they would be waited for."""
 
     wait_s = -1.0
--- a/tests/test_stretched_group.py
+++ b/tests/test_stretched_group.py
@@ -47,7 +47,7 @@
     async def test_a_gateway_acts_on_a_loan_message_from_the_other_region(self) -> None:
         borrower, lender = _gateway("z1"), _gateway("z2")
         request = lending_pb2.LendRequest(
-            group=borrower.tokens.borrowed._group.name_for(far=True),
+            group=borrower.tokens.borrowed._group.name_for(is_remote=True),
             borrower=borrower.options.name,
             borrower_incarnation="one",
             lender=lender.options.name,
