--- a/packages/heronladder-router/src/heronladder_router/tokens/__init__.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/__init__.py
@@ -1,6 +1,8 @@
-"""Prepaid tokens of a gateway: what it holds, lends and borrows, and how requests get at them.
+"""Prepaid tokens of a gateway: the tokens that it holds, lends and borrows.
 
-In the order of a request's way: ``access`` (the one entry), ``held_tokens`` with ``balance``,
-``window`` and ``draw_pace`` (what control granted here), ``lenders`` and ``borrowing`` (what
-others hold), ``lending`` (what is held here for others).
+A request passes through the modules in this order: ``access`` is the only entry point;
+``held_tokens`` with ``balance``, ``spending_window`` and ``draw_latency`` manages the tokens that
+control granted to this gateway; ``lenders`` and ``borrowing`` obtain tokens from other gateways;
+``lending`` serves loan requests of other gateways. ``initial_draws`` fills the balances of a
+holder before its first request.
 """
--- a/packages/heronladder-router/src/heronladder_router/tokens/access.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/access.py
@@ -1,7 +1,7 @@
-"""How a request gets at its tenant's prepaid tokens: the one entry to this folder.
+"""Reservation of prepaid tokens for requests: the only entry point of this package.
 
-A holder serves itself first, and borrows what it lacks. Any other gateway borrows, and
-draws from control itself what it needs only where no holder can speak for control.
+A holder reserves from its own balance first and borrows what is missing. Any other gateway
+borrows; it draws from control itself only if no holder that is connected to control answers.
 """
 
 import asyncio
@@ -26,22 +26,23 @@
 from heronladder_router.tokens.peer_key import PeerKey
 
 _STEP = "reserve_prepaid"
-_RETRY_AT_OTHER_GATEWAY_S = 0.3  # no lender answered: another gateway may reach one
+_RETRY_AT_OTHER_GATEWAY_S = 0.3  # another gateway may reach a lender when none answered this one
 _STOP_POLL_S = 0.02
 Reservation = OwnReservation | Loan
 
 
 @dataclass(frozen=True)
 class LendingOptions:
-    """How a gateway takes part in lending.
+    """Lending options of a gateway.
 
     Attributes:
-        name: The gateway.
-        group: Its control group.
+        name: Name of the gateway.
+        group: Name of its control group.
         region: Its region.
         zone: Its zone.
-        address: IP:port at which it lends; empty: it neither lends nor borrows.
-        key_file: File with the keys that prove messages; empty: they are not proved.
+        address: IP:port of its lending server; empty: it neither lends nor borrows.
+        key_file: Path of the key file for message authentication; empty: messages are not
+            authenticated.
         zone_regions: Region of each zone.
     """
 
@@ -55,15 +56,15 @@
 
 
 class TokenAccess:
-    """Prepaid tokens of all tenants that call here.
+    """Access to the prepaid tokens of all tenants that send requests to this gateway.
 
     Args:
-        options: How this gateway takes part in lending.
+        options: Lending options of this gateway.
         link: The link to control.
-        stubs: Makes stubs to other gateways.
-        environment: Time and randomness.
-        metrics: Where loans are counted.
-        log: Where decisions are logged.
+        stubs: Creates stubs for other gateways.
+        environment: Source of time and randomness.
+        metrics: Registry for the loan metrics.
+        log: Log for decisions about tokens.
     """
 
     def __init__(
@@ -85,10 +86,10 @@
         self._initial_draws = InitialDraws(self.held, self.lenders, link)
         incarnation = environment.new_id(options.name)
         group = LendingGroup(options.group, options.region, lambda: link.cluster_version)
-        who = (options.name, group, incarnation)
-        self.loan_book = LoanBook(*who, self.held, self._find_tenant, self.key, metrics, log)
+        identity = (options.name, group, incarnation)
+        self.loan_book = LoanBook(*identity, self.held, self._find_tenant, self.key, metrics, log)
         self.borrowed = BorrowedTokens(
-            *who, self.lenders, stubs, self.key, environment, metrics, log
+            *identity, self.lenders, stubs, self.key, environment, metrics, log
         )
 
     def _find_tenant(self, name: str) -> resources_pb2.PrepaidTenant | None:
@@ -102,11 +103,20 @@
     async def reserve(
         self, tenant: resources_pb2.PrepaidTenant, tokens: int, wait_s: float, request_id: str
     ) -> Reservation:
-        """Set tokens of a tenant aside.
+        """Reserve tokens of a tenant for one request.
+
+        Args:
+            tenant: The tenant whose tokens are reserved.
+            tokens: Upper bound on the tokens of the request.
+            wait_s: Longest time to wait, in seconds.
+            request_id: Request id for logs.
+
+        Returns:
+            A reservation from the own balance, or a loan.
 
         Raises:
-            PrepaidExhaustedError: If no gateway can hold so many.
-            PrepaidUnavailableError: If they could not be got hold of in time.
+            PrepaidExhaustedError: If the tenant's remaining tokens cannot cover the request.
+            PrepaidUnavailableError: If the tokens could not be reserved in time.
         """
         self.lenders.gateway_count = self._link.routers
         if not self.lenders.is_participating:
@@ -117,32 +127,35 @@
             try:
                 return await self.held.reserve(tenant, tokens, wait_s)
             except PrepaidUnavailableError:
-                # What control says of the account holds for all holders.
+                # While control is connected, its reply about the account is valid for all holders,
+                # and borrowing would not help.
                 if not self.held.window.is_disconnected or self._left_s(deadline_s) <= 0:
                     raise
         if not reserves_locally:
             self.held.note_demand(tenant.name, tokens)
         left_s = self._left_s(deadline_s)
-        got = await self.borrowed.borrow(tenant.name, tokens, left_s, request_id)
-        if isinstance(got, Loan):
-            return got
-        if got.outcome == lending_pb2.LOAN_OUTCOME_EXHAUSTED:
+        result = await self.borrowed.borrow(tenant.name, tokens, left_s, request_id)
+        if isinstance(result, Loan):
+            return result
+        if result.outcome == lending_pb2.LOAN_OUTCOME_EXHAUSTED:
             raise PrepaidExhaustedError(
-                f"what is left cannot hold {tokens} tokens", step=_STEP, peer=tenant.name
+                f"remaining prepaid tokens cannot cover {tokens} tokens",
+                step=_STEP,
+                peer=tenant.name,
             )
         left_s = self._left_s(deadline_s)
-        if self._may_draw_from_control(got, reserves_locally, left_s):
+        if self._may_draw_from_control(result, reserves_locally, left_s):
             return await self.held.reserve(tenant, tokens, left_s)
-        raise self._unavailable(tenant.name, got)
+        raise self._unavailable(tenant.name, result)
 
     def _left_s(self, deadline_s: float) -> float:
         return deadline_s - self._environment.monotonic()
 
     def _may_draw_from_control(
-        self, got: LoanRefusal, reserves_locally: bool, left_s: float
+        self, refusal: LoanRefusal, reserves_locally: bool, left_s: float
     ) -> bool:
-        """Whether to draw from control: it is in reach here, and was in no lender's."""
-        unknown = got.outcome in (
+        """Return whether to draw from control, to which no lender was connected."""
+        unknown = refusal.outcome in (
             lending_pb2.LOAN_OUTCOME_UNSPECIFIED,
             lending_pb2.LOAN_OUTCOME_NO_CONTROL,
         )
@@ -151,50 +164,57 @@
         )
 
     @staticmethod
-    def _unavailable(tenant: str, got: LoanRefusal) -> PrepaidUnavailableError:
+    def _unavailable(tenant: str, refusal: LoanRefusal) -> PrepaidUnavailableError:
+        outcome = outcome_name(refusal.outcome)
         return PrepaidUnavailableError(
-            f"no lender had them: {outcome_name(got.outcome)} of {len(got.asked)} asked",
+            f"none of {len(refusal.asked)} lenders granted a loan: {outcome}",
             step=_STEP,
             peer=tenant,
-            retry_after_s=got.retry_after_s or _RETRY_AT_OTHER_GATEWAY_S,
+            retry_after_s=refusal.retry_after_s or _RETRY_AT_OTHER_GATEWAY_S,
         )
 
     def describe_balance(self, tenant: str) -> str:
-        """Return what is held of a tenant, for logs."""
+        """Return this gateway's balance of a tenant as text for logs."""
         return self.held.describe(tenant)
 
     # ---- control ----------------------------------------------------------
 
-    def update_lenders(self, told: Iterable[control_pb2.Lender]) -> None:
-        """Take in what control tells of gateways; stock what this one holds from now on."""
-        self.lenders.update(told)
+    def update_lenders(self, changes: Iterable[control_pb2.Lender]) -> None:
+        """Apply an update of the lenders, and draw for tenants that this gateway now holds.
+
+        Args:
+            changes: Gateways that were added, changed or removed (empty address).
+        """
+        self.lenders.update(changes)
         self._initial_draws.draw_to_target()
 
     def drop_all(self) -> None:
-        """Forget all tokens: control charged this incarnation for them."""
+        """Discard all balances and loans, for which control has charged this incarnation."""
         self.held.drop_all()
         self.loan_book.forget_all()
 
-    # ---- life -------------------------------------------------------------
+    # ---- life cycle -------------------------------------------------------
 
     def start(self) -> None:
-        """Begin to give back what is held for nothing."""
+        """Start to return tokens that are not needed here."""
         self.held.start()
 
     def stop_lending(self) -> None:
-        """Send borrowers elsewhere; loans that are open are settled as ever."""
+        """Refuse new loans; open loans can still be settled."""
         self.loan_book.stopping = True
 
     async def return_all(self, settle_timeout_s: float) -> None:
-        """Settle all loans and give everything back; own requests must have ended.
+        """Settle all loans and return all tokens to control; own requests must have ended.
 
         Args:
-            patience_s: Time in which others may still settle what they borrowed.
+            settle_timeout_s: Time in which borrowers may still settle their loans, in seconds.
         """
         self.stop_lending()
         deadline_s = self._environment.monotonic() + settle_timeout_s
         await self.borrowed.settle_all()
-        await self.held.return_all()  # first: the time of a planned stop may run out below
+        # Free tokens are returned before the wait for borrowers, which may outlast the time that a
+        # planned stop is given.
+        await self.held.return_all()
         if not self.loan_book.open_loans:
             return
         while self.loan_book.open_loans and self._environment.monotonic() < deadline_s:
@@ -202,6 +222,6 @@
         await self.held.return_all()
 
     async def stop(self) -> None:
-        """End all background work."""
+        """Stop all background tasks."""
         await self.held.stop()
         await self.borrowed.stop()
--- a/packages/heronladder-router/src/heronladder_router/tokens/balance.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/balance.py
@@ -1,41 +1,48 @@
-"""Prepaid tokens of one tenant, as one incarnation of a gateway holds them."""
+"""Balance of one tenant's prepaid tokens at one incarnation of a gateway."""
 
 from dataclasses import dataclass
 
-# Two common small requests. All of it is charged for a lost holder, and most holders of most
-# tenants use little: with 6,000 the promises of a gateway came to more than it held.
+# Two small requests of common size. The whole margin is charged for a lost holder, and most holders
+# of most tenants use little: at 6,000, the promises of a gateway add up to more than it holds.
 _MIN_PROMISE_MARGIN_TOKENS = 3_000
-_PROMISE_RENEWAL_FRACTION = 0.8  # of what is to be covered
-_MIN_PROMISED_TOKENS_PER_S = 1_000  # tokens a second: a common small request each two seconds
-_PROMISED_RATE_FACTOR = 1.25  # of the rate: a quarter for chance
-_RATE_RENEWAL_FACTOR = 1.2  # times what was promised
+# The promise is raised once what is left of it falls below this fraction of the margin.
+_PROMISE_RENEWAL_FRACTION = 0.8
+_MIN_PROMISED_TOKENS_PER_S = 1_000  # a small request of common size every two seconds
+_PROMISED_RATE_FACTOR = 1.25  # times the expected rate, to allow for its variation
+_RATE_RENEWAL_FACTOR = 1.2  # the promised rate is raised only when it would grow by more than this
 _RATE_SMOOTHING = 0.3
 _RATE_INTERVAL_S = 1.0
 
 
 @dataclass
 class TokenBalance:
-    """Tokens of one tenant. The sums only rise.
+    """Tokens of one tenant at this gateway.
+
+    Granted, returned and spent tokens are running totals that never fall.
 
     Attributes:
         tenant: Name of the tenant.
-        granted: Tokens that control gave.
-        returned: Tokens given back.
-        spent: Tokens used.
-        reserved: Tokens held for requests under way.
-        announced: Most that control was promised is spent and reserved.
-        confirmed: What of that outlives control's leader.
-        announced_pace: Tokens a second that control was promised are the most without it.
-        confirmed_pace: What of that outlives control's leader.
-        draws: Number of the last draw.
-        waited_for: Tokens that requests wait for just now.
-        unpromised: Tokens of requests that wait until as much is promised.
-        rate: Tokens asked for a second, smoothed.
-        told: The sums that control was last told; None if it may not have answered.
-        is_short: Whether control had too few for the newest draw.
-        refused_minimum: Tokens that were refused last; 0 when none were.
-        refused_until_s: How long that refusal is taken to hold.
-        next_draw_ahead_s: When tokens may next be asked for ahead of need.
+        granted: Tokens that control has granted.
+        returned: Tokens returned to control.
+        spent: Tokens used by requests that have ended.
+        reserved: Tokens set aside for requests in flight.
+        promised: Spending promise: upper bound on the tokens spent and reserved, as sent to
+            control.
+        confirmed: Part of the spending promise that control has committed to its log, so that it
+            survives the loss of the leader.
+        promised_rate: Tokens per second that this gateway promises not to exceed while it is
+            disconnected from control.
+        confirmed_rate: Highest promised rate that control has committed to its log.
+        draws: Number of the newest draw.
+        tokens_awaited: Tokens of requests that wait for a draw.
+        awaiting_promise: Tokens of requests that wait for a confirmed spending promise.
+        rate: Smoothed rate of requested tokens, in tokens per second.
+        reported: Totals last reported to control; None if the report may not have arrived.
+        is_short: Whether control had too few tokens for the newest draw.
+        refused_minimum: Tokens of the request refused last because the account is exhausted; 0 if
+            there is none.
+        refused_until_s: Time until which that refusal applies to other requests.
+        next_draw_ahead_s: Earliest time of the next draw ahead of need.
     """
 
     tenant: str
@@ -72,36 +79,38 @@
 
     @property
     def expected_rate(self) -> float:
-        """Tokens asked for a second; before that is measured, what was asked for until now.
+        """Expected tokens per second: the smoothed rate, once it is known.
 
-        With none, each request of a gateway's first second waits until it is promised.
+        In the first interval this is the rate of the requests so far. A rate of 0 would make each
+        request of a gateway's first second wait for a spending promise of its own.
         """
         return self.rate if self._intervals else self._interval_tokens / _RATE_INTERVAL_S
 
     @property
     def totals(self) -> tuple[int, int]:
-        """What was given back, and what is used: control reckons from these what is unused."""
+        """Tokens returned and tokens used, from which control computes the unused tokens."""
         return (self.returned, self.used)
 
     @property
     def is_reported(self) -> bool:
-        """Whether control knows what is unused here."""
+        """Whether control knows the current totals."""
         return self.totals == self.reported
 
     def add_reservation(self, tokens: int, now_s: float) -> None:
-        """Reserve tokens."""
+        """Reserve tokens for a request and count them towards the rate."""
         self.reserved += tokens
         self.note_demand(tokens, now_s)
 
     def note_demand(self, tokens: int, now_s: float) -> None:
-        """Count tokens towards the rate: reserved here, or asked of others."""
+        """Count tokens towards the rate, whether reserved here or borrowed from other gateways."""
         if not self._interval_began_s:
             self._interval_began_s = now_s
         elif now_s - self._interval_began_s >= _RATE_INTERVAL_S:
             elapsed_s = min(10 * _RATE_INTERVAL_S, now_s - self._interval_began_s)
             measured = self._interval_tokens / elapsed_s
             self._intervals += 1
-            # A plain mean at first: a rate must be known before the first cut.
+            # The first intervals are averaged with equal weights, so that the rate is right early
+            # enough to prepare for a partition soon after the start.
             smoothing = max(_RATE_SMOOTHING, 1 / self._intervals)
             self.rate += smoothing * (measured - self.rate)
             self._interval_began_s = now_s
@@ -109,42 +118,42 @@
         self._interval_tokens += tokens
 
     def settle(self, reserved: int, used: int) -> None:
-        """Turn a reservation into what was used of it."""
+        """Replace a reservation by the tokens that were used of it."""
         self.reserved -= reserved
         self.spent += min(used, reserved)
 
     def raise_promise(self, tokens: int, ahead_s: float) -> None:
-        """Raise what is announced to cover a request and the time until control hears more.
+        """Raise the spending promise to cover a request and the time until the next promise.
 
         Args:
             tokens: Tokens about to be reserved.
-            ahead_s: Time to cover, in seconds.
+            ahead_s: Time to cover at the expected rate, in seconds.
         """
         ahead = max(_MIN_PROMISE_MARGIN_TOKENS, int(self.expected_rate * ahead_s))
         needed = self.used + tokens + int(_PROMISE_RENEWAL_FRACTION * ahead)
         if needed > self.promised:
             self.promised = self.used + tokens + ahead
-        pace = max(_MIN_PROMISED_TOKENS_PER_S, int(self.expected_rate * _PROMISED_RATE_FACTOR))
-        if pace > self.promised_rate * _RATE_RENEWAL_FACTOR:
-            self.promised_rate = pace
+        rate = max(_MIN_PROMISED_TOKENS_PER_S, int(self.expected_rate * _PROMISED_RATE_FACTOR))
+        if rate > self.promised_rate * _RATE_RENEWAL_FACTOR:
+            self.promised_rate = rate
 
     def return_tokens(self, tokens: int) -> None:
-        """Set free tokens aside for control; a draw tells it."""
+        """Mark free tokens as returned; the next draw reports them to control."""
         self.returned += tokens
 
 
 @dataclass(frozen=True)
 class OwnReservation:
-    """Tokens set aside for one request, of what is held here."""
+    """Tokens of this gateway's own balance, set aside for one request."""
 
     balance: TokenBalance
     tokens: int
 
     @property
     def lender(self) -> str:
-        """Whose tokens they are, for logs: this gateway's own."""
+        """Name of the lender for logs; empty, since the tokens are this gateway's own."""
         return ""
 
     def settle(self, used: int) -> None:
-        """Note what the request used."""
+        """Record the tokens that the request used, and free the rest."""
         self.balance.settle(self.tokens, used)
--- a/packages/heronladder-router/src/heronladder_router/tokens/borrowing.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/borrowing.py
@@ -1,9 +1,9 @@
-"""Tokens borrowed from other gateways, for one request each.
+"""Borrowing of tokens from other gateways, one loan per request.
 
-Few are asked, one after the other: the holder of the own zone first, one in another region last,
-with time that the way there and back takes. A loan that was
-asked for is settled at its lender, whether its answer came or not, until the lender has
-confirmed that or has ended.
+A few lenders are asked one after the other: the holder in this gateway's zone first and one in
+another region last, with a time-out that allows for the longer round trip. Every loan that was
+requested is settled at its lender, whether or not the reply arrived. The settlement is sent until
+the lender confirms it or its process has ended.
 """
 
 import asyncio
@@ -22,18 +22,20 @@
 from heronladder_router.tokens.lending_group import LendingGroup
 from heronladder_router.tokens.peer_key import PeerKey
 
-_MAX_LENDERS_ASKED = 3  # lenders for one request
-_ATTEMPT_FRACTION = 0.5  # of what is left of the wait, for each lender but the last
-_MIN_ATTEMPT_S = 0.03  # an answer within a zone takes so long on a busy machine
-_REMOTE_RESPONSE_FACTOR = 2.5  # time that a lender in another region gets
-_REMOTE_DEFAULT_S = 0.06  # the same before one answered: two ways of 12 ms
-_ANSWER_MARGIN_S = 0.01  # a lender answers so much before its answer is given up
-_DEPRIORITIZED_S = 1.0  # a lender that did not answer is asked last
-_SETTLE_BATCH_S = 0.1  # over which settlements of one lender are gathered
+_MAX_LENDERS_ASKED = 3  # for one request
+_ATTEMPT_FRACTION = 0.5  # of the remaining wait, for each lender but the last
+_MIN_ATTEMPT_S = 0.03  # response time of a lender in the same zone on a busy machine
+# Time-out of an attempt at a lender in another region, as a multiple of its fastest response.
+_REMOTE_RESPONSE_FACTOR = 2.5
+# The same time-out before its first response: the one-way delay between regions is 12 ms.
+_REMOTE_DEFAULT_S = 0.06
+_ANSWER_MARGIN_S = 0.01  # a lender stops waiting for tokens this long before the attempt times out
+_DEPRIORITIZED_S = 1.0  # a lender that did not answer is asked last for this long
+_SETTLE_BATCH_S = 0.1  # settlements for one lender are collected for this long
 _SETTLE_TIMEOUT_S = 1.0
 _SETTLE_RETRY_S = 0.5
-_REFUSAL_HOLDS_S = 0.4  # a shortage costs no storm of messages (as for draws)
-_UNINFORMATIVE_OUTCOMES = (  # of the tenant's tokens
+_REFUSAL_HOLDS_S = 0.4  # limits the messages that a shortage causes, as for draws
+_UNINFORMATIVE_OUTCOMES = (  # those that tell nothing about the tenant's tokens
     lending_pb2.LOAN_OUTCOME_STOPPING,
     lending_pb2.LOAN_OUTCOME_REFUSED,
     lending_pb2.LOAN_OUTCOME_CLOSED,
@@ -42,7 +44,7 @@
 
 
 def outcome_name(outcome: lending_pb2.LoanOutcome.ValueType) -> str:
-    """Return an outcome as logs, metrics and refusals name it."""
+    """Return the name of an outcome for logs, metrics and error messages."""
     if outcome == _NO_ANSWER:
         return "no_answer"
     return lending_pb2.LoanOutcome.Name(outcome).removeprefix("LOAN_OUTCOME_").lower()
@@ -50,14 +52,15 @@
 
 @dataclass
 class LoanRefusal:
-    """Why nothing was borrowed.
+    """The result of a request for which no lender granted a loan.
 
     Attributes:
-        tokens: How many were wanted.
-        outcome: Of the lender that knew most; unspecified if none answered.
-        retry_after_s: When tokens are likely to be had, in seconds.
-        asked: Lenders that were asked.
-        until_s: For so long others that want as many are refused unasked.
+        tokens: Number of tokens that were requested.
+        outcome: The most informative outcome of all lenders; unspecified if none answered.
+        retry_after_s: Time after which tokens are likely to be available, in seconds.
+        asked: Names of the lenders that were asked.
+        valid_until_s: Time until which requests for as many tokens or more are refused without
+            asking a lender.
     """
 
     tokens: int
@@ -67,29 +70,34 @@
     valid_until_s: float = float("-inf")
 
     def applies_to(self, tokens: int, now_s: float) -> bool:
-        """Whether another request for so many tokens need not ask."""
+        """Return whether another request for this many tokens is refused without asking."""
         return now_s < self.valid_until_s and tokens >= self.tokens
 
     def add_reply(self, name: str, reply: lending_pb2.LendReply | None) -> None:
-        """Take in what one lender answered; None if it did not."""
+        """Add the reply of one lender.
+
+        Args:
+            name: Name of the lender.
+            reply: Its reply; None if it did not answer.
+        """
         self.asked.append(name)
         if reply is None or reply.outcome in _UNINFORMATIVE_OUTCOMES:
             return
         retry_after_s = reply.retry_after_ms / MILLISECONDS_PER_SECOND
-        # One with control in reach knows more of what is left than one without.
+        # A lender that is connected to control knows more about the remaining tokens.
         if self.outcome in (_NO_ANSWER, lending_pb2.LOAN_OUTCOME_NO_CONTROL):
             self.outcome = reply.outcome
             self.retry_after_s = retry_after_s
 
 
 class Loan:
-    """Tokens of another gateway, set aside there for one request.
+    """Tokens of another gateway, reserved there for one request.
 
     Args:
-        owner: Tells the lender what was used.
+        owner: Sends the settlement to the lender.
         account: The account with the lender.
-        number: Of the loan.
-        tokens: Its size.
+        number: Number of the loan.
+        tokens: Number of tokens on loan.
     """
 
     def __init__(
@@ -102,27 +110,27 @@
 
     @property
     def lender(self) -> str:
-        """Name of the gateway whose tokens they are."""
+        """Name of the gateway that granted the loan."""
         return self._account.lender
 
     def settle(self, used: int) -> None:
-        """Note what the request used; the lender is told soon."""
+        """Record the tokens that the request used; the settlement is sent with the next batch."""
         self._owner.settle(self._account, self._number, min(used, self.tokens))
 
 
 class BorrowedTokens:
-    """Borrows tokens, and tells lenders what was used.
+    """Borrows tokens from other gateways and settles the loans.
 
     Args:
-        name: This gateway.
-        group: What its group is called.
-        incarnation: Of this process.
-        lenders: Whom to ask.
-        stubs: Makes stubs to them.
-        key: Proves messages.
-        environment: Time.
-        metrics: Where loans are counted.
-        log: Where decisions are logged.
+        name: Name of this gateway.
+        group: Names of its control group.
+        incarnation: Incarnation of this process.
+        lenders: The gateways that lend tokens.
+        stubs: Creates stubs for lenders.
+        key: Authenticates messages.
+        environment: Source of time.
+        metrics: Registry for the loan metrics.
+        log: Log for decisions about loans.
     """
 
     def __init__(
@@ -148,23 +156,23 @@
         self._log = log
         self._tasks = TaskGroupOwner(log)
         self._accounts: dict[str, LenderAccount] = {}
-        self._refusals: dict[str, LoanRefusal] = {}  # the newest, by tenant
+        self._refusals: dict[str, LoanRefusal] = {}  # newest refusal of each tenant
         metrics.gauge("loans_in_use", lambda: float(self.loans_in_use))
         metrics.gauge("loan_settlements_dropped", lambda: float(self._dropped_settlements()))
 
     @property
     def loans_in_use(self) -> int:
-        """Loans that were asked for and are not settled."""
+        """Number of loans that were requested and are not settled."""
         return sum(len(account.open) for account in self._accounts.values())
 
     def _dropped_settlements(self) -> int:
         return sum(account.dropped for account in self._accounts.values())
 
     async def stop(self) -> None:
-        """End all background work."""
+        """Stop all background tasks."""
         await self._tasks.stop()
 
-    # ---- asking -----------------------------------------------------------
+    # ---- borrowing --------------------------------------------------------
 
     async def borrow(
         self, tenant: str, tokens: int, wait_s: float, request_id: str
@@ -172,10 +180,13 @@
         """Borrow tokens for one request.
 
         Args:
-            tenant: Whose tokens.
-            tokens: The request at its most.
-            wait_s: Longest time, in seconds.
-            request_id: For logs.
+            tenant: Name of the tenant whose tokens are borrowed.
+            tokens: Upper bound on the tokens of the request.
+            wait_s: Longest time to wait, in seconds.
+            request_id: Request id for logs.
+
+        Returns:
+            The loan, or the refusal if no lender granted one.
         """
         began_s = self._environment.monotonic()
         deadline_s = began_s + wait_s
@@ -188,12 +199,12 @@
             left_s = deadline_s - self._environment.monotonic()
             if left_s <= 0:
                 break
-            patience_s = self._attempt_timeout_s(candidates[position + 1 :], left_s)
+            timeout_s = self._attempt_timeout_s(candidates[position + 1 :], left_s)
             ask = lending_pb2.LoanAsk(tenant=tenant, tokens=tokens, request_id=request_id)
-            got = await self._request_loan(lender, ask, min(left_s, patience_s))
-            if isinstance(got, Loan):
-                return got
-            refusal.add_reply(lender.name, got)
+            result = await self._request_loan(lender, ask, min(left_s, timeout_s))
+            if isinstance(result, Loan):
+                return result
+            refusal.add_reply(lender.name, result)
             if refusal.outcome == lending_pb2.LOAN_OUTCOME_EXHAUSTED:
                 break
         if refusal.outcome != _NO_ANSWER:
@@ -202,7 +213,7 @@
         return refusal
 
     def _candidates(self, tenant: str) -> list[Lender]:
-        """Return whom to ask: those that answered before ones that did not."""
+        """Return the lenders in the order to ask; those that did not answer lately come last."""
         now_s = self._environment.monotonic()
         return sorted(
             self._lenders.lender_candidates(tenant),
@@ -210,14 +221,14 @@
         )
 
     def _attempt_timeout_s(self, later: list[Lender], left_s: float) -> float:
-        """Return how long a lender may take, so that those to be asked after it get theirs."""
+        """Return the time-out of an attempt, which leaves time for the lenders asked after it."""
         if not later:
             return left_s
-        patience_s = left_s * _ATTEMPT_FRACTION
-        far = next((lender for lender in later if self._lenders.is_remote(lender)), None)
-        if far is not None:
-            patience_s = min(patience_s, left_s - self._remote_timeout_s(far))
-        return max(_MIN_ATTEMPT_S, patience_s)
+        timeout_s = left_s * _ATTEMPT_FRACTION
+        remote = next((lender for lender in later if self._lenders.is_remote(lender)), None)
+        if remote is not None:
+            timeout_s = min(timeout_s, left_s - self._remote_timeout_s(remote))
+        return max(_MIN_ATTEMPT_S, timeout_s)
 
     def _remote_timeout_s(self, lender: Lender) -> float:
         min_response_s = self._account(lender.name).min_response_s
@@ -232,22 +243,22 @@
         return account
 
     async def _request_loan(
-        self, lender: Lender, ask: lending_pb2.LoanAsk, patience_s: float
+        self, lender: Lender, ask: lending_pb2.LoanAsk, timeout_s: float
     ) -> Loan | lending_pb2.LendReply | None:
         account = self._account(lender.name)
         ask.number = account.open_loan()
-        answer_s = max(0.0, patience_s - _ANSWER_MARGIN_S)
-        ask.wait_ms = int(answer_s * MILLISECONDS_PER_SECOND)
+        lender_wait_s = max(0.0, timeout_s - _ANSWER_MARGIN_S)
+        ask.wait_ms = int(lender_wait_s * MILLISECONDS_PER_SECOND)
         began_s = self._environment.monotonic()
         reply: lending_pb2.LendReply | None = None
         try:
-            reply = await self._send(lender, account, ask, patience_s)
+            reply = await self._send(lender, account, ask, timeout_s)
         finally:
             account.pending.discard(ask.number)
             granted = reply is not None and reply.outcome == lending_pb2.LOAN_OUTCOME_GRANTED
             if reply is None or reply.outcome == lending_pb2.LOAN_OUTCOME_CLOSED:
-                # No answer came, the request was given up, or a copy of the ask is still
-                # waited for there: it may have been granted, or yet be.
+                # No reply arrived, the request was cancelled, or the lender still processes a copy
+                # of this ask. The loan may have been granted or be granted later.
                 self.settle(account, ask.number, 0)
             elif not granted:
                 account.discard_refused(ask.number)
@@ -272,8 +283,8 @@
     ) -> None:
         outcome = outcome_name(_NO_ANSWER if reply is None else reply.outcome)
         self._metrics.add("loans_asked", outcome)
-        far = self._lenders.is_remote(lender)
-        if far:
+        is_remote = self._lenders.is_remote(lender)
+        if is_remote:
             self._metrics.add("loans_asked_across", outcome)
         self._log.info(
             "loan_asked",
@@ -284,7 +295,7 @@
             number=ask.number,
             tokens=ask.tokens,
             outcome=outcome,
-            far=far,
+            far=is_remote,
             took_ms=int(took_s * MILLISECONDS_PER_SECOND),
         )
 
@@ -297,7 +308,17 @@
         ask: lending_pb2.LoanAsk | None,
         timeout_s: float,
     ) -> lending_pb2.LendReply | None:
-        """Send a message to a lender; return its answer, or None if none came."""
+        """Send a message with all unsettled settlements to a lender.
+
+        Args:
+            lender: The lender.
+            account: The account with it.
+            ask: The loan to request; None to send settlements only.
+            timeout_s: Time-out of the call, in seconds.
+
+        Returns:
+            The reply, or None if none arrived or it could not be authenticated.
+        """
         sent = list(account.unsettled)
         request = lending_pb2.LendRequest(
             group=self._group.name_for(is_remote=self._lenders.is_remote(lender)),
@@ -350,12 +371,12 @@
             )
 
     def settle(self, account: LenderAccount, number: int, used: int) -> None:
-        """Note what became of a loan, and have its lender told."""
+        """Record the tokens used of a loan and schedule its settlement."""
         account.settle(number, used)
         self._schedule_settlements(account)
 
     async def _send_settlements(self, account: LenderAccount) -> None:
-        """Tell a lender what was used until it has all of it, or is gone."""
+        """Send settlements to a lender until it has confirmed all of them or is gone."""
         await asyncio.sleep(_SETTLE_BATCH_S)
         while account.unsettled:
             lender = self._lenders.find(account.lender)
@@ -364,12 +385,13 @@
                 account.reset_incarnation("")
                 return
             reply = await self._send(lender, account, None, _SETTLE_TIMEOUT_S)
-            # A refusal takes nothing in: without a pause both ends would do nothing else.
+            # A lender that refuses a message confirms no settlement of it. Without a pause both
+            # gateways would exchange the same message in a tight loop.
             if reply is None or reply.outcome == lending_pb2.LOAN_OUTCOME_REFUSED:
                 await asyncio.sleep(_SETTLE_RETRY_S)
 
     async def settle_all(self) -> None:
-        """Tell all lenders at once what was used, before a planned stop."""
+        """Send all settlements once, without waiting for a batch, before a planned stop."""
         for account in list(self._accounts.values()):
             lender = self._lenders.find(account.lender)
             if lender is not None and account.unsettled:
--- a/packages/heronladder-router/src/heronladder_router/tokens/initial_draws.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/initial_draws.py
@@ -1,8 +1,8 @@
-"""Stocks what a gateway holds for others before the first of them asks.
+"""Fills the token balances of a holder before the first request for them.
 
-A holder that has just started drew with its first request, and the caller of that gave it up
-meanwhile: on a site with two regions a draw takes longer than a request may wait. What is drawn
-here is what that request would have drawn.
+Without this, a holder that has just started draws with its first request. On a site with two
+regions a draw takes longer than a request may wait for tokens, so that request is rejected. The
+draws made here are the ones that this request would have made.
 """
 
 from heapq import nlargest
@@ -13,16 +13,16 @@
 from heronladder_router.tokens.held_tokens import HeldTokens
 from heronladder_router.tokens.lenders import Lenders
 
-_MAX_TENANTS = 64  # tenants, the largest: each costs an entry of control's log
+_MAX_TENANTS = 64  # the tenants with the highest limits; each draw adds an entry to control's log
 
 
 class InitialDraws:
-    """Draws for the tenants that this gateway is a holder of.
+    """Draws tokens for the tenants of which this gateway is a holder.
 
     Args:
-        held: The tokens held here.
-        lenders: Tells whose holder this gateway is.
-        link: The link to control.
+        held: The tokens that this gateway holds.
+        lenders: Determines the tenants of which this gateway is a holder.
+        link: The link to control, which delivers the configuration.
     """
 
     def __init__(self, held: HeldTokens, lenders: Lenders, link: ControlLink) -> None:
@@ -37,11 +37,11 @@
         if fleet is None:
             return
         limited = (tenant for tenant in fleet.tenants if tenant.limited)
-        self._largest = nlargest(_MAX_TENANTS, limited, key=lambda one: one.prepaid_tokens)
+        self._largest = nlargest(_MAX_TENANTS, limited, key=lambda tenant: tenant.prepaid_tokens)
         self.draw_to_target()
 
     def draw_to_target(self) -> None:
-        """Draw what is missing, where this gateway is a holder."""
+        """Raise the balance of each tenant that this gateway is a holder of to its target."""
         if not self._lenders.is_participating:
             return
         for tenant in self._largest:
--- a/packages/heronladder-router/src/heronladder_router/tokens/lenders.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/lenders.py
@@ -1,9 +1,9 @@
-"""Which gateways hold a tenant's tokens ahead of need, and whom to borrow from.
+"""Selection of the gateways that hold a tenant's tokens ahead of need, and lend them.
 
-Each tenant has one holder in each of a few zones: the gateway of the zone with the
-highest rendezvous hash over (tenant, name). All gateways that know of the same gateways
-name the same holders, and a gateway that comes or goes moves few tenants. Two views of
-who holds differ in who is asked, and never in what may be spent.
+Each tenant has one holder in each of a few zones: the gateway of the zone with the highest
+rendezvous hash of (tenant, name). All gateways with the same set of known gateways select the
+same holders, and a gateway that joins or leaves moves few tenants. Gateways with different sets
+may ask different lenders, which has no effect on the tokens that may be spent.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,12 +14,12 @@
 
 from heronladder_router.decisions.distance import is_far
 
-# Holders of a tenant, at most: as many as one request asks. With five, of which three are
-# asked, a replayed cut served 0.82 of the tokens asked for, with three 0.91
-# (docs/design/token-pools.md).
+# Holders of a tenant in a single region: as many as one request asks. With five holders, of which
+# a request asks three, 0.82 of the tokens requested during a partition are granted; with three it
+# is 0.91 (docs/design/token-pools.md).
 _MAX_HOLDERS = 3
-# Of each region, where there are several: one may be down, and more would each draw over the
-# link between regions.
+# Holders in each region if there are several regions. A second one serves while the first is down;
+# each additional one would draw over the link between regions.
 _MAX_HOLDERS_PER_REGION = 2
 
 
@@ -28,9 +28,9 @@
     """A gateway that lends tokens.
 
     Attributes:
-        name: Its name.
+        name: Name of the gateway.
         zone: Its zone.
-        address: IP:port at which it lends.
+        address: IP:port of its lending server.
     """
 
     name: str
@@ -43,13 +43,18 @@
 
 
 class Lenders:
-    """The gateways that control knows, and the holders among them.
+    """The gateways known to control, and the holders of each tenant among them.
 
     Args:
-        name: This gateway.
-        zone: Its zone.
-        lends: Whether it takes part; otherwise it holds tokens of every tenant it serves.
-        regions: Region of each zone; zones not named are of one region.
+        name: Name of this gateway.
+        zone: Zone of this gateway.
+        lends: Whether this gateway lends and borrows. Otherwise it holds tokens of every tenant
+            that it serves.
+        regions: Region of each zone; zones without an entry belong to one common region.
+
+    Attributes:
+        names: Names of all gateways that control has reported.
+        gateway_count: Number of gateways according to control; set from the link to control.
     """
 
     def __init__(
@@ -60,13 +65,17 @@
         self._zone = zone
         self._lends = lends
         self._known: dict[str, Lender] = {}
-        self._holders: dict[str, list[Lender]] = {}  # found so far, by tenant
-        self.names: frozenset[str] = frozenset()  # of all gateways that control has told of
-        self.gateway_count = 1  # that control counts; told by the link
+        self._holders: dict[str, list[Lender]] = {}  # cache by tenant
+        self.names: frozenset[str] = frozenset()
+        self.gateway_count = 1
 
-    def update(self, told: Iterable[control_pb2.Lender]) -> None:
-        """Take in what control tells of gateways that came, changed or went."""
-        for entry in told:
+    def update(self, changes: Iterable[control_pb2.Lender]) -> None:
+        """Apply an update from control.
+
+        Args:
+            changes: Gateways that were added, changed or removed (empty address).
+        """
+        for entry in changes:
             if entry.address:
                 self._known[entry.name] = Lender(entry.name, entry.zone, entry.address)
             else:
@@ -75,37 +84,37 @@
         self._holders.clear()
 
     def find(self, name: str) -> Lender | None:
-        """Return a gateway by its name, or None."""
+        """Return the gateway of that name, or None if it is not known."""
         return self._known.get(name)
 
     @property
     def is_participating(self) -> bool:
-        """Whether this gateway lends and borrows: control has told others of it."""
+        """Whether this gateway lends and borrows, which requires that control has announced it."""
         return self._lends and self._name in self._known
 
     def holders(self, tenant: str) -> list[Lender]:
-        """Return a tenant's holders, in the same order at every gateway."""
-        found = self._holders.get(tenant)
-        if found is None:
-            found = self._holders[tenant] = self._select_holders(tenant)
-        return found
+        """Return the holders of a tenant, in the same order at every gateway."""
+        holders = self._holders.get(tenant)
+        if holders is None:
+            holders = self._holders[tenant] = self._select_holders(tenant)
+        return holders
 
     def _select_holders(self, tenant: str) -> list[Lender]:
         best: dict[str, Lender] = {}
         for lender in self._known.values():
-            held = best.get(lender.zone)
-            if held is None or _hash_weight(tenant, lender.name) > _hash_weight(tenant, held.name):
+            top = best.get(lender.zone)
+            if top is None or _hash_weight(tenant, lender.name) > _hash_weight(tenant, top.name):
                 best[lender.zone] = lender
         ordered = sorted(best.values(), key=lambda lender: -_hash_weight(tenant, lender.zone))
         regions = {self._region(lender) for lender in ordered}
         if len(regions) <= 1:
             return ordered[:_MAX_HOLDERS]
-        held_in = dict.fromkeys(regions, 0)
+        selected_in = dict.fromkeys(regions, 0)
         holders = []
         for lender in ordered:
             region = self._region(lender)
-            if held_in[region] < _MAX_HOLDERS_PER_REGION:
-                held_in[region] += 1
+            if selected_in[region] < _MAX_HOLDERS_PER_REGION:
+                selected_in[region] += 1
                 holders.append(lender)
         return holders
 
@@ -113,24 +122,24 @@
         return self._regions.get(lender.zone, "")
 
     def is_remote(self, lender: Lender) -> bool:
-        """Whether a gateway stands in another region."""
+        """Return whether a gateway is in another region than this one."""
         return is_far(self._zone, lender.zone, self._regions)
 
     def lender_candidates(self, tenant: str) -> list[Lender]:
-        """Return the other holders of a tenant: of this zone, this region, then elsewhere."""
+        """Return the other holders of a tenant: this zone first, then this region, then others."""
         others = [lender for lender in self.holders(tenant) if lender.name != self._name]
         return sorted(
             others, key=lambda lender: (self.is_remote(lender), lender.zone != self._zone)
         )
 
     def is_holder(self, tenant: str) -> bool:
-        """Whether this gateway holds tokens of a tenant ahead of need."""
+        """Return whether this gateway holds tokens of a tenant ahead of need."""
         if not self.is_participating:
             return True
         return any(lender.name == self._name for lender in self.holders(tenant))
 
     def holder_count(self, tenant: str) -> int:
-        """Return how many gateways hold tokens of a tenant ahead of need; at least 1."""
+        """Return the number of gateways that hold tokens of a tenant ahead of need, at least 1."""
         if not self.is_participating:
             return max(1, self.gateway_count)
         return max(1, len(self.holders(tenant)))
--- a/packages/heronladder-router/src/heronladder_router/tokens/lending.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/lending.py
@@ -1,11 +1,11 @@
-"""Loans: reservations made here, of tokens held here, for requests of other gateways.
+"""Loans: reservations of this gateway's tokens for requests of other gateways.
 
-To control a loan is a reservation like any other of this gateway: it stays charged here
-until the borrower tells what was used. So nothing is lent that may not be spent, a
-borrower that dies costs what it had on loan, and control need not know of loans.
+To control, a loan is a reservation like any other of this gateway, charged here until the borrower
+reports the tokens used. Hence no tokens are lent that may not be spent, a borrower that crashes
+costs the tokens that it had on loan, and control need not know about loans.
 
-The messages of one borrower may be lost, doubled, late or out of order. A loan has a
-number; a number is granted once, and never after it was settled.
+The messages of a borrower may be lost, duplicated, delayed or reordered. Each loan has a number,
+which is granted at most once and never after its settlement.
 """
 
 from collections.abc import Callable
@@ -25,35 +25,44 @@
 from heronladder_router.tokens.lending_group import LendingGroup
 from heronladder_router.tokens.peer_key import PeerKey
 
-_MAX_ENDED_INCARNATIONS = 16  # incarnations of a borrower that may not borrow any more
-_MAX_WAIT_S = 2.0  # for tokens, whatever a borrower asks
+_MAX_ENDED_INCARNATIONS = 16  # remembered per borrower, to refuse their late messages
+_MAX_WAIT_S = 2.0  # upper bound on the wait for tokens that a borrower may request
 TenantFinder = Callable[[str], resources_pb2.PrepaidTenant | None]
 
 
 @dataclass
 class _Borrower:
-    """What one incarnation of a gateway has borrowed here."""
+    """Loans of one incarnation of a borrowing gateway.
+
+    Attributes:
+        incarnation: Incarnation of the borrower.
+        open: Reservation of each open loan, by its number.
+        asked: Numbers of the loans that wait for tokens.
+        settled: Numbers from ``settled_below`` on that are settled or refused.
+        settled_below: All lower loan numbers are settled.
+        ended: Earlier incarnations of the borrower, newest last.
+    """
 
     incarnation: str
     open: dict[int, OwnReservation] = field(default_factory=dict)
-    asked: set[int] = field(default_factory=set)  # numbers whose tokens are waited for
-    settled: set[int] = field(default_factory=set)  # or refused; at ``settled_below`` and over
+    asked: set[int] = field(default_factory=set)
+    settled: set[int] = field(default_factory=set)
     settled_below: int = 0
-    ended: list[str] = field(default_factory=list)  # earlier incarnations, newest last
+    ended: list[str] = field(default_factory=list)
 
 
 class LoanBook(LendingServicer):
-    """Lends tokens that are held here, and takes back what was not used.
+    """Lends tokens of this gateway and frees the unused part when a loan is settled.
 
     Args:
-        name: This gateway.
-        group: What its group is called.
-        incarnation: Of this process.
-        held: The tokens held here.
-        find_tenant: Finds a tenant of the configuration in use.
-        key: Proves messages.
-        metrics: Where loans are counted.
-        log: Where decisions are logged.
+        name: Name of this gateway.
+        group: Names of its control group.
+        incarnation: Incarnation of this process.
+        held: The tokens that this gateway holds.
+        find_tenant: Returns a tenant of the current configuration by its name, or None.
+        key: Authenticates messages.
+        metrics: Registry for the loan metrics.
+        log: Log for decisions about loans.
     """
 
     def __init__(
@@ -82,18 +91,18 @@
 
     @property
     def open_loans(self) -> int:
-        """Loans that are not settled."""
+        """Number of loans that are not settled."""
         return sum(len(borrower.open) for borrower in self._borrowers.values())
 
     @property
     def tokens_on_loan(self) -> int:
-        """Tokens of all loans that are not settled."""
+        """Total number of tokens of loans that are not settled."""
         return sum(
             loan.tokens for borrower in self._borrowers.values() for loan in borrower.open.values()
         )
 
     def forget_all(self) -> None:
-        """Forget all loans: control charged this incarnation for them."""
+        """Discard all open loans, for which control has charged this incarnation."""
         for borrower in self._borrowers.values():
             borrower.open.clear()
 
@@ -117,7 +126,7 @@
         return reply
 
     def _refusal_reason(self, request: lending_pb2.LendRequest) -> str:
-        """Return why a message is not acted on; empty if it is."""
+        """Return the reason to refuse a message; empty if it is accepted."""
         if not self._key.verifies(request):
             return "not_proved"
         if request.lender != self._name or not self._group.is_own(request.group):
@@ -130,7 +139,7 @@
         return ""
 
     def _borrower(self, request: lending_pb2.LendRequest) -> _Borrower:
-        """Return the account of a borrower; a new incarnation ends the one before it."""
+        """Return the loans of a borrower; a new incarnation ends the one before it."""
         known = self._borrowers.get(request.borrower)
         if known is not None and known.incarnation == request.borrower_incarnation:
             return known
@@ -142,7 +151,7 @@
         return added
 
     def _charge_ended_incarnation(self, name: str, ended: _Borrower) -> None:
-        """Count all that an ended borrower had on loan as used: it may have handed it out."""
+        """Settle all loans of an ended incarnation as used, since they may have been handed out."""
         tokens = sum(loan.tokens for loan in ended.open.values())
         for loan in ended.open.values():
             loan.settle(loan.tokens)
@@ -157,7 +166,7 @@
         )
         ended.open.clear()
 
-    # ---- what was used ----------------------------------------------------
+    # ---- settlements ------------------------------------------------------
 
     def _settle(self, borrower: _Borrower, request: lending_pb2.LendRequest) -> None:
         if request.lender_incarnation == self._incarnation:
@@ -169,23 +178,23 @@
                 number for number in borrower.settled if number >= request.settled_below
             }
 
-    def _settle_one(self, borrower: _Borrower, told: lending_pb2.LoanSettlement) -> None:
-        if told.number < borrower.settled_below:
+    def _settle_one(self, borrower: _Borrower, settlement: lending_pb2.LoanSettlement) -> None:
+        if settlement.number < borrower.settled_below:
             return
-        borrower.settled.add(told.number)
-        loan = borrower.open.pop(told.number, None)
+        borrower.settled.add(settlement.number)
+        loan = borrower.open.pop(settlement.number, None)
         if loan is None:
-            return  # settled before, or given up before it was granted
-        loan.settle(told.used)  # at most the loan, whatever is told
+            return  # settled before, or cancelled before it was granted
+        loan.settle(settlement.used)  # counts no more than the loan, even if more is reported
         invariant(
-            told.used <= loan.tokens,
+            settlement.used <= loan.tokens,
             "loan_used_within_loan",
             step="settle_loan",
             peer=borrower.incarnation,
-            detail=f"{loan.balance.tenant}: {told.used} of {loan.tokens}",
+            detail=f"{loan.balance.tenant}: {settlement.used} of {loan.tokens}",
         )
 
-    # ---- what is asked for ------------------------------------------------
+    # ---- requests for loans -----------------------------------------------
 
     async def _process_ask(
         self,
@@ -195,7 +204,7 @@
     ) -> None:
         ask = request.ask
         if ask.number in borrower.open:
-            reply.outcome = lending_pb2.LOAN_OUTCOME_GRANTED  # asked twice, granted once
+            reply.outcome = lending_pb2.LOAN_OUTCOME_GRANTED  # a duplicate of the ask
             return
         if self._is_closed(borrower, ask.number) or ask.number in borrower.asked:
             reply.outcome = lending_pb2.LOAN_OUTCOME_CLOSED
@@ -204,7 +213,7 @@
         try:
             loan = await self._reserve(ask)
         except CallerError as error:
-            borrower.settled.add(ask.number)  # a copy that comes late gets nothing
+            borrower.settled.add(ask.number)  # refuses a late duplicate of the ask
             self._fill_refusal(reply, error)
         else:
             self._grant(borrower, ask, loan, reply)
@@ -219,8 +228,8 @@
     async def _reserve(self, ask: lending_pb2.LoanAsk) -> OwnReservation:
         tenant = self._find_tenant(ask.tenant)
         if self.stopping or tenant is None:
-            why = "the lender is stopping" if self.stopping else "the tenant is not known"
-            raise PrepaidUnavailableError(why, step="lend", peer=ask.tenant, retry_after_s=0.0)
+            reason = "lender is stopping" if self.stopping else "tenant is not known to the lender"
+            raise PrepaidUnavailableError(reason, step="lend", peer=ask.tenant, retry_after_s=0.0)
         wait_s = min(ask.wait_ms / MILLISECONDS_PER_SECOND, _MAX_WAIT_S)
         return await self._held.reserve(tenant, ask.tokens, wait_s)
 
@@ -231,8 +240,8 @@
         loan: OwnReservation,
         reply: lending_pb2.LendReply,
     ) -> None:
-        # While the tokens were waited for, the borrower may have given the loan up, or
-        # have ended: it would never be settled then.
+        # During the wait for tokens the borrower may have cancelled the loan or ended, and would
+        # then never settle it.
         if self._is_closed(borrower, ask.number) or borrower not in self._borrowers.values():
             loan.settle(0)
             reply.outcome = lending_pb2.LOAN_OUTCOME_CLOSED
@@ -256,7 +265,7 @@
         outcome = lending_pb2.LoanOutcome.Name(reply.outcome).removeprefix("LOAN_OUTCOME_").lower()
         self._metrics.add("loans_answered", outcome)
         if reply.outcome == lending_pb2.LOAN_OUTCOME_GRANTED:
-            return  # the borrower logs it; a line at both ends would double what loans cost
+            return  # the borrower logs it; a second entry would double the logging cost of loans
         self._log.info(
             "loan_refused",
             step="lend",
--- a/packages/heronladder-router/src/heronladder_router/tokens/lending_group.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/lending_group.py
@@ -1,4 +1,4 @@
-"""What gateways that lend to each other call their group."""
+"""Name of the group of gateways that lend to each other, as it appears in loan messages."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,11 +11,12 @@
 
 @dataclass(frozen=True)
 class LendingGroup:
-    """Names of the group that granted what is lent.
+    """Names of the control group that granted the tokens on loan.
 
     Attributes:
-        group: The control group's name, known to all builds once the log may name it.
-        region: The gateway's region, by which earlier builds name the group.
+        group: Name of the control group. All builds know it once the cluster version lets the
+            log contain it.
+        region: Region of this gateway, which earlier builds use as the name of the group.
         cluster_version: Returns the cluster version in force.
     """
 
@@ -27,11 +28,15 @@
         """Return the name by which a lender knows the group.
 
         Args:
-            far: Whether it stands in another region, where earlier builds lend nothing to this one.
+            is_remote: Whether the lender is in another region. Earlier builds lend nothing across
+                regions, so that every lender there knows the group's own name.
         """
         is_named = is_remote or self.cluster_version() >= _GROUP_NAME_VERSION
         return self.group if is_named else self.region
 
     def is_own(self, name: str) -> bool:
-        """Whether a message names this group, by either name: the version may rise meanwhile."""
+        """Return whether a name denotes this group.
+
+        Both names are accepted, since the cluster version may rise while a message is in flight.
+        """
         return name in (self.group, self.region)
--- a/packages/heronladder-router/src/heronladder_router/tokens/peer_key.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/peer_key.py
@@ -1,4 +1,4 @@
-"""A shared key that proves messages between gateways."""
+"""Authentication of messages between gateways by HMAC with a shared key."""
 
 import hashlib
 import hmac
@@ -9,20 +9,21 @@
 
 
 class TaggedMessage(Protocol):
-    """A message with a field for its proof."""
+    """A message with a field for its authentication tag."""
 
     tag: bytes
 
     def SerializeToString(self, *, deterministic: bool = ...) -> bytes:
-        """Return the message's bytes."""
+        """Return the serialized message."""
 
 
 class PeerKey:
-    """Signs messages and checks signatures; does neither where no file is named.
+    """Signs messages and verifies their tags; does neither if no key file is configured.
 
     Args:
-        file: Its keys, one a line: the first signs, all are accepted, so that a new key
-            can be brought to all gateways before it signs. Empty: messages go unproved.
+        file: Path of the key file, one key per line. The first key signs and all keys are
+            accepted, so that a new key can be distributed to all gateways before it signs.
+            Empty: messages are neither signed nor verified.
 
     Raises:
         SettingsError: If the file cannot be read or holds no key.
@@ -35,11 +36,11 @@
 
     @property
     def is_set(self) -> bool:
-        """Whether messages are proved."""
+        """Whether messages are signed and verified."""
         return bool(self._keys)
 
     def reload(self) -> None:
-        """Read the keys again.
+        """Read the key file again.
 
         Raises:
             SettingsError: If the file cannot be read or holds no key.
@@ -52,26 +53,26 @@
             raise SettingsError([f"lending_key_file {self._file}: {error}"]) from error
         keys = [line.strip() for line in lines if line.strip()]
         if not keys:
-            raise SettingsError([f"lending_key_file {self._file}: holds no key"])
+            raise SettingsError([f"lending_key_file {self._file}: file contains no key"])
         self._keys = keys
 
     def sign(self, message: TaggedMessage) -> None:
-        """Put the proof into a message; nothing in it may change after."""
+        """Set the authentication tag of a message, which must not change afterwards."""
         if self._keys:
             message.tag = b""
             message.tag = self._tag(self._keys[0], message)
 
     def verifies(self, message: TaggedMessage) -> bool:
-        """Whether a message was signed with one of the keys, or none is asked for."""
+        """Return whether a message is signed with one of the keys, or no key is configured."""
         if not self._keys:
             return True
-        told = message.tag
+        received_tag = message.tag
         message.tag = b""
         try:
             tags = [self._tag(key, message) for key in self._keys]
         finally:
-            message.tag = told
-        return any(hmac.compare_digest(told, tag) for tag in tags)
+            message.tag = received_tag
+        return any(hmac.compare_digest(received_tag, tag) for tag in tags)
 
     @staticmethod
     def _tag(key: bytes, message: TaggedMessage) -> bytes:
--- a/tests/test_prepaid_tokens.py
+++ b/tests/test_prepaid_tokens.py
@@ -220,13 +220,13 @@
         self.control.draw_takes_s = 0.02
         with self.assertRaises(PrepaidUnavailableError) as refused:
             await self.tokens.reserve(_TENANT, _REQUEST_TOKENS, 0.01)
-        self.assertEqual(refused.exception.message, "others hold what is left")
+        self.assertEqual(refused.exception.message, "remaining tokens are held by other gateways")
         self.assertEqual(refused.exception.retry_after_s, 5.0)
 
     async def test_a_draw_that_outlasts_its_request_serves_later_ones(self) -> None:
         """Scale-2: 500 requests began draws over a choked link, and none was awaited."""
         self.control.cut()  # control is heard, and answers late
-        with self.assertRaisesRegex(PrepaidUnavailableError, "no tokens came in time"):
+        with self.assertRaisesRegex(PrepaidUnavailableError, "no tokens were granted in time"):
             await self.tokens.reserve(_TENANT, _REQUEST_TOKENS, 0.01)
         self.control.heal(self.clock.now_s)
         await self._run_pending_tasks()
@@ -267,7 +267,9 @@
         self.clock.now_s += 0.75
         with self.assertRaises(PrepaidUnavailableError) as refused:
             await self._serve(1, requests_per_second=100_000)
-        self.assertEqual(refused.exception.message, "control did not confirm in time")
+        self.assertEqual(
+            refused.exception.message, "control did not confirm the spending promise in time"
+        )
         told_s = refused.exception.retry_after_s
         assert told_s is not None
         all_in_s = self.control.last_heard_s + WINDOW_HOLDS_S - self.clock.now_s
