--- a/packages/heronladder-router/src/heronladder_router/request_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/request_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens of one request: taken before it is sent, and what of them its answer used."""
+"""Reservation of prepaid tokens for a request, and the number that its response used."""
 
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 from heronladder_runtime.control_link import ControlLink
@@ -10,31 +10,30 @@
 from heronladder_router.host_routes import HostRouteTable
 from heronladder_router.tokens.access import Reservation, TokenAccess
 
-_TOKENS_AFTER_DISCONNECT = 40  # an engine may make them before it notices that its reader left
-_RESERVE_WAIT_FRACTION = (
-    0.2  # of the objective, waited at most for tokens: a refusal must come early
-)
-# Of the objective, also where control is far (172 ms of 415 were waited): a refusal must reach its
-# caller within a quarter.
+_TOKENS_AFTER_DISCONNECT = 40  # that an engine may generate before it notices a closed connection
+# Longest wait for tokens, as a fraction of the latency objective; a rejection must come early.
+_RESERVE_WAIT_FRACTION = 0.2
+# The same bound with the allowance for remote control. A rejection must reach its caller within a
+# quarter of the objective; without this bound it came after 172 ms of an objective of 415 ms.
 _MAX_RESERVE_WAIT_FRACTION = 0.23
 _MIN_RESERVE_WAIT_S = 0.1
-# Tokens may take a draw and a promise, each there and back and over to a quorum, and control may
-# stand in another region: so many of the ways there and back are waited for besides, of
-# what a way takes beyond that within a region.
+# A reservation may need a draw and a spending promise. Each takes a round trip to control and one
+# to a quorum, so that the wait grows by this multiple of the additional round-trip time if control
+# is in another region.
 _RESERVE_ROUND_TRIPS = 4
 _LOCAL_ROUND_TRIP_S = 0.006  # within a region, on a busy machine
-_MAX_REMOTE_CONTROL_S = 0.12  # a refusal must come early all the same
+_MAX_REMOTE_CONTROL_S = 0.12  # bounds the allowance, since a rejection must come early
 
 
 class RequestTokens:
-    """Takes tokens for requests.
+    """Reserves tokens for requests and computes how many they used.
 
     Args:
-        link: Tells how far control is.
-        routes: The services, for what an event of theirs costs.
-        tokens: Where tokens come from.
-        environment: Time.
-        log: Where refusals are reported.
+        link: The link to control, which measures its round-trip time.
+        routes: The services, which define the tokens per stream event.
+        tokens: Access to the prepaid tokens.
+        environment: Source of time.
+        log: Log for rejected requests.
     """
 
     def __init__(
@@ -52,10 +51,13 @@
         self._log = log
 
     async def reserve(self, request: GatewayRequest) -> Reservation | None:
-        """Return the tokens of a request; None if it needs none.
+        """Reserve the tokens of a request.
+
+        Returns:
+            The reservation; None if the request is not limited by prepaid tokens.
 
         Raises:
-            CallerError: If there are none for it in time.
+            CallerError: If the tokens could not be reserved in time.
         """
         tenant = request.matched.tenant
         if tenant is None or not tenant.limited or request.bounds is None:
@@ -88,15 +90,19 @@
             raise
 
     def _remote_control_allowance_s(self) -> float:
-        """Return what tokens take longer because control stands far away."""
-        beyond_s = max(0.0, self._link.quickest_round_trip_s - _LOCAL_ROUND_TRIP_S)
-        return min(_MAX_REMOTE_CONTROL_S, _RESERVE_ROUND_TRIPS * beyond_s)
+        """Return the additional wait for tokens if control is in another region, in seconds."""
+        additional_s = max(0.0, self._link.quickest_round_trip_s - _LOCAL_ROUND_TRIP_S)
+        return min(_MAX_REMOTE_CONTROL_S, _RESERVE_ROUND_TRIPS * additional_s)
 
     def used(self, request: GatewayRequest, progress: AnswerProgress) -> int:
-        """Return the most tokens that the tenant can have got.
+        """Return the upper bound on the tokens that the tenant received.
+
+        A tenant pays for what it receives: a request that ended before any output was handed out
+        costs nothing.
 
-        A run that ended before anything of it was handed out gave the tenant
-        nothing and costs nothing: prepaid tokens are what a tenant gets.
+        Args:
+            request: The request.
+            progress: The part of the response that was handed out.
         """
         bounds = request.bounds
         if bounds is None or not progress.handed_out:
@@ -104,8 +110,8 @@
         service = self._routes.services.get(request.profile.service)
         per_event = service.engine.tokens_per_event if service is not None else 0
         if not (per_event and progress.cutter.events):
-            return bounds.total  # a whole answer, whose tokens are not told
-        out = progress.cutter.events * per_event
+            return bounds.total  # the response does not show how many tokens it has
+        output = progress.cutter.events * per_event
         if not progress.finished:
-            out += _TOKENS_AFTER_DISCONNECT
-        return bounds.prompt + min(bounds.most_out, out)
+            output += _TOKENS_AFTER_DISCONNECT
+        return bounds.prompt + min(bounds.most_out, output)
--- a/packages/heronladder-router/src/heronladder_router/tokens/access.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/access.py
@@ -165,9 +165,8 @@
 
     @staticmethod
     def _unavailable(tenant: str, refusal: LoanRefusal) -> PrepaidUnavailableError:
-        outcome = outcome_name(refusal.outcome)
         return PrepaidUnavailableError(
-            f"none of {len(refusal.asked)} lenders granted a loan: {outcome}",
+            f"no loan: {outcome_name(refusal.outcome)}, {len(refusal.asked)} lenders asked",
             step=_STEP,
             peer=tenant,
             retry_after_s=refusal.retry_after_s or _RETRY_AT_OTHER_GATEWAY_S,
--- a/packages/heronladder-router/src/heronladder_router/tokens/initial_draws.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/initial_draws.py
@@ -37,7 +37,7 @@
         if fleet is None:
             return
         limited = (tenant for tenant in fleet.tenants if tenant.limited)
-        self._largest = nlargest(_MAX_TENANTS, limited, key=lambda tenant: tenant.prepaid_tokens)
+        self._largest = nlargest(_MAX_TENANTS, limited, key=lambda entry: entry.prepaid_tokens)
         self.draw_to_target()
 
     def draw_to_target(self) -> None:
--- a/packages/heronladder-router/src/heronladder_router/tokens/token_errors.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/token_errors.py
@@ -32,6 +32,7 @@
         retry_s: Retry-after where control is only slow, in seconds.
     """
     if balance.is_short:
-        reason = "remaining tokens are held by other gateways"
-        return unavailable(balance.tenant, reason, LATE_RETRY_S)
+        return unavailable(
+            balance.tenant, "remaining tokens are held by other gateways", LATE_RETRY_S
+        )
     return unavailable(balance.tenant, "no tokens were granted in time", retry_s)
