--- a/tests/lending_control.py
+++ b/tests/lending_control.py
@@ -1,7 +1,7 @@
-"""Control as the gateways of ``lending_fleet`` meet it: one leader after another, and their log.
+"""Fake control for the gateways of ``lending_fleet``: a sequence of leaders and their log.
 
-The accounts, the watch over routers and the notes of promises are the product's own; the log is
-a delay, after which an entry is applied unless the leader has ended. Each leader has a steady
+The accounts, the watch over routers and the recording of promises are the real code. The log is a
+delay, after which an entry is applied unless the leader has ended. Each leader has a monotonic
 clock of its own.
 """
 
@@ -21,11 +21,11 @@
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
-_COMMIT_S = 0.02  # two syncs of 5 ms and a round trip, twice as long at the most
+_COMMIT_S = 0.02  # longest commit: twice that of two 5 ms disk syncs and a round trip
 
 
 class LeaderClock(Environment):
-    """A steady clock that began at some moment of its own."""
+    """A monotonic clock with an epoch of its own."""
 
     epoch_offset_s = 0.0
 
@@ -38,10 +38,10 @@
     """One leader.
 
     Args:
-        environment: Virtual time, and every chance.
-        table: Accounts, as its log has them.
-        term: Its term.
-        current: Incarnation of each router that may act; shared by all leaders.
+        environment: Source of virtual time and randomness.
+        table: Accounts as of the log.
+        term: Term of the leader.
+        current: Current incarnation of each router; shared by all leaders.
     """
 
     def __init__(
@@ -67,23 +67,23 @@
         self.prepaid_watch.begin(term, table.last_promises)
 
     def is_current(self, name: str, incarnation: str) -> bool:
-        """Whether a router's incarnation may act."""
+        """Return whether an incarnation is the current one of its router."""
         return self._current.get(name) == incarnation
 
     def start(self) -> None:
-        """Start what runs by itself."""
+        """Start the background tasks."""
         self.tasks.start("notes", self.notes.run())
 
     async def end(self) -> None:
-        """End; what is on the way to the log is lost."""
+        """End the leader; entries that are not committed yet are lost."""
         self.ended = True
         await self.tasks.stop()
 
     async def propose(self, command: control_pb2.Command) -> control_pb2.CommandResult:
-        """Apply an entry after the time of the log."""
+        """Apply an entry after the commit delay."""
         await asyncio.sleep(self.environment.random.random() * self.commit_s)
         if self.ended:
-            raise HeronladderError("not the leader any more", step="propose", peer="control")
+            raise HeronladderError("no longer the leader", step="propose", peer="control")
         return self.table.note_promises(command.note_promises, self.is_current)
 
     def open_session(self, record: ledger_pb2.DaemonRecord) -> DaemonSession:
@@ -93,12 +93,12 @@
         return session
 
     def heartbeat(self, session: DaemonSession, heartbeat: control_pb2.Heartbeat) -> int:
-        """Take a heartbeat; return the time on the leader's clock, in ms."""
+        """Handle a heartbeat; return the time on the leader's clock, in milliseconds."""
         self.notes.heartbeat(session, heartbeat)
         return int(self.environment.monotonic() * MILLISECONDS_PER_SECOND)
 
     def close(self, holder: tuple[str, str]) -> Any:
-        """Charge a router that is gone; return its order."""
+        """Charge a router that is gone; return the command that closes its holding."""
         order = self.prepaid_watch.charges(holder, self.table)
         self.table.close(order)
         self.prepaid_watch.forget(holder)
--- a/tests/lending_fleet.py
+++ b/tests/lending_fleet.py
@@ -1,7 +1,7 @@
-"""Gateways that lend to each other, in virtual time: control, messages and crashes simulated.
+"""Simulation of gateways that lend to each other: control, messages and crashes in virtual time.
 
-The accounts of control, its watch over announcements, and all of a gateway's token code are
-the product's own. What callers got is counted apart, as it is handed out.
+The accounts of control, its watch over spending promises and all token code of the gateways are
+the real code. The tokens handed out to callers are counted separately.
 """
 
 import asyncio
@@ -28,15 +28,15 @@
 
 
 class LendingFleet:
-    """Gateways by name, their zones, and control.
+    """Gateways, the network between them, and control.
 
     Args:
-        random: Source of every chance.
+        random: Source of randomness.
         zones: Zone of each gateway, by its name.
-        limit: Tokens of the one tenant.
-        weather: How messages fare.
-        key_file: Of all gateways; empty: messages are not proved.
-        regions: Region of each zone; empty: all stand in one.
+        limit: Limit of the only tenant, in tokens.
+        message_faults: Faults of messages.
+        key_file: Path of the key file of all gateways; empty: messages are not authenticated.
+        regions: Region of each zone; empty: all are in one region.
     """
 
     def __init__(
@@ -59,13 +59,13 @@
         self.tasks = TaskGroupOwner(EventLog("test", "network"))
         table = DecidedPrepaidTable()
         table.set_limits([FakeConfiguration(limit).tenant])
-        self.current: dict[str, str] = {}  # incarnation of each gateway that may act
+        self.current: dict[str, str] = {}  # current incarnation of each gateway
         self.control = FakeControl(self.environment, table, 1, self.current)
         self.control.start()
-        self.wall_clock_offset_s: dict[str, float] = {}  # of each gateway's machine
+        self.wall_clock_offset_s: dict[str, float] = {}  # of each gateway's host
         self.processes: dict[str, GatewayProcess] = {}
         self.requests: dict[str, set[asyncio.Task[str]]] = {}
-        self.stopping: set[str] = set()  # gateways that get no new callers
+        self.stopping: set[str] = set()  # gateways without new requests
         self.partitioned_from_control: set[str] = set()
         self.partitioned_pairs: set[frozenset[str]] = set()
         self.handed_out = 0
@@ -73,7 +73,7 @@
             tuple[str, str, int], HolderKey
         ] = {}  # lender, borrower's incarnation, number
         self.handed_out_of: dict[HolderKey, int] = {}
-        self.charged_for: dict[HolderKey, int] = {}  # holders that are closed
+        self.charged_for: dict[HolderKey, int] = {}  # closed holders
         self.messages = 0
         self.failure: AssertionError | None = None
 
@@ -90,40 +90,40 @@
         return self.control.term
 
     def wall_ms(self, name: str) -> int:
-        """Return the time of day at a gateway's machine."""
+        """Return the wall-clock time at a gateway's host, in milliseconds."""
         now_s = self.environment.monotonic() + self.wall_clock_offset_s.get(name, 0.0)
         return int(now_s * MILLISECONDS_PER_SECOND) + _EPOCH_MS
 
     @property
     def account(self) -> ledger_pb2.PrepaidAccount:
-        """The account of the one tenant."""
+        """The account of the tenant."""
         return self.table.accounts[TENANT]
 
     @property
     def charged(self) -> int:
-        """Tokens used, or that somebody may still use, as control knows."""
+        """Tokens that are used or may still be used, according to control."""
         return self.table.charged(self.account)
 
     def register(self, process: GatewayProcess) -> None:
-        """Take in a process that began; the one before it has ended."""
+        """Register a started process; the earlier one of that name has ended."""
         self.current[process.name] = process.incarnation
         self.control.prepaid_watch.replaced(process.name, process.incarnation)
         for holder in list(self.account.holders):
             if holder.holder == process.name and holder.incarnation != process.incarnation:
                 self.tasks.start(
-                    "close", self._close_once_known((process.name, holder.incarnation))
+                    "close", self._close_when_allowed((process.name, holder.incarnation))
                 )
 
-    async def _close_once_known(self, holder: HolderKey) -> None:
+    async def _close_when_allowed(self, holder: HolderKey) -> None:
         while self.control.prepaid_watch.must_wait(holder):
             await asyncio.sleep(0.1)
         try:
             self.close(holder)
         except AssertionError as error:
-            self.failure = self.failure or error  # a task of its own: raised at the end
+            self.failure = self.failure or error  # raised by stop(), as this runs in a task
 
     def draw(self, order: control_pb2.DrawTokens) -> control_pb2.CommandResult:
-        """Carry out a draw; one of an incarnation that was closed is refused."""
+        """Carry out a draw; refuse it if the incarnation is closed."""
         if not self.control.is_current(order.holder, order.incarnation):
             return failure(control_pb2.RESULT_CODE_STALE, "no such incarnation of the holder")
         try:
@@ -135,13 +135,13 @@
         """Charge a holder that is gone."""
         before = self.account.closed_charge
         self.control.close(holder)
-        # A draw that came late may have opened it once more: the charges add up.
+        # A late draw may have reopened the holder; the charges add up.
         charge = self.account.closed_charge - before
         self.charged_for[holder] = self.charged_for.get(holder, 0) + charge
         self._check(holder)
 
     def declare_gone(self, process: GatewayProcess) -> None:
-        """Charge a gateway that was silent for long, which goes on and comes back."""
+        """Charge a gateway as lost that still runs, and let it reconnect as a new incarnation."""
         earlier = process.link.record.incarnation
         self.current.pop(process.name, None)
         self.close((process.name, earlier))
@@ -152,7 +152,7 @@
         process.link.end_stream()
 
     def restart_control(self) -> None:
-        """Let another leader begin from a snapshot: what was not in the log is lost."""
+        """Replace the leader by one that starts from a snapshot; uncommitted entries are lost."""
         snapshot = control_pb2.StateSnapshot()
         self.table.save(snapshot)
         table = DecidedPrepaidTable()
@@ -163,7 +163,7 @@
         self.control.start()
 
     def set_limit(self, limit: int) -> None:
-        """Change the limit, at control and everywhere."""
+        """Change the limit at control and all gateways."""
         self.limit = limit
         self.highest_limit = max(self.highest_limit, limit)
         self.table.set_limits([FakeConfiguration(limit).tenant])
@@ -175,7 +175,7 @@
     # ---- gateways ---------------------------------------------------------
 
     def start(self, name: str) -> GatewayProcess:
-        """Start a gateway, anew where it ran before."""
+        """Start a gateway, with a new incarnation if it ran before."""
         process = GatewayProcess(self, name, self.zones[name], self._key_file)
         self.processes[name] = process
         process.access.update_lenders(self.lenders())
@@ -183,7 +183,7 @@
         return process
 
     def lenders(self) -> list[control_pb2.Lender]:
-        """Return all gateways as control tells them."""
+        """Return all gateways as control reports them."""
         return [
             control_pb2.Lender(name=name, zone=zone, address=name)
             for name, zone in sorted(self.zones.items())
@@ -192,7 +192,14 @@
     def begin(
         self, process: GatewayProcess, tokens: int, used_fraction: float, duration_s: float
     ) -> "asyncio.Task[str]":
-        """Begin a request at a gateway."""
+        """Start a request at a gateway.
+
+        Args:
+            process: The gateway.
+            tokens: Upper bound on the tokens of the request.
+            used_fraction: Fraction of them that the request uses.
+            duration_s: Duration of the request, in seconds.
+        """
         task = self.tasks.start("request", process.serve(tokens, used_fraction, duration_s))
         running = self.requests.setdefault(process.incarnation, set())
         running.add(task)
@@ -200,7 +207,7 @@
         return task
 
     def hand_out(self, tokens: int, holder: HolderKey) -> None:
-        """Count what a caller got, of the tokens of a holder."""
+        """Count tokens of a holder that a caller received, and check the limits."""
         self.handed_out += tokens
         self.handed_out_of[holder] = self.handed_out_of.get(holder, 0) + tokens
         self._check(holder)
@@ -208,7 +215,7 @@
         assert self.handed_out <= self.highest_limit, (self.handed_out, self.highest_limit)
 
     def _check(self, holder: HolderKey) -> None:
-        """Check that a holder counts, or was charged, all that was handed out of its tokens."""
+        """Check that a holder counts, or was charged for, all tokens handed out of its balance."""
         handed_out = self.handed_out_of.get(holder, 0)
         charged = self.charged_for.get(holder)
         if charged is not None:
@@ -220,7 +227,7 @@
             assert handed_out <= used, (holder, handed_out, used)
 
     async def stop(self) -> None:
-        """End all."""
+        """Stop everything; raise a failure that occurred in a task."""
         for process in list(self.processes.values()):
             await process.crash()
         await self.control.end()
@@ -231,22 +238,22 @@
     # ---- the network ------------------------------------------------------
 
     def reaches_control(self, process: GatewayProcess) -> bool:
-        """Whether a process runs and control is in its reach."""
+        """Return whether a process is running and connected to control."""
         alive = self.processes.get(process.name) is process
         return alive and process.name not in self.partitioned_from_control
 
     async def passes_to_control(self, process: GatewayProcess) -> None:
-        """Take the time of a message to or from control; waits for ever in a cut."""
+        """Wait for a message to or from control to arrive, as long as a partition lasts."""
         await asyncio.sleep(self.delay_s())
         while not self.reaches_control(process):
             await asyncio.sleep(0.1)
 
     def reaches(self, one: str, other: str) -> bool:
-        """Whether messages pass between two gateways."""
+        """Return whether messages pass between two gateways."""
         return frozenset((one, other)) not in self.partitioned_pairs
 
     def delay_s(self) -> float:
-        """Return how long a message takes."""
+        """Return the delay of a message, in seconds."""
         return self.random.random() * self.message_faults.delay_s
 
     def region(self, name: str) -> str:
@@ -254,11 +261,11 @@
         return self.regions.get(self.zones[name], "")
 
     def remote_delay_s(self, one: str, other: str) -> float:
-        """Return what the way between two gateways adds, in seconds."""
+        """Return the one-way delay that the distance of two gateways adds, in seconds."""
         return REMOTE_DELAY_S if self.region(one) != self.region(other) else 0.0
 
     def partition_region(self, region: str) -> None:
-        """Cut a region off from all others, and from control."""
+        """Disconnect a region from all others and from control."""
         inside = {name for name in self.zones if self.region(name) == region}
         self.partitioned_from_control.update(inside)
         for name in inside:
@@ -267,7 +274,7 @@
             )
 
     def copies(self) -> int:
-        """Return how often a message arrives."""
+        """Return how many times a message arrives."""
         if self.random.random() < self.message_faults.lost:
             return 0
         return 2 if self.random.random() < self.message_faults.duplicated else 1
--- a/tests/lending_process.py
+++ b/tests/lending_process.py
@@ -1,4 +1,4 @@
-"""One life of a gateway that lends, its stream to control and its messages, in virtual time."""
+"""A gateway process of the simulation in ``lending_fleet``, its link to control and its stubs."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 GROUP = "r"
 HEARTBEAT_S = 0.3
 REMOTE_DELAY_S = 0.012  # one way between regions
-HolderKey = tuple[str, str]  # gateway, its incarnation as control knows it
-PROMPT_SHARE = 0.6  # of a request's tokens, handed out with its first event
+HolderKey = tuple[str, str]  # name of a gateway and its incarnation as control knows it
+PROMPT_SHARE = 0.6  # fraction of a request's tokens that are handed out with its first event
 
 
 @dataclass
 class FakeConfiguration:
-    """A configuration with one tenant, whose limit can be changed."""
+    """A configuration with one tenant whose limit can be changed."""
 
     limit: int
     listeners: list[Callable[[], None]] = field(default_factory=list)
@@ -50,7 +50,13 @@
 
 @dataclass(frozen=True)
 class MessageFaults:
-    """How messages fare: chances of each, and the longest delay in seconds."""
+    """Faults of messages.
+
+    Attributes:
+        lost: Probability that a message is lost.
+        duplicated: Probability that a message arrives twice.
+        delay_s: Longest delay, in seconds.
+    """
 
     lost: float = 0.0
     duplicated: float = 0.0
@@ -58,7 +64,7 @@
 
 
 class GatewayProcess:
-    """One life of a gateway."""
+    """One process of a gateway, from its start to its crash."""
 
     def __init__(self, fleet: LendingFleet, name: str, zone: str, key_file: str) -> None:
         self.fleet = fleet
@@ -87,7 +93,7 @@
         )
 
     def start(self) -> None:
-        """Start what runs by itself."""
+        """Start the background tasks."""
         for listener in self.link.configuration.listeners:
             listener()
         self.access.start()
@@ -100,7 +106,7 @@
             await self.link.beat()
 
     async def crash(self) -> None:
-        """End at once: nothing is settled or told any more."""
+        """End at once, without settling or reporting anything."""
         self.fleet.processes.pop(self.name, None)
         for request in list(self.fleet.requests.get(self.incarnation, ())):
             request.cancel()
@@ -108,7 +114,7 @@
         await self.access.stop()
 
     async def serve(self, tokens: int, used_fraction: float, duration_s: float) -> str:
-        """Serve a request; return "served", or why it was refused."""
+        """Serve a request; return "served", or the error code of its rejection."""
         tenant = self.link.configuration.tenant
         try:
             reservation = await self.access.reserve(tenant, tokens, 0.17, "request")
@@ -123,12 +129,12 @@
                 self.fleet.hand_out(amount, holder)
                 used += amount
         finally:
-            if self.fleet.processes.get(self.name) is self:  # a process that ended says nothing
+            if self.fleet.processes.get(self.name) is self:  # an ended process settles nothing
                 reservation.settle(used)
         return "served"
 
     def _holder_of(self, reservation: Reservation) -> HolderKey:
-        """Return under which incarnation of which gateway tokens are charged."""
+        """Return the gateway and the incarnation to which the tokens are charged."""
         if isinstance(reservation, Loan):
             borrower = self.access.borrowed._incarnation
             return self.fleet.granted[reservation.lender, borrower, reservation._number]
@@ -136,7 +142,7 @@
 
 
 class FakeControlLink:
-    """A gateway's link to control, with what ``TokenAccess`` asks of it."""
+    """A gateway's link to control, as far as ``TokenAccess`` uses it."""
 
     def __init__(self, fleet: LendingFleet, process: GatewayProcess) -> None:
         self._fleet = fleet
@@ -148,15 +154,15 @@
         self.routers = len(fleet.zones)
         self.control_time_ms = 0
         self.cluster_version = LATEST_VERSION
-        self._beats = 0
-        self._stream = 0  # term of the control it is open to; 0: none
+        self._heartbeats_sent = 0
+        self._stream = 0  # term of the leader of the open stream; 0: none
         self._session: DaemonSession | None = None
-        self._in_order = asyncio.Lock()
+        self._heartbeat_lock = asyncio.Lock()
 
     async def call(
         self, command: control_pb2.Command, timeout_s: float | None = None
     ) -> control_pb2.CommandResult:
-        """Have a command carried out; its answer may be lost."""
+        """Send a command to control; the command or its result may be lost."""
         try:
             async with asyncio.timeout(timeout_s):
                 await self._fleet.passes_to_control(self._process)
@@ -171,33 +177,33 @@
         self._process.tasks.start("beat_now", self.beat())
 
     async def beat(self) -> None:
-        """Send a heartbeat and take its answer.
+        """Send a heartbeat and process its reply.
 
-        Heartbeats of a stream come in order. A stream that a cut breaks, or an end of control,
-        takes what is under way with it; the next one tells all anew.
+        Heartbeats of a stream arrive in order. A partition or the end of the leader breaks the
+        stream, and messages in flight are lost; the next stream sends everything again.
         """
-        async with self._in_order:
+        async with self._heartbeat_lock:
             if not self._fleet.reaches_control(self._process):
                 self._stream = 0
                 return
             if self._stream != self._fleet.term:
                 self._open_stream()
             stream = self._stream
-            self._beats += 1
+            self._heartbeats_sent += 1
             heartbeat = control_pb2.Heartbeat(
-                number=self._beats,
+                number=self._heartbeats_sent,
                 control_time_ms=self.control_time_ms,
                 wall_ms=self._fleet.wall_ms(self._process.name),
             )
             self._process.access.held.fill_heartbeat(heartbeat)
-            if not await self._passes(stream):
+            if not await self._message_arrives(stream):
                 return
             assert self._session is not None
             now_ms = self._fleet.control.heartbeat(self._session, heartbeat)
-            # What was noted by now goes with the answer.
+            # The reply carries the promises that are committed by now.
             noted = self._session.promises_noted
-            if await self._passes(stream):
-                self._take_answer(noted, now_ms)
+            if await self._message_arrives(stream):
+                self._process_reply(noted, now_ms)
 
     def _open_stream(self) -> None:
         self._stream = self._fleet.term
@@ -205,29 +211,29 @@
         self.cluster_version = LATEST_VERSION
         self._process.access.held.session_began()
         self._session = self._fleet.control.open_session(self.record)
-        self._process.tasks.start("noted", self._pass_notes_on(self._session, self._stream))
+        self._process.tasks.start("noted", self._report_commits(self._session, self._stream))
 
-    async def _pass_notes_on(self, session: DaemonSession, stream: int) -> None:
-        """Tell the gateway of notes between two heartbeats, as frames of the stream would."""
-        told = 0
+    async def _report_commits(self, session: DaemonSession, stream: int) -> None:
+        """Report committed promises to the gateway between heartbeats, as stream frames would."""
+        reported = 0
         while self._session is session:
             noted = session.promises_noted
-            if noted <= told:
+            if noted <= reported:
                 await session.wake.wait()
-            elif await self._passes(stream) and self._session is session:
-                told = noted
+            elif await self._message_arrives(stream) and self._session is session:
+                reported = noted
                 self._process.access.held.confirmed(noted)
 
-    async def _passes(self, stream: int) -> bool:
-        """Whether a message of a stream arrives."""
+    async def _message_arrives(self, stream: int) -> bool:
+        """Return whether a message of a stream arrives."""
         await asyncio.sleep(self._fleet.delay_s())
-        whole = self._fleet.reaches_control(self._process) and stream == self._fleet.term
-        if not whole or stream != self._stream:
+        is_open = self._fleet.reaches_control(self._process) and stream == self._fleet.term
+        if not is_open or stream != self._stream:
             self._stream = 0
             return False
         return True
 
-    def _take_answer(self, noted: int, control_time_ms: int) -> None:
+    def _process_reply(self, noted: int, control_time_ms: int) -> None:
         self.control_time_ms = control_time_ms
         now_s = self._fleet.environment.monotonic()
         silent_s = now_s - self.last_heard_s
@@ -239,12 +245,12 @@
             self._process.access.held.confirmed(noted)
 
     def end_stream(self) -> None:
-        """Have the next heartbeat open a new stream."""
+        """Let the next heartbeat open a new stream."""
         self._stream = 0
 
 
 class FakeLendingStubs:
-    """Carries loan messages, which may be lost, doubled, late or out of order."""
+    """Carries loan messages, which may be lost, duplicated, delayed or reordered."""
 
     def __init__(self, fleet: LendingFleet, source: str) -> None:
         self._fleet = fleet
@@ -252,13 +258,13 @@
         self._target = ""
 
     def lending(self, address: str) -> FakeLendingStubs:
-        """Return a stub of a gateway."""
+        """Return a stub for a gateway."""
         stub = FakeLendingStubs(self._fleet, self._source)
         stub._target = address
         return stub
 
     async def Lend(self, request: lending_pb2.LendRequest, timeout: float) -> lending_pb2.LendReply:
-        """Carry a message to whatever process runs there when it comes."""
+        """Deliver a message to the process that runs at the target when the message arrives."""
         fleet = self._fleet
         fleet.messages += 1
         copy = lending_pb2.LendRequest.FromString(request.SerializeToString())
@@ -273,7 +279,7 @@
             raise TimeoutError("late")
         reply = done.pop().result()
         if reply is None or fleet.copies() == 0:
-            raise OSError("no process, or its answer was lost")
+            raise OSError("no process at the target, or its reply was lost")
         return reply
 
     async def _deliver(self, request: lending_pb2.LendRequest) -> lending_pb2.LendReply | None:
--- a/tests/lending_run.py
+++ b/tests/lending_run.py
@@ -1,6 +1,7 @@
-"""Random runs of gateways that lend to each other, in virtual time, while all that can fails.
+"""Random fault-injection runs of gateways that lend to each other, in virtual time.
 
-At each step nothing that callers got passes what control has charged, nor the highest limit.
+At each step the tokens handed out to callers must exceed neither the tokens that control has
+charged nor the highest limit so far.
 
 Usage: ``python tests/lending_run.py --seeds 100 --first 1000``.
 """
@@ -24,18 +25,18 @@
 _RUN_S = 30.0
 _OUTAGE_RUN_S = 20.0
 _REQUESTS_PER_SECOND = 20
-_POWER_LOSS_PROBABILITY = 0.3  # of the troubles that may be one
+_POWER_LOSS_PROBABILITY = 0.3  # for one of the ten kinds of faults; else it changes known lenders
 _LARGE_LIMIT = 20_000_000
 _BUSY_REQUESTS_PER_SECOND = 50
 _BURST_INTERVAL_S = 0.1
-_REQUESTS_PER_BURST = 3  # each time, at each holder
+_REQUESTS_PER_BURST = 3  # at each holder
 _BURST_TOKENS = 25_000
 _DISCONNECTED_S = (0.0, 0.4, 0.9, 1.8, 3.0, 4.2, 5.5)
 _RECONNECT_FIRST_PROBABILITY = 0.3
 _AFTER_RECONNECT_S = (0.02, 0.1, 0.3, 0.7)
 _LEADER_LOST_PROBABILITY = 0.7
 _DOWN_S = (0.7, 1.5, 3.0, 6.0)
-_CHANGED_CLOCKS = 3  # of the twelve at once
+_CHANGED_CLOCKS = 3  # of the twelve hosts, at the same time
 _WALL_CLOCK_OFFSETS_S = (-2.0, 0.0, 2.0)
 _BURST_PROBABILITY = 0.5
 _BURST_REQUESTS = 20
@@ -47,44 +48,45 @@
 _EXHAUSTION_REQUESTS_PER_BURST = 2
 _RECALL_PROBABILITY = 0.3
 _CRASH_PROBABILITY = 0.02
-_REGION_PARTITION_PROBABILITY = 0.25  # of the troubles
+_REGION_PARTITION_PROBABILITY = 0.25  # of all faults
 
 
 async def traffic(
     fleet: LendingFleet,
     seconds: float,
     requests_per_second: int,
-    shares: tuple[float, ...] = (0.0, 0.5, 1.0),
+    used_fractions: tuple[float, ...] = (0.0, 0.5, 1.0),
 ) -> dict[str, int]:
-    """Have callers ask at gateways drawn at random; return answers by kind.
+    """Send requests to randomly chosen gateways; return the number of each outcome.
 
     Args:
         fleet: The gateways.
-        seconds: For how long.
-        a_second: Requests a second.
-        shares: What of the tokens asked for a request may use.
+        seconds: Duration, in seconds.
+        requests_per_second: Rate of requests.
+        used_fractions: Fractions of its tokens that a request may use, one of which is chosen at
+            random.
     """
     tasks = []
     for _ in range(int(seconds * requests_per_second)):
-        running = [one for one in fleet.processes.values() if one.name not in fleet.stopping]
+        running = [each for each in fleet.processes.values() if each.name not in fleet.stopping]
         if running:
-            share = fleet.random.choice(shares)
-            tasks.append(fleet.begin(fleet.random.choice(running), TOKENS, share, 0.4))
+            used_fraction = fleet.random.choice(used_fractions)
+            tasks.append(fleet.begin(fleet.random.choice(running), TOKENS, used_fraction, 0.4))
         await asyncio.sleep(1 / requests_per_second)
-    got: dict[str, int] = {}
-    for answer in await asyncio.gather(*tasks, return_exceptions=True):
-        kind = answer if isinstance(answer, str) else "lost"
-        if not isinstance(answer, str | asyncio.CancelledError):
-            raise answer
-        got[kind] = got.get(kind, 0) + 1
-    return got
+    counts: dict[str, int] = {}
+    for result in await asyncio.gather(*tasks, return_exceptions=True):
+        outcome = result if isinstance(result, str) else "lost"
+        if not isinstance(result, str | asyncio.CancelledError):
+            raise result
+        counts[outcome] = counts.get(outcome, 0) + 1
+    return counts
 
 
 async def random_run(seed: int) -> LendingFleet:
-    """Play one seed; return the fleet, ended.
+    """Run one seed with random faults; return the stopped fleet.
 
     Raises:
-        AssertionError: If a caller got what was not charged, or a limit was passed.
+        AssertionError: If tokens were handed out that are not charged, or a limit was exceeded.
     """
     message_faults = MessageFaults(lost=0.1, duplicated=0.1, delay_s=0.25)
     fleet = LendingFleet(Random(seed), ZONES, _LIMIT, message_faults)
@@ -101,10 +103,10 @@
 
 
 async def region_run(seed: int) -> LendingFleet:
-    """Play one seed over two regions whose link is cut again and again; return the fleet, ended.
+    """Run one seed with two regions and repeated partitions; return the stopped fleet.
 
     Raises:
-        AssertionError: If a caller got what was not charged, or a limit was passed.
+        AssertionError: If tokens were handed out that are not charged, or a limit was exceeded.
     """
     message_faults = MessageFaults(lost=0.1, duplicated=0.1, delay_s=0.25)
     fleet = LendingFleet(Random(seed), REGION_ZONES, _LIMIT, message_faults, regions=REGIONS)
@@ -129,7 +131,7 @@
     kind = fleet.random.randrange(10)
     if kind == 0 and process is not None:
         if fleet.random.random() < _BURST_PROBABILITY:
-            for _ in range(_BURST_REQUESTS):  # more than was announced, between two heartbeats
+            for _ in range(_BURST_REQUESTS):  # exceeds the promise between two heartbeats
                 fleet.begin(process, TOKENS, 1.0, _BURST_REQUEST_DURATION_S)
             await asyncio.sleep(2 * _BURST_REQUEST_DURATION_S)
         await process.crash()
@@ -144,7 +146,7 @@
         fleet.restart_control()
     elif kind == 5 and process is not None:
         fleet.partitioned_from_control.discard(name)
-        fleet.declare_gone(process)  # as one that was frozen, and comes back
+        fleet.declare_gone(process)  # as after a long pause of the process
     elif kind == 6:
         fleet.set_limit(fleet.random.choice(_LIMITS))
     elif kind == 7 and fleet.random.random() < _POWER_LOSS_PROBABILITY:
@@ -154,24 +156,25 @@
         await asyncio.sleep(fleet.random.choice(_DOWN_S))
         for each_name in fleet.zones:
             fleet.start(each_name)
-    elif kind == 9:  # the time of day is set on some machines, or set back
+    elif kind == 9:  # wall clocks of some hosts are set, or set back
         for each_name in fleet.random.sample(sorted(fleet.zones), _CHANGED_CLOCKS):
             fleet.wall_clock_offset_s[each_name] = fleet.random.choice(_WALL_CLOCK_OFFSETS_S)
-    else:  # another view of who holds
-        seen = fleet.random.sample(fleet.lenders(), _VISIBLE_LENDERS)
+    else:  # some gateways know only a part of the lenders
+        visible = fleet.random.sample(fleet.lenders(), _VISIBLE_LENDERS)
         for each in list(fleet.processes.values())[:_GATEWAYS_WITH_OTHER_VIEW]:
             each.access.update_lenders(
-                [control_pb2.Lender(name=gone) for gone in fleet.zones] + seen
+                [control_pb2.Lender(name=removed) for removed in fleet.zones] + visible
             )
 
 
 async def outage_run(seed: int) -> LendingFleet:
-    """Play one seed of losses right after, or amid, a silence of control; return the fleet, ended.
+    """Run one seed of gateway losses during or right after outages; return the stopped fleet.
 
-    Tokens last: what is used in a silence is what a lost gateway must be charged for.
+    An outage disconnects gateways from control. The limit is so high that tokens last: a lost
+    gateway must be charged for all that it used in the outage.
 
     Raises:
-        AssertionError: If a caller got what was not charged.
+        AssertionError: If tokens were handed out that are not charged.
     """
     fleet = LendingFleet(Random(seed), ZONES, _LARGE_LIMIT, MessageFaults(delay_s=0.05))
     for name in ZONES:
@@ -186,9 +189,9 @@
 
 
 async def send_bursts(fleet: LendingFleet, requests: int = _REQUESTS_PER_BURST) -> None:
-    """Ask holders for more than they promised, until cancelled.
+    """Send bursts that exceed the spending promises of holders, until cancelled.
 
-    Others borrow, and ask no more for a moment after a refusal.
+    Only holders get bursts: other gateways borrow, and stop asking for a while after a refusal.
     """
     while True:
         for process in list(fleet.processes.values()):
@@ -199,14 +202,14 @@
 
 
 async def _outage_and_loss(fleet: LendingFleet) -> None:
-    cut = fleet.random.sample(sorted(ZONES), fleet.random.choice((0, 3, len(ZONES))))
-    fleet.partitioned_from_control.update(cut)
-    rushing = asyncio.create_task(send_bursts(fleet))
+    disconnected = fleet.random.sample(sorted(ZONES), fleet.random.choice((0, 3, len(ZONES))))
+    fleet.partitioned_from_control.update(disconnected)
+    bursts = asyncio.create_task(send_bursts(fleet))
     await asyncio.sleep(fleet.random.choice(_DISCONNECTED_S))
     if fleet.random.random() < _RECONNECT_FIRST_PROBABILITY:
         fleet.partitioned_from_control.clear()
         await asyncio.sleep(fleet.random.choice(_AFTER_RECONNECT_S))
-    rushing.cancel()
+    bursts.cancel()
     lost = fleet.random.choice((list(ZONES), fleet.random.sample(sorted(ZONES), 4)))
     for name in lost:
         if name in fleet.processes:
@@ -223,12 +226,12 @@
 
 
 async def exhaustion_run(seed: int) -> LendingFleet:
-    """Play one seed in which all rush for the last tokens; return the fleet, ended.
+    """Run one seed in which all gateways compete for the last tokens; return the stopped fleet.
 
-    Gateways are asked to give back again and again, and some are lost.
+    Tokens are recalled from gateways again and again, and some gateways crash.
 
     Raises:
-        AssertionError: If callers got more than the limit, or than what was charged.
+        AssertionError: If tokens were handed out beyond the limit or beyond what is charged.
     """
     fleet = LendingFleet(
         Random(seed),
@@ -238,11 +241,11 @@
     )
     for name in ZONES:
         fleet.start(name)
-    rushing = asyncio.create_task(send_bursts(fleet, _EXHAUSTION_REQUESTS_PER_BURST))
-    asking = asyncio.create_task(
+    bursts = asyncio.create_task(send_bursts(fleet, _EXHAUSTION_REQUESTS_PER_BURST))
+    requests = asyncio.create_task(
         traffic(fleet, _EXHAUSTION_RUN_S, _BUSY_REQUESTS_PER_SECOND, (0.5, 1.0))
     )
-    while not asking.done():
+    while not requests.done():
         await asyncio.sleep(_BURST_INTERVAL_S * fleet.random.random())
         for process in list(fleet.processes.values()):
             if fleet.random.random() < _RECALL_PROBABILITY:
@@ -251,8 +254,8 @@
             name = fleet.random.choice(sorted(ZONES))
             await fleet.processes[name].crash()
             fleet.start(name)
-    rushing.cancel()
-    asking.result()
+    bursts.cancel()
+    requests.result()
     handed_out, charged = fleet.handed_out, fleet.charged
     await fleet.stop()
     assert handed_out <= charged <= _EXHAUSTION_LIMIT, (handed_out, charged, _EXHAUSTION_LIMIT)
@@ -260,13 +263,13 @@
 
 
 def main() -> int:
-    """Play seeds; return how many failed."""
+    """Run seeds; return the number of failed ones."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--first", type=int, default=0)
-    parser.add_argument("--losses", action="store_true", help="losses amid silences only")
-    parser.add_argument("--regions", action="store_true", help="two regions and cuts between")
-    parser.add_argument("--scarce", action="store_true", help="a rush for the last tokens")
+    parser.add_argument("--losses", action="store_true", help="losses during outages only")
+    parser.add_argument("--regions", action="store_true", help="two regions and partitions")
+    parser.add_argument("--scarce", action="store_true", help="competition for the last tokens")
     options = parser.parse_args()
     run = outage_run if options.losses else region_run if options.regions else random_run
     run = exhaustion_run if options.scarce else run
--- a/tests/prepaid_loss_scenarios.py
+++ b/tests/prepaid_loss_scenarios.py
@@ -1,4 +1,4 @@
-"""Losses of gateways, and of control's leader, right when their tokens are in use."""
+"""Scenarios in which gateways, and control's leader, are lost while tokens are in use."""
 
 import asyncio
 from random import Random
@@ -10,11 +10,11 @@
 
 _LIMIT = 20_000_000
 _WARMUP_S = 4.0
-_OFFSET_CLOCKS = sorted(ZONES)[::3]  # a third of all
+_OFFSET_CLOCKS = sorted(ZONES)[::3]  # a third of the gateways
 
 
 async def warm_fleet(seed: int = 3) -> tuple[LendingFleet, "asyncio.Task[Any]"]:
-    """Return gateways that have served for some seconds, and their callers."""
+    """Return gateways that have served requests for some seconds, and the task that sends them."""
     fleet = LendingFleet(Random(seed), ZONES, _LIMIT, MessageFaults(delay_s=0.05))
     for name in ZONES:
         fleet.start(name)
@@ -24,6 +24,7 @@
 
 
 async def crash_all(fleet: LendingFleet, *, leader_too: bool = True, down_s: float = 0.7) -> None:
+    """Crash all gateways and reconnect the network, then start them again after ``down_s``."""
     for process in list(fleet.processes.values()):
         await process.crash()
     if leader_too:
@@ -35,6 +36,7 @@
 
 
 async def end(fleet: LendingFleet, callers: "asyncio.Task[Any]") -> LendingFleet:
+    """Let the lost gateways be charged, then stop everything; return the fleet."""
     await asyncio.sleep(4)
     callers.cancel()
     await fleet.stop()
@@ -44,13 +46,13 @@
 async def loss_during_burst(
     silent_s: float, *, leader_first: bool = False, clock_offset_s: float = 0.0
 ) -> LendingFleet:
-    """All lose power when control has been silent for a while and callers asked for more.
+    """Lose all gateways after a partition from control during which load rose.
 
     Args:
-        silent_s: For how long, in seconds.
-        leader_first: Whether the leader ended as the silence began, so that its notes stay those
-            of that moment; otherwise they tell of the silence.
-        clock_ahead_s: How far a third of the wall clocks was ahead then, and is not later.
+        silent_s: Duration of the partition, in seconds.
+        leader_first: Whether the leader ends as the partition begins, so that its log keeps the
+            state of that time; otherwise the leader records the silence of the gateways.
+        clock_offset_s: Offset of a third of the wall clocks until the loss, in seconds.
     """
     fleet, callers = await warm_fleet()
     for name in _OFFSET_CLOCKS:
@@ -58,35 +60,35 @@
     await asyncio.sleep(1)
     fleet.partitioned_from_control.update(ZONES)
     fleet.control.ended = leader_first
-    rushing = asyncio.create_task(send_bursts(fleet))
+    bursts = asyncio.create_task(send_bursts(fleet))
     await asyncio.sleep(silent_s)
-    rushing.cancel()
+    bursts.cancel()
     fleet.wall_clock_offset_s.clear()
     await crash_all(fleet)
     return await end(fleet, callers)
 
 
 async def loss_on_reconnect() -> LendingFleet:
-    """Gateways end as they are heard again, before the log has what they used meanwhile."""
+    """Lose all gateways as they reconnect, before their promises are committed to the log."""
     fleet, callers = await warm_fleet()
     fleet.partitioned_from_control.update(ZONES)
-    rushing = asyncio.create_task(send_bursts(fleet))
+    bursts = asyncio.create_task(send_bursts(fleet))
     await asyncio.sleep(3.5)
     fleet.control.commit_s = 60.0
     fleet.partitioned_from_control.clear()
-    await asyncio.sleep(0.9)  # heard, and told of that
-    rushing.cancel()
+    await asyncio.sleep(0.9)  # reconnected, and informed of it
+    bursts.cancel()
     await crash_all(fleet, leader_too=False)
     fleet.control.commit_s = 0.02
     return await end(fleet, callers)
 
 
 async def loss_of_uncommitted_promise() -> LendingFleet:
-    """All lose power while the log takes long and callers ask for more."""
+    """Lose all gateways while commits are slow and load rises."""
     fleet, callers = await warm_fleet()
     fleet.control.commit_s = 60.0
-    rushing = asyncio.create_task(send_bursts(fleet))
+    bursts = asyncio.create_task(send_bursts(fleet))
     await asyncio.sleep(0.7)
-    rushing.cancel()
+    bursts.cancel()
     await crash_all(fleet)
     return await end(fleet, callers)
