--- a/tests/test_gateway_lending.py
+++ b/tests/test_gateway_lending.py
@@ -1,4 +1,4 @@
-"""Gateways that lend prepaid tokens to each other, over real sockets, with control gone."""
+"""Lending of prepaid tokens between gateways over real sockets, with control down."""
 
 import asyncio
 import itertools
@@ -24,7 +24,7 @@
 _PROMPT_TOKENS = 1_000
 _MAX_OUTPUT_TOKENS = 80
 _GATEWAYS = 4
-_DISCONNECTED_S = 2.5  # by then all that is held may be used
+_DISCONNECTED_S = 2.5  # gateways are disconnected from control by then
 _TIMEOUT_S = 10.0
 _ENGINE = {"slots": 8, "kvCapacityTokens": 100_000, "stride": 8}
 
@@ -73,7 +73,7 @@
         )
 
     async def _ask_until_served(self, gateway: StartedGateway) -> None:
-        """Ask as a caller does that is told when to come back: a loan may come too late."""
+        """Retry after the announced time until served, since a loan may arrive too late."""
         async with asyncio.timeout(_TIMEOUT_S):
             while True:
                 got = await self._ask(gateway, next(self._numbers))
@@ -91,7 +91,10 @@
         raise AssertionError("no gateway holds the tenant")
 
     def _spent_and_on_loan(self) -> tuple[int, int]:
-        """Of all gateways: each holder has stock and may lend, and any gateway may have drawn."""
+        """Return the spent tokens and the open loans of all gateways.
+
+        Each holder has a balance and may lend, and any other gateway may have drawn tokens.
+        """
         spent = on_loan = 0
         for gateway in self.fleet.gateways:
             role = gateway.daemon.gateway
@@ -102,7 +105,7 @@
         return spent, on_loan
 
     async def test_gateways_that_were_never_asked_serve_in_a_cut(self) -> None:
-        """Tokens lay at one gateway; the others refused all while control was out of reach."""
+        """With tokens at one gateway only, the others reject everything while control is down."""
         await self._ask_until_served(self.fleet.gateways[0])
         await self.fleet.control.abort()
         await asyncio.sleep(_DISCONNECTED_S)
@@ -127,13 +130,13 @@
         await self._ask_until_served(others[0])
         await asyncio.sleep(0.5)
         assert holder.daemon.gateway is not None
-        # Each of the tenant's holders has stock, and any of them may have lent.
+        # Each of the tenant's holders has a balance, and any of them may have lent tokens.
         used = holder.daemon.gateway.tokens.held._balances["tenant-a"].spent
         await holder.daemon.gateway.stop()
         assert self.fleet.control.control is not None
         account = self.fleet.control.control.state.prepaid.accounts["tenant-a"]
         async with asyncio.timeout(_TIMEOUT_S):
-            # The gateway that holds for the tenant from now on has drawn its stock.
+            # The gateway that is now a holder in place of the stopped one draws its balance.
             while (
                 grant_rules.charged(account) - self._free_tokens_at(others)
                 != _PROMPT_TOKENS + _MAX_OUTPUT_TOKENS
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -1,4 +1,4 @@
-"""Loans of prepaid tokens: never over a limit, whatever is lost, and what a cut then costs."""
+"""Loans of prepaid tokens: no limit is exceeded, whatever fails, and partitions cost little."""
 
 import asyncio
 import itertools
@@ -44,7 +44,7 @@
 
 
 async def _settle_all(fleet: LendingFleet) -> None:
-    """Let messages pass again, and have all gateways give everything back."""
+    """End all partitions and message faults, and let all gateways return their tokens."""
     fleet.partitioned_from_control.clear()
     fleet.partitioned_pairs.clear()
     fleet.message_faults = MessageFaults()
@@ -53,9 +53,12 @@
         await process.access.return_all(1.0)
 
 
-class CutTest(unittest.TestCase):
-    def test_a_cut_of_all_gateways_from_control_refuses_few(self) -> None:
-        """2,712 tries were refused in two cuts of 8 s: tokens lay where nobody asked."""
+class PartitionTest(unittest.TestCase):
+    def test_a_partition_of_all_gateways_from_control_rejects_few_requests(self) -> None:
+        """Tokens lie at gateways that get no requests while others reject theirs.
+
+        Two partitions of 8 s caused 2,712 rejections.
+        """
 
         async def work() -> tuple[dict[str, int], int]:
             fleet = _fleet()
@@ -63,18 +66,18 @@
                 fleet.start(name)
             await traffic(fleet, 10, 20)
             fleet.partitioned_from_control.update(ZONES)
-            got = await traffic(fleet, 8, 20)
+            outcomes = await traffic(fleet, 8, 20)
             fleet.partitioned_from_control.clear()
             await _settle_all(fleet)
             left = fleet.charged - fleet.handed_out
             await fleet.stop()
-            return got, left
+            return outcomes, left
 
-        got, left = run_virtual(work())
-        self.assertGreaterEqual(got.get("served", 0), 0.97 * 160, got)
+        outcomes, left = run_virtual(work())
+        self.assertGreaterEqual(outcomes.get("served", 0), 0.97 * 160, outcomes)
         self.assertEqual(left, 0)
 
-    def test_with_no_lender_in_reach_a_refusal_comes_at_once(self) -> None:
+    def test_a_request_is_rejected_at_once_if_no_lender_is_reachable(self) -> None:
         async def work() -> tuple[str, float, int]:
             fleet = _fleet()
             for name in ZONES:
@@ -85,57 +88,62 @@
                 frozenset(pair) for pair in itertools.combinations(ZONES, 2)
             )
             await asyncio.sleep(4)
-            lone = _borrower(fleet)
+            borrower = _borrower(fleet)
             fleet.messages = 0
             began_s = fleet.environment.monotonic()
-            got = await lone.serve(TOKENS, 1.0, 0.1)
+            outcome = await borrower.serve(TOKENS, 1.0, 0.1)
             took_s = fleet.environment.monotonic() - began_s
             await fleet.stop()
-            return got, took_s, fleet.messages
+            return outcome, took_s, fleet.messages
 
-        got, took_s, messages = run_virtual(work())
-        self.assertEqual(got, "prepaid_unavailable")
+        outcome, took_s, messages = run_virtual(work())
+        self.assertEqual(outcome, "prepaid_unavailable")
         self.assertLess(took_s, 0.2)
         self.assertLessEqual(messages, 3)
 
-    def test_an_empty_account_costs_few_messages(self) -> None:
+    def test_an_exhausted_account_causes_few_messages(self) -> None:
         async def work() -> tuple[dict[str, int], float]:
             fleet = _fleet(limit=200_000)
             for name in ZONES:
                 fleet.start(name)
             await traffic(fleet, 10, 20)
             fleet.messages = 0
-            got = await traffic(fleet, 5, 40)
-            asked = sum(got.values())
+            outcomes = await traffic(fleet, 5, 40)
+            asked = sum(outcomes.values())
             await fleet.stop()
-            return got, fleet.messages / asked
+            return outcomes, fleet.messages / asked
 
-        got, messages = run_virtual(work())
-        self.assertGreater(got.get("prepaid_exhausted", 0) + got.get("prepaid_unavailable", 0), 50)
+        outcomes, messages = run_virtual(work())
+        self.assertGreater(
+            outcomes.get("prepaid_exhausted", 0) + outcomes.get("prepaid_unavailable", 0), 50
+        )
         self.assertLess(messages, 3.0)
 
 
 class StartTest(unittest.TestCase):
     def test_holders_have_tokens_before_the_first_request(self) -> None:
-        """182 tries were refused in the first two seconds of a day, while all tokens were left."""
+        """Holders that draw only with their first request reject it.
+
+        This caused 182 rejections in the first two seconds of a run, while all tokens were left.
+        """
 
         async def work() -> tuple[list[int], str]:
             fleet = _fleet()
             for name in ZONES:
                 fleet.start(name)
             await asyncio.sleep(1)
-            stocks = [
+            balances = [
                 process.access.held.free(TENANT)
                 for process in fleet.processes.values()
                 if process.access.lenders.is_holder(TENANT)
             ]
-            got = await _borrower(fleet).serve(TOKENS, 1.0, 0.1)
+            outcome = await _borrower(fleet).serve(TOKENS, 1.0, 0.1)
             await fleet.stop()
-            return stocks, got
+            return balances, outcome
 
-        stocks, got = run_virtual(work())
-        self.assertEqual(stocks, [_LIMIT // 12] * 3)
-        self.assertEqual(got, "served")
+        balances, outcome = run_virtual(work())
+        self.assertEqual(balances, [_LIMIT // 12] * 3)
+        self.assertEqual(outcome, "served")
 
     def test_a_holder_that_restarted_has_tokens_before_the_first_request(self) -> None:
         async def work() -> int:
@@ -159,22 +167,25 @@
 
 
 class RefusedSettlementTest(unittest.TestCase):
-    def test_a_lender_that_refuses_settlements_is_not_asked_without_a_pause(self) -> None:
-        """100,800 refused messages in 8 s of 31 gateways: settlements sent again at once."""
+    def test_settlements_that_a_lender_refuses_are_retried_with_a_pause(self) -> None:
+        """Settlements that are resent at once after a refusal flood the lender.
+
+        31 gateways sent 100,800 refused messages in 8 s.
+        """
 
         async def work() -> tuple[int, int]:
             fleet = _fleet()
             for name in ZONES:
                 fleet.start(name)
             await asyncio.sleep(3)
-            lone = _borrower(fleet)
-            self.assertEqual(await lone.serve(TOKENS, 1.0, 0.01), "served")
+            borrower = _borrower(fleet)
+            self.assertEqual(await borrower.serve(TOKENS, 1.0, 0.01), "served")
             with patch.object(LoanBook, "_refusal_reason", lambda loan_book, request: "not_proved"):
                 fleet.messages = 0
                 await asyncio.sleep(5)
                 sent = fleet.messages
             await asyncio.sleep(2)
-            accounts = lone.access.borrowed._accounts.values()
+            accounts = borrower.access.borrowed._accounts.values()
             untold = sum(len(account.unsettled) for account in accounts)
             await fleet.stop()
             return sent, untold
@@ -184,9 +195,12 @@
         self.assertEqual(left, 0)
 
 
-class OwnStockTest(unittest.TestCase):
-    def test_callers_that_keep_to_a_gateway_need_no_loans(self) -> None:
-        """353 loans were asked over a full link in 2 s, and none was answered in time."""
+class LocalBalanceTest(unittest.TestCase):
+    def test_a_gateway_with_busy_callers_needs_no_loans(self) -> None:
+        """A gateway that borrows for each request may saturate its link to the lender.
+
+        Of 353 loan requests in 2 s over such a link none was answered in time.
+        """
 
         async def work() -> dict[str, int]:
             fleet = _fleet()
@@ -195,17 +209,17 @@
             await asyncio.sleep(1)
             busy = _borrower(fleet)
             fleet.partitioned_pairs.update(frozenset((busy.name, other)) for other in ZONES)
-            got: dict[str, int] = {}
+            outcomes: dict[str, int] = {}
             for number in range(100):
                 answer = await busy.serve(TOKENS, 1.0, 0.05)
                 if number >= 50:
-                    got[answer] = got.get(answer, 0) + 1
+                    outcomes[answer] = outcomes.get(answer, 0) + 1
             await fleet.stop()
-            return got
+            return outcomes
 
         self.assertEqual(run_virtual(work()), {"served": 50})
 
-    def test_stock_goes_back_once_the_callers_are_elsewhere(self) -> None:
+    def test_tokens_are_returned_once_the_callers_have_moved(self) -> None:
         async def work() -> int:
             fleet = _fleet()
             for name in ZONES:
@@ -224,7 +238,7 @@
 
 
 class LossTest(unittest.TestCase):
-    def test_a_dead_borrower_costs_its_loans_in_flight(self) -> None:
+    def test_a_crashed_borrower_costs_its_loans_in_flight(self) -> None:
         async def work() -> tuple[int, int]:
             fleet = _fleet()
             for name in ZONES:
@@ -245,7 +259,7 @@
         charged, handed_out = run_virtual(work())
         self.assertEqual((charged, handed_out), (3 * TOKENS, 0))
 
-    def test_a_request_given_up_while_it_asks_leaves_nothing_on_loan(self) -> None:
+    def test_a_request_cancelled_while_borrowing_leaves_nothing_on_loan(self) -> None:
         async def work() -> tuple[int, int]:
             fleet = _fleet(message_faults=MessageFaults(delay_s=0.1))
             for name in ZONES:
@@ -293,10 +307,10 @@
 
 
 class RandomRunTest(unittest.TestCase):
-    """``LendingFleet.hand_out`` checks at each step that nothing passes what is charged."""
+    """``LendingFleet.hand_out`` checks at each step that no more is handed out than charged."""
 
-    def test_sums_agree_again_after_lost_doubled_late_and_cut(self) -> None:
-        # What one seed serves is chance: 187 to 231 of 400 over 30 seeds, mean 205.
+    def test_totals_agree_after_message_faults_and_partitions(self) -> None:
+        # The number of served requests varies by seed: 187 to 231 of 400 in 30 seeds, mean 205.
         served_by_seed = []
         for seed in range(12):
             message_faults = MessageFaults(lost=0.1, duplicated=0.1, delay_s=0.25)
@@ -316,10 +330,10 @@
                     await asyncio.sleep(3)
                     fleet.partitioned_from_control.clear()
                     fleet.partitioned_pairs.clear()
-                got = await requests
+                outcomes = await requests
                 await _settle_all(fleet)
                 await fleet.stop()
-                return fleet.charged, fleet.handed_out, got.get("served", 0)
+                return fleet.charged, fleet.handed_out, outcomes.get("served", 0)
 
             with self.subTest(seed=seed):
                 charged, handed_out, served = run_virtual(work())
@@ -328,7 +342,7 @@
                 self.assertGreater(served, 180)
         self.assertGreater(sum(served_by_seed) / len(served_by_seed), 200, served_by_seed)
 
-    def test_nothing_passes_a_limit_while_all_that_can_end_ends(self) -> None:
+    def test_no_limit_is_exceeded_under_random_faults(self) -> None:
         for seed in range(10):
             with self.subTest(seed=seed):
                 fleet = run_virtual(random_run(seed))
@@ -336,7 +350,7 @@
 
 
 class TeethTest(unittest.TestCase):
-    """Breakages of the product that the random run must notice."""
+    """Deliberate faults of the code, each of which a random run must detect."""
 
     def _is_caught(self, seeds: range) -> bool:
         for seed in seeds:
@@ -383,16 +397,16 @@
             for seed in range(3):
                 run_virtual(exhaustion_run(seed))
 
-    def test_a_rush_for_the_last_tokens_passes_no_limit(self) -> None:
+    def test_competition_for_the_last_tokens_exceeds_no_limit(self) -> None:
         for seed in range(6):
             with self.subTest(seed=seed):
                 fleet = run_virtual(exhaustion_run(seed))
                 self.assertGreater(fleet.handed_out, 300_000)
 
 
-class OrderTest(unittest.TestCase):
-    def test_any_order_of_a_loans_messages_ends_alike(self) -> None:
-        """Asked for twice, settled twice, and all below told settled, in all 720 orders."""
+class MessageOrderTest(unittest.TestCase):
+    def test_all_orders_of_a_loans_messages_have_the_same_result(self) -> None:
+        """Covers all 720 orders of duplicated asks and settlements and of ``settled_below``."""
 
         async def work(order: tuple[int, ...]) -> tuple[int, int, int]:
             fleet = _fleet(zones={"a0": "a", "b0": "b", "c0": "c"})
@@ -425,7 +439,7 @@
                 reply = await loan_book.Lend(messages[position], None)
                 is_first = position in (0, 1)
                 granted |= is_first and reply.outcome == lending_pb2.LOAN_OUTCOME_GRANTED
-            # A borrower says that all below are settled only once that was confirmed.
+            # A borrower raises settled_below only after the lender has confirmed the settlement.
             legal = order.index(4) > min(order.index(2), order.index(3))
             balance = lender.access.held._balances[TENANT]
             result = (loan_book.open_loans, balance.reserved, balance.spent)
@@ -466,7 +480,7 @@
 
 
 class KeyTest(unittest.TestCase):
-    def test_messages_are_proved_and_keys_are_rotated(self) -> None:
+    def test_messages_are_authenticated_and_keys_are_rotated(self) -> None:
         async def work(folder: str) -> list[str]:
             file = Path(folder) / "keys"
             file.write_text("first\n")
@@ -474,20 +488,20 @@
             fleet = LendingFleet(Random(1), zones, _LIMIT, MessageFaults(), str(file))
             processes = [fleet.start(name) for name in zones]
             await asyncio.sleep(2)
-            one = next(
+            borrower = next(
                 process for process in processes if not process.access.lenders.is_holder(TENANT)
             )
-            holder = next(process for process in processes if process is not one)
+            holder = next(process for process in processes if process is not borrower)
             answers = []
 
             async def ask() -> None:
-                fleet.partitioned_from_control.add(one.name)  # so that it cannot draw itself
+                fleet.partitioned_from_control.add(borrower.name)  # so that it cannot draw
                 await asyncio.sleep(1.3)
-                answers.append(await one.serve(TOKENS, 1.0, 0.1))
+                answers.append(await borrower.serve(TOKENS, 1.0, 0.1))
 
             await ask()
             file.write_text("second\n")
-            one.access.key.reload()
+            borrower.access.key.reload()
             await ask()
             file.write_text("second\nfirst\n")
             holder.access.key.reload()
@@ -512,22 +526,24 @@
 
 
 class HolderTest(unittest.TestCase):
-    def test_one_holder_a_zone_and_few_move_when_a_gateway_comes(self) -> None:
+    def test_one_holder_per_zone_and_few_move_when_a_gateway_joins(self) -> None:
         names = {f"{zone}{number}": zone for zone in "abcdefg" for number in range(10)}
         before = Lenders("a0", "a", lends=True)
         after = Lenders("a0", "a", lends=True)
-        told = [
+        records = [
             control_pb2.Lender(name=name, zone=zone, address="x") for name, zone in names.items()
         ]
-        before.update(told)
-        after.update([*told, control_pb2.Lender(name="a10", zone="a", address="x")])
+        before.update(records)
+        after.update([*records, control_pb2.Lender(name="a10", zone="a", address="x")])
         moved = 0
         for number in range(200):
             tenant = f"tenant-{number}"
             holders = before.holders(tenant)
             self.assertEqual(len({lender.zone for lender in holders}), 3)
-            moved += [one.name for one in holders] != [one.name for one in after.holders(tenant)]
-        self.assertLess(moved, 40)  # of 200: an eleventh of those with a holder in that zone
+            moved += [each.name for each in holders] != [
+                each.name for each in after.holders(tenant)
+            ]
+        self.assertLess(moved, 40)  # of 200; expected: 1/11 of those with a holder in the zone
 
 
 if __name__ == "__main__":
--- a/tests/test_prepaid_use.py
+++ b/tests/test_prepaid_use.py
@@ -1,4 +1,4 @@
-"""What a request costs its tenant: what the tenant got of it, over real sockets."""
+"""A request costs its tenant the tokens that the tenant received; over real sockets."""
 
 import unittest
 
@@ -21,7 +21,7 @@
 _PROMPT_TOKENS = 1_000
 _MAX_OUTPUT_TOKENS = 80
 _TOKENS_PER_EVENT = 8
-_TOKENS_AFTER_DISCONNECT = 40  # an engine may make them before it notices that its reader left
+_TOKENS_AFTER_DISCONNECT = 40  # generated before an engine notices a closed connection
 _ENGINE = {"slots": 8, "kvCapacityTokens": 100_000, "stride": _TOKENS_PER_EVENT}
 _STREAMS = {"kind": "streaming", "gapAimMs": 400, "targetLatencyMs": UNHURRIED_MS}
 
@@ -52,7 +52,7 @@
         self.addAsyncCleanup(self.fleet.stop)
 
     async def _used(self, path: str) -> int:
-        """Make one request; return what it cost."""
+        """Send one request; return the tokens that it cost."""
         headers = {
             "Token_Usage": f"{_PROMPT_TOKENS},{_MAX_OUTPUT_TOKENS}",
             "Prompt_Prefix": "a:1000",
@@ -60,7 +60,7 @@
         try:
             await self.fleet.request(path, **headers)
         except OSError:
-            pass  # the stream broke, as the script had it
+            pass  # the replica broke the stream
         except Exception as error:
             self.assertIn("Payload", type(error).__name__)
         assert self.fleet.gateway.gateway is not None
@@ -68,8 +68,8 @@
         self.assertEqual(balance.reserved, 0)
         return balance.spent
 
-    async def test_a_run_that_handed_out_nothing_costs_nothing(self) -> None:
-        """4 in 100 of a tenant's tokens were charged for answers that were lost (trouble-1)."""
+    async def test_a_request_without_output_costs_nothing(self) -> None:
+        """Charges for lost responses took 4 in 100 of a tenant's tokens."""
 
         async def lose(replica: StandInReplica, received: Received) -> bytes:
             return b""
@@ -84,7 +84,7 @@
         await self.fleet.add_replica("i-1", fail)
         self.assertEqual(await self._used("/stream/"), 0)
 
-    async def test_a_stream_cut_in_the_middle_costs_what_may_have_come_out(self) -> None:
+    async def test_a_stream_broken_in_the_middle_is_charged_for_possible_output(self) -> None:
         async def cut(replica: StandInReplica, received: Received) -> bytes:
             replica.close_after = True
             return stream_head(received) + event(1) + event(2)
@@ -93,7 +93,7 @@
         expected = _PROMPT_TOKENS + 2 * _TOKENS_PER_EVENT + _TOKENS_AFTER_DISCONNECT
         self.assertEqual(await self._used("/stream/"), expected)
 
-    async def test_a_prompt_is_charged_once_when_a_stream_goes_on_elsewhere(self) -> None:
+    async def test_a_prompt_is_charged_once_when_a_stream_resumes_elsewhere(self) -> None:
         sent = []
 
         async def close_after_one_event(replica: StandInReplica, received: Received) -> bytes:
--- a/tests/test_region_tokens.py
+++ b/tests/test_region_tokens.py
@@ -1,4 +1,4 @@
-"""Prepaid tokens over two regions: holders in each, loans across, and a cut between them."""
+"""Prepaid tokens in two regions: holders in each, loans between them, and partitions."""
 
 import asyncio
 import unittest
@@ -16,7 +16,7 @@
 from support import run_virtual
 
 _LIMIT = 8_000_000
-_SHORTEST_WAIT_S = 0.1  # that a request may wait for tokens
+_MIN_WAIT_S = 0.1  # shortest time that a request may wait for tokens
 
 
 def _lender_records() -> list[control_pb2.Lender]:
@@ -26,8 +26,8 @@
     ]
 
 
-def _regions_with_one_sided_zones() -> tuple[dict[str, str], str]:
-    """Return regions in which the three best zones of the tenant stand together, and the other."""
+def _one_sided_regions() -> tuple[dict[str, str], str]:
+    """Return regions that have the tenant's three first holders in one, and the other region."""
     lenders = Lenders("a0", "a", lends=True)
     lenders.update(_lender_records())
     best = {lender.zone for lender in lenders.holders(TENANT)}
@@ -55,7 +55,10 @@
 
 class RegionHoldersTest(unittest.TestCase):
     def test_each_region_has_holders_and_all_gateways_agree(self) -> None:
-        """Three were drawn among all zones: of 20 threes two are of one region (worked out)."""
+        """Three holders chosen without regard to regions may all be in the same region.
+
+        Of the 20 possible choices of three of the six zones, two are in one region.
+        """
         for number in range(100):
             views = set()
             for zone in REGIONS:
@@ -65,11 +68,14 @@
                 views.add(tuple(holder.name for holder in holders))
                 count = [REGIONS[holder.zone] for holder in holders]
                 self.assertEqual((count.count("n"), count.count("s")), (2, 2))
-                order = [REGIONS[one.zone] for one in lenders.lender_candidates(f"tenant-{number}")]
+                order = [
+                    REGIONS[candidate.zone]
+                    for candidate in lenders.lender_candidates(f"tenant-{number}")
+                ]
                 self.assertEqual(order, sorted(order, key=lambda region: region != REGIONS[zone]))
             self.assertEqual(len(views), 1)
 
-    def test_where_all_zones_are_of_one_region_nothing_changes(self) -> None:
+    def test_zones_of_one_region_have_the_same_holders_as_without_regions(self) -> None:
         plain = Lenders("a0", "a", lends=True)
         named = Lenders("a0", "a", lends=True, regions=dict.fromkeys(REGIONS, "one"))
         for lenders in (plain, named):
@@ -78,52 +84,52 @@
             self.assertEqual(plain.holders(f"t{number}"), named.holders(f"t{number}"))
 
 
-class RegionCutTest(unittest.TestCase):
-    def test_what_lies_in_a_region_serves_it_while_the_link_is_cut(self) -> None:
+class RegionPartitionTest(unittest.TestCase):
+    def test_a_disconnected_region_is_served_by_its_own_holders(self) -> None:
         async def work() -> dict[str, int]:
-            regions, cut = _regions_with_one_sided_zones()
+            regions, isolated = _one_sided_regions()
             fleet = _fleet(regions)
             await traffic(fleet, 10, 40)
-            fleet.partition_region(cut)
-            inside = [name for name in REGION_ZONES if fleet.region(name) == cut]
+            fleet.partition_region(isolated)
+            inside = [name for name in REGION_ZONES if fleet.region(name) == isolated]
             fleet.stopping.update(set(REGION_ZONES) - set(inside))
-            got = await traffic(fleet, 6, 20)
+            outcomes = await traffic(fleet, 6, 20)
             await fleet.stop()
-            return got
+            return outcomes
 
-        got = run_virtual(work())
-        self.assertGreaterEqual(got.get("served", 0), 0.95 * 120, got)
+        outcomes = run_virtual(work())
+        self.assertGreaterEqual(outcomes.get("served", 0), 0.95 * 120, outcomes)
 
-    def test_with_no_lender_of_its_region_one_borrows_across(self) -> None:
+    def test_a_gateway_borrows_across_regions_if_no_local_lender_is_reachable(self) -> None:
         async def work() -> tuple[str, int]:
             fleet = _fleet(REGIONS)
             await traffic(fleet, 5, 20)
-            lone = _borrower(fleet, "s")
-            fleet.partitioned_from_control.add(lone.name)
-            for holder in lone.access.lenders.holders(TENANT):
-                if not lone.access.lenders.is_remote(holder):
-                    fleet.partitioned_pairs.add(frozenset((lone.name, holder.name)))
+            borrower = _borrower(fleet, "s")
+            fleet.partitioned_from_control.add(borrower.name)
+            for holder in borrower.access.lenders.holders(TENANT):
+                if not borrower.access.lenders.is_remote(holder):
+                    fleet.partitioned_pairs.add(frozenset((borrower.name, holder.name)))
             await asyncio.sleep(3)
-            tenant = lone.link.configuration.tenant
-            got = await lone.access.reserve(tenant, TOKENS, _SHORTEST_WAIT_S, "request")
-            lender = got.lender
-            got.settle(0)
-            across = lone.metrics.counters["loans_asked_across", "granted"]
+            tenant = borrower.link.configuration.tenant
+            loan = await borrower.access.reserve(tenant, TOKENS, _MIN_WAIT_S, "request")
+            lender = loan.lender
+            loan.settle(0)
+            across = borrower.metrics.counters["loans_asked_across", "granted"]
             await fleet.stop()
             return fleet.region(lender), across
 
         self.assertEqual(run_virtual(work()), ("n", 1))
 
-    def test_random_runs_over_two_regions_never_pass_a_limit(self) -> None:
+    def test_random_runs_over_two_regions_never_exceed_a_limit(self) -> None:
         for seed in range(6):
             with self.subTest(seed=seed):
                 fleet = run_virtual(region_run(seed))
                 self.assertGreater(fleet.handed_out, 0)
 
 
-class FarControlTest(unittest.TestCase):
-    def test_tokens_are_waited_for_by_the_way_to_control(self) -> None:
-        """A draw and a promise over 24 ms there and back took all of the 100 ms."""
+class RemoteControlTest(unittest.TestCase):
+    def test_the_wait_grows_with_the_round_trip_time_to_control(self) -> None:
+        """Without the allowance, a draw and a promise over 24 ms round trips took all 100 ms."""
         added = []
         for round_trip_s in (0.0, 0.002, 0.006, 0.024, 1.0):
             added.append(
@@ -132,7 +138,7 @@
         self.assertEqual(added, [0.0, 0.0, 0.0, 0.072, 0.12])
 
     def test_no_wait_for_tokens_reaches_a_quarter_of_the_objective(self) -> None:
-        """A refusal of 172 ms came after two fifths of an objective of 415 ms."""
+        """Without the bound, a rejection came 172 ms into an objective of 415 ms."""
         waits = []
         for objective_ms in (0, 200, 415, 600, 1_000):
             tokens = _RecordingTokens()
@@ -161,7 +167,7 @@
 
 
 class _RecordingTokens:
-    """Tokens that note how long they would be waited for."""
+    """Fake token access that records the time for which a request would wait."""
 
     wait_s = -1.0
 
