--- a/packages/heronladder-router/src/heronladder_router/request_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/request_tokens.py
@@ -110,7 +110,7 @@
         service = self._routes.services.get(request.profile.service)
         per_event = service.engine.tokens_per_event if service is not None else 0
         if not (per_event and progress.cutter.events):
-            return bounds.total  # a complete response, which tells no token count
+            return bounds.total  # a complete response, without a token count
         output = progress.cutter.events * per_event
         if not progress.finished:
             output += _TOKENS_AFTER_DISCONNECT
--- a/packages/heronladder-router/src/heronladder_router/tokens/access.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/access.py
@@ -190,7 +190,7 @@
     def drop_all(self) -> None:
         """Discard all balances and loans, for which control has charged this incarnation."""
         self.held.drop_all()
-        self.loan_book.forget_all()
+        self.loan_book.discard_all()
 
     # ---- life cycle -------------------------------------------------------
 
--- a/packages/heronladder-router/src/heronladder_router/tokens/held_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/held_tokens.py
@@ -77,7 +77,7 @@
         """Discard all balances, for which control has charged this incarnation."""
         self._balances.clear()
         self._returning.clear()
-        self.window.forget()
+        self.window.discard_unconfirmed()
 
     # ---- reservations -----------------------------------------------------
 
--- a/packages/heronladder-router/src/heronladder_router/tokens/lending.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/lending.py
@@ -101,7 +101,7 @@
             loan.tokens for borrower in self._borrowers.values() for loan in borrower.open.values()
         )
 
-    def forget_all(self) -> None:
+    def discard_all(self) -> None:
         """Discard all open loans, for which control has charged this incarnation."""
         for borrower in self._borrowers.values():
             borrower.open.clear()
--- a/packages/heronladder-router/src/heronladder_router/tokens/spending_window.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/spending_window.py
@@ -57,7 +57,7 @@
         """Whether control has been silent for so long that no answer is expected."""
         return self.silent_s > _DISCONNECTED_S
 
-    def forget(self) -> None:
+    def discard_unconfirmed(self) -> None:
         """Discard the unconfirmed promises of an incarnation that has ended."""
         self._sent_promises.clear()
 
--- a/packages/heronladder-router/src/heronladder_router/tokens/token_errors.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/token_errors.py
@@ -16,9 +16,9 @@
     )
 
 
-def unavailable(tenant: str, why: str, retry_after_s: float) -> PrepaidUnavailableError:
+def unavailable(tenant: str, reason: str, retry_after_s: float) -> PrepaidUnavailableError:
     """Return the error for a request whose tokens could not be reserved in time."""
-    return PrepaidUnavailableError(why, step=_STEP, peer=tenant, retry_after_s=retry_after_s)
+    return PrepaidUnavailableError(reason, step=_STEP, peer=tenant, retry_after_s=retry_after_s)
 
 
 def timed_out(balance: TokenBalance, retry_s: float) -> PrepaidUnavailableError:
--- a/tests/lending_process.py
+++ b/tests/lending_process.py
@@ -25,7 +25,7 @@
 TENANT = "t"
 GROUP = "r"
 HEARTBEAT_S = 0.3
-REMOTE_DELAY_S = 0.012  # one way between regions
+REMOTE_DELAY_S = 0.012  # one-way delay between regions
 HolderKey = tuple[str, str]  # name of a gateway and its incarnation as control knows it
 PROMPT_SHARE = 0.6  # fraction of a request's tokens that are handed out with its first event
 
@@ -142,7 +142,7 @@
 
 
 class FakeControlLink:
-    """A gateway's link to control, as far as ``TokenAccess`` uses it."""
+    """A gateway's link to control, reduced to what ``TokenAccess`` uses."""
 
     def __init__(self, fleet: LendingFleet, process: GatewayProcess) -> None:
         self._fleet = fleet
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -43,7 +43,7 @@
     )
 
 
-async def _settle_all(fleet: LendingFleet) -> None:
+async def _settle_everything(fleet: LendingFleet) -> None:
     """End all partitions and message faults, and let all gateways return their tokens."""
     fleet.partitioned_from_control.clear()
     fleet.partitioned_pairs.clear()
@@ -68,7 +68,7 @@
             fleet.partitioned_from_control.update(ZONES)
             outcomes = await traffic(fleet, 8, 20)
             fleet.partitioned_from_control.clear()
-            await _settle_all(fleet)
+            await _settle_everything(fleet)
             left = fleet.charged - fleet.handed_out
             await fleet.stop()
             return outcomes, left
@@ -252,7 +252,7 @@
             await asyncio.sleep(1)
             again = fleet.start(borrower.name)
             self.assertEqual(await again.serve(TOKENS, 0.0, 0.1), "served")
-            await _settle_all(fleet)
+            await _settle_everything(fleet)
             await fleet.stop()
             return fleet.charged, fleet.handed_out
 
@@ -298,7 +298,7 @@
             await holder.access.return_all(1.0)
             await holder.crash()
             await requests
-            await _settle_all(fleet)
+            await _settle_everything(fleet)
             await fleet.stop()
             return fleet.charged, fleet.handed_out
 
@@ -331,7 +331,7 @@
                     fleet.partitioned_from_control.clear()
                     fleet.partitioned_pairs.clear()
                 outcomes = await requests
-                await _settle_all(fleet)
+                await _settle_everything(fleet)
                 await fleet.stop()
                 return fleet.charged, fleet.handed_out, outcomes.get("served", 0)
 
@@ -376,7 +376,7 @@
         with patch.object(LoanBook, "_charge_ended_incarnation", charge):
             self.assertTrue(self._is_caught(range(6)))
 
-    def test_a_holder_that_uses_more_than_it_announced(self) -> None:
+    def test_a_holder_that_uses_more_than_it_promised(self) -> None:
         async def wait(window: SpendingWindow, *_: Any) -> None:
             return
 
@@ -386,7 +386,7 @@
         ):
             run_virtual(loss_during_burst(0.9, leader_first=True))
 
-    def test_control_that_grants_all_that_wait_whatever_is_left(self) -> None:
+    def test_control_that_grants_all_waiting_requests_regardless_of_the_balance(self) -> None:
         def grant(table: DecidedPrepaidTable, account: Any, order: control_pb2.DrawTokens) -> int:
             return max(order.minimum, order.needed)
 
--- a/tests/test_prepaid_use.py
+++ b/tests/test_prepaid_use.py
@@ -85,11 +85,11 @@
         self.assertEqual(await self._used("/stream/"), 0)
 
     async def test_a_stream_broken_in_the_middle_is_charged_for_possible_output(self) -> None:
-        async def cut(replica: StandInReplica, received: Received) -> bytes:
+        async def break_stream(replica: StandInReplica, received: Received) -> bytes:
             replica.close_after = True
             return stream_head(received) + event(1) + event(2)
 
-        await self.fleet.add_replica("i-1", cut)
+        await self.fleet.add_replica("i-1", break_stream)
         expected = _PROMPT_TOKENS + 2 * _TOKENS_PER_EVENT + _TOKENS_AFTER_DISCONNECT
         self.assertEqual(await self._used("/stream/"), expected)
 
