--- a/tests/lending_fleet.py
+++ b/tests/lending_fleet.py
@@ -69,9 +69,8 @@
         self.partitioned_from_control: set[str] = set()
         self.partitioned_pairs: set[frozenset[str]] = set()
         self.handed_out = 0
-        self.granted: dict[
-            tuple[str, str, int], HolderKey
-        ] = {}  # lender, borrower's incarnation, number
+        # Holder that granted each loan: by lender, borrower's incarnation and loan number.
+        self.granted: dict[tuple[str, str, int], HolderKey] = {}
         self.handed_out_of: dict[HolderKey, int] = {}
         self.charged_for: dict[HolderKey, int] = {}  # closed holders
         self.messages = 0
@@ -243,7 +242,7 @@
         return alive and process.name not in self.partitioned_from_control
 
     async def passes_to_control(self, process: GatewayProcess) -> None:
-        """Wait for a message to or from control to arrive, as long as a partition lasts."""
+        """Wait for the delay of a message to or from control, and for the end of a partition."""
         await asyncio.sleep(self.delay_s())
         while not self.reaches_control(process):
             await asyncio.sleep(0.1)
--- a/tests/test_prepaid_tokens.py
+++ b/tests/test_prepaid_tokens.py
@@ -231,7 +231,7 @@
 
     async def test_a_draw_that_outlasts_its_request_serves_later_ones(self) -> None:
         """On a congested link, 500 requests each started a draw and timed out before its result."""
-        self.control.disconnect()  # control counts as connected still, and answers late
+        self.control.disconnect()  # control still counts as connected, and answers late
         with self.assertRaisesRegex(PrepaidUnavailableError, "no tokens were granted in time"):
             await self.tokens.reserve(_TENANT, _REQUEST_TOKENS, 0.01)
         self.control.reconnect(self.clock.now_s)
@@ -254,7 +254,7 @@
         self.assertGreater(self.tokens._draw_latency.retry_s, 0.8)
 
     async def test_draws_delayed_by_a_partition_do_not_raise_the_latency(self) -> None:
-        """If they did, seconds of spending would be held as the partition ends."""
+        """If each counted as 1 s, seconds of spending would be held as the partition ends."""
         await self._serve(8)
         balance = self.tokens._balance(_TENANT.name)
         before = self.tokens._tokens_after_reconnect(balance)
@@ -267,7 +267,10 @@
         self.assertEqual(self.tokens._tokens_after_reconnect(balance), before)
 
     async def test_the_retry_after_is_the_time_until_the_window_opens(self) -> None:
-        """Callers in the first 2 s of a partition got 5 s and were rejected again in it."""
+        """A fixed retry-after of 5 s has callers retry, and be rejected, in the same partition.
+
+        This happened to callers of the first 2 s of a partition.
+        """
         await self._serve(4)
         self.control.disconnect()
         self.clock.now_s += 0.75
--- a/tests/test_region_tokens.py
+++ b/tests/test_region_tokens.py
@@ -27,7 +27,10 @@
 
 
 def _one_sided_regions() -> tuple[dict[str, str], str]:
-    """Return regions that have the tenant's three first holders in one, and the other region."""
+    """Return the region of each zone, with the three best zones of the tenant in one region.
+
+    The second value is the other region, in which the tenant has no holder unless regions count.
+    """
     lenders = Lenders("a0", "a", lends=True)
     lenders.update(_lender_records())
     best = {lender.zone for lender in lenders.holders(TENANT)}
