--- a/tests/lending_process.py
+++ b/tests/lending_process.py
@@ -1,4 +1,4 @@
-"""One life of a gateway that lends, its stream to control and its messages, in virtual time."""
+"""A gateway process of the simulation in ``lending_fleet``, its link to control and its stubs."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 TENANT = "t"
 GROUP = "r"
 HEARTBEAT_S = 0.3
-FAR_S = 0.012  # one way between regions
-HolderKey = tuple[str, str]  # gateway, its incarnation as control knows it
-PROMPT_SHARE = 0.6  # of a request's tokens, handed out with its first event
+REMOTE_DELAY_S = 0.012  # one-way delay between regions
+HolderKey = tuple[str, str]  # name of a gateway and its incarnation as control knows it
+PROMPT_SHARE = 0.6  # fraction of a request's tokens that are handed out with its first event
 
 
 @dataclass
-class Configuration:
-    """A configuration with one tenant, whose limit can be changed."""
+class FakeConfiguration:
+    """A configuration with one tenant whose limit can be changed."""
 
     limit: int
     listeners: list[Callable[[], None]] = field(default_factory=list)
@@ -49,16 +49,22 @@
 
 
 @dataclass(frozen=True)
-class Weather:
-    """How messages fare: chances of each, and the longest delay in seconds."""
+class MessageFaults:
+    """Faults of messages.
+
+    Attributes:
+        lost: Probability that a message is lost.
+        duplicated: Probability that a message arrives twice.
+        delay_s: Longest delay, in seconds.
+    """
 
     lost: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
     delay_s: float = 0.02
 
 
-class Process:
-    """One life of a gateway."""
+class GatewayProcess:
+    """One process of a gateway, from its start to its crash."""
 
     def __init__(self, fleet: LendingFleet, name: str, zone: str, key_file: str) -> None:
         self.fleet = fleet
@@ -66,7 +72,7 @@
         self.log = EventLog("test", name)
         self.tasks = TaskGroupOwner(self.log)
         self.incarnation = fleet.environment.new_id(name)
-        self.link = Link(fleet, self)
+        self.link = FakeControlLink(fleet, self)
         options = LendingOptions(
             name,
             GROUP,
@@ -80,14 +86,14 @@
         self.access = TokenAccess(
             options,
             cast(ControlLink, self.link),
-            cast(Any, Stubs(fleet, name)),
+            cast(Any, FakeLendingStubs(fleet, name)),
             fleet.environment,
             self.metrics,
             self.log,
         )
 
     def start(self) -> None:
-        """Start what runs by itself."""
+        """Start the background tasks."""
         for listener in self.link.configuration.listeners:
             listener()
         self.access.start()
@@ -100,15 +106,15 @@
             await self.link.beat()
 
     async def crash(self) -> None:
-        """End at once: nothing is settled or told any more."""
+        """End at once, without settling or reporting anything."""
         self.fleet.processes.pop(self.name, None)
         for request in list(self.fleet.requests.get(self.incarnation, ())):
             request.cancel()
         await self.tasks.stop()
         await self.access.stop()
 
-    async def serve(self, tokens: int, used_share: float, lasts_s: float) -> str:
-        """Serve a request; return "served", or why it was refused."""
+    async def serve(self, tokens: int, used_fraction: float, duration_s: float) -> str:
+        """Serve a request; return "served", or the error code of its rejection."""
         tenant = self.link.configuration.tenant
         try:
             reservation = await self.access.reserve(tenant, tokens, 0.17, "request")
@@ -118,45 +124,45 @@
         holder = self._holder_of(reservation)
         try:
             for share in (PROMPT_SHARE, 1 - PROMPT_SHARE):
-                await asyncio.sleep(lasts_s / 2)
-                amount = int(tokens * share * used_share)
+                await asyncio.sleep(duration_s / 2)
+                amount = int(tokens * share * used_fraction)
                 self.fleet.hand_out(amount, holder)
                 used += amount
         finally:
-            if self.fleet.processes.get(self.name) is self:  # a process that ended says nothing
+            if self.fleet.processes.get(self.name) is self:  # an ended process settles nothing
                 reservation.settle(used)
         return "served"
 
     def _holder_of(self, reservation: Reservation) -> HolderKey:
-        """Return under which incarnation of which gateway tokens are charged."""
+        """Return the gateway and the incarnation to which the tokens are charged."""
         if isinstance(reservation, Loan):
             borrower = self.access.borrowed._incarnation
             return self.fleet.granted[reservation.lender, borrower, reservation._number]
         return (self.name, self.link.record.incarnation)
 
 
-class Link:
-    """A gateway's link to control, with what ``TokenAccess`` asks of it."""
+class FakeControlLink:
+    """A gateway's link to control, reduced to what ``TokenAccess`` uses."""
 
-    def __init__(self, fleet: LendingFleet, process: Process) -> None:
+    def __init__(self, fleet: LendingFleet, process: GatewayProcess) -> None:
         self._fleet = fleet
         self._process = process
-        self.configuration = Configuration(fleet.limit)
+        self.configuration = FakeConfiguration(fleet.limit)
         self.record = ledger_pb2.DaemonRecord(name=process.name, incarnation=process.incarnation)
         self.last_heard_s = fleet.environment.monotonic()
         self.regained_s = float("-inf")
         self.routers = len(fleet.zones)
         self.control_time_ms = 0
         self.cluster_version = LATEST_VERSION
-        self._beats = 0
-        self._stream = 0  # term of the control it is open to; 0: none
+        self._heartbeats_sent = 0
+        self._stream = 0  # term of the leader of the open stream; 0: none
         self._session: DaemonSession | None = None
-        self._in_order = asyncio.Lock()
+        self._heartbeat_lock = asyncio.Lock()
 
     async def call(
         self, command: control_pb2.Command, timeout_s: float | None = None
     ) -> control_pb2.CommandResult:
-        """Have a command carried out; its answer may be lost."""
+        """Send a command to control; the command or its result may be lost."""
         try:
             async with asyncio.timeout(timeout_s):
                 await self._fleet.passes_to_control(self._process)
@@ -171,33 +177,33 @@
         self._process.tasks.start("beat_now", self.beat())
 
     async def beat(self) -> None:
-        """Send a heartbeat and take its answer.
+        """Send a heartbeat and process its reply.
 
-        Heartbeats of a stream come in order. A stream that a cut breaks, or an end of control,
-        takes what is under way with it; the next one tells all anew.
+        Heartbeats of a stream arrive in order. A partition or the end of the leader breaks the
+        stream, and messages in flight are lost; the next stream sends everything again.
         """
-        async with self._in_order:
+        async with self._heartbeat_lock:
             if not self._fleet.reaches_control(self._process):
                 self._stream = 0
                 return
             if self._stream != self._fleet.term:
                 self._open_stream()
             stream = self._stream
-            self._beats += 1
+            self._heartbeats_sent += 1
             heartbeat = control_pb2.Heartbeat(
-                number=self._beats,
+                number=self._heartbeats_sent,
                 control_time_ms=self.control_time_ms,
                 wall_ms=self._fleet.wall_ms(self._process.name),
             )
             self._process.access.held.fill_heartbeat(heartbeat)
-            if not await self._passes(stream):
+            if not await self._message_arrives(stream):
                 return
             assert self._session is not None
             now_ms = self._fleet.control.heartbeat(self._session, heartbeat)
-            # What was noted by now goes with the answer.
+            # The reply carries the promises that are committed by now.
             noted = self._session.promises_noted
-            if await self._passes(stream):
-                self._take_answer(noted, now_ms)
+            if await self._message_arrives(stream):
+                self._process_reply(noted, now_ms)
 
     def _open_stream(self) -> None:
         self._stream = self._fleet.term
@@ -205,29 +211,29 @@
         self.cluster_version = LATEST_VERSION
         self._process.access.held.session_began()
         self._session = self._fleet.control.open_session(self.record)
-        self._process.tasks.start("noted", self._pass_notes_on(self._session, self._stream))
+        self._process.tasks.start("noted", self._report_commits(self._session, self._stream))
 
-    async def _pass_notes_on(self, session: DaemonSession, stream: int) -> None:
-        """Tell the gateway of notes between two heartbeats, as frames of the stream would."""
-        told = 0
+    async def _report_commits(self, session: DaemonSession, stream: int) -> None:
+        """Report committed promises to the gateway between heartbeats, as stream frames would."""
+        reported = 0
         while self._session is session:
             noted = session.promises_noted
-            if noted <= told:
+            if noted <= reported:
                 await session.wake.wait()
-            elif await self._passes(stream) and self._session is session:
-                told = noted
+            elif await self._message_arrives(stream) and self._session is session:
+                reported = noted
                 self._process.access.held.confirmed(noted)
 
-    async def _passes(self, stream: int) -> bool:
-        """Whether a message of a stream arrives."""
+    async def _message_arrives(self, stream: int) -> bool:
+        """Return whether a message of a stream arrives."""
         await asyncio.sleep(self._fleet.delay_s())
-        whole = self._fleet.reaches_control(self._process) and stream == self._fleet.term
-        if not whole or stream != self._stream:
+        is_open = self._fleet.reaches_control(self._process) and stream == self._fleet.term
+        if not is_open or stream != self._stream:
             self._stream = 0
             return False
         return True
 
-    def _take_answer(self, noted: int, control_time_ms: int) -> None:
+    def _process_reply(self, noted: int, control_time_ms: int) -> None:
         self.control_time_ms = control_time_ms
         now_s = self._fleet.environment.monotonic()
         silent_s = now_s - self.last_heard_s
@@ -239,26 +245,26 @@
             self._process.access.held.confirmed(noted)
 
     def end_stream(self) -> None:
-        """Have the next heartbeat open a new stream."""
+        """Let the next heartbeat open a new stream."""
         self._stream = 0
 
 
-class Stubs:
-    """Carries loan messages, which may be lost, doubled, late or out of order."""
+class FakeLendingStubs:
+    """Carries loan messages, which may be lost, duplicated, delayed or reordered."""
 
     def __init__(self, fleet: LendingFleet, source: str) -> None:
         self._fleet = fleet
         self._source = source
         self._target = ""
 
-    def lending(self, address: str) -> Stubs:
-        """Return a stub of a gateway."""
-        stub = Stubs(self._fleet, self._source)
+    def lending(self, address: str) -> FakeLendingStubs:
+        """Return a stub for a gateway."""
+        stub = FakeLendingStubs(self._fleet, self._source)
         stub._target = address
         return stub
 
     async def Lend(self, request: lending_pb2.LendRequest, timeout: float) -> lending_pb2.LendReply:
-        """Carry a message to whatever process runs there when it comes."""
+        """Deliver a message to the process that runs at the target when the message arrives."""
         fleet = self._fleet
         fleet.messages += 1
         copy = lending_pb2.LendRequest.FromString(request.SerializeToString())
@@ -273,19 +279,19 @@
             raise TimeoutError("late")
         reply = done.pop().result()
         if reply is None or fleet.copies() == 0:
-            raise OSError("no process, or its answer was lost")
+            raise OSError("no process at the target, or its reply was lost")
         return reply
 
     async def _deliver(self, request: lending_pb2.LendRequest) -> lending_pb2.LendReply | None:
-        far_s = self._fleet.far_s(self._source, self._target)
-        await asyncio.sleep(self._fleet.delay_s() + far_s)
+        remote_delay_s = self._fleet.remote_delay_s(self._source, self._target)
+        await asyncio.sleep(self._fleet.delay_s() + remote_delay_s)
         process = self._fleet.processes.get(self._target)
         if process is None or not self._fleet.reaches(self._source, self._target):
             return None
-        reply = await process.access.book.Lend(request, None)
+        reply = await process.access.loan_book.Lend(request, None)
         if reply.outcome == lending_pb2.LOAN_OUTCOME_GRANTED:
             number = (self._target, request.borrower_incarnation, request.ask.number)
             holder = (process.name, process.link.record.incarnation)
             self._fleet.granted.setdefault(number, holder)
-        await asyncio.sleep(far_s)
+        await asyncio.sleep(remote_delay_s)
         return reply
--- a/tests/test_stretched_group.py
+++ b/tests/test_stretched_group.py
@@ -47,13 +47,13 @@
     async def test_a_gateway_acts_on_a_loan_message_from_the_other_region(self) -> None:
         borrower, lender = _gateway("z1"), _gateway("z2")
         request = lending_pb2.LendRequest(
-            group=borrower.tokens.borrowed._group.name_for(far=True),
+            group=borrower.tokens.borrowed._group.name_for(is_remote=True),
             borrower=borrower.options.name,
             borrower_incarnation="one",
             lender=lender.options.name,
             ask=lending_pb2.LoanAsk(number=1, tenant="t", tokens=5, wait_ms=1),
         )
-        reply = await lender.tokens.book.Lend(request, None)
+        reply = await lender.tokens.loan_book.Lend(request, None)
         # It has no tokens and no control here; but the message was meant for it.
         self.assertEqual(reply.outcome, lending_pb2.LOAN_OUTCOME_NO_CONTROL)
 
