--- a/packages/heronladder-daemon/src/heronladder_daemon/compose_gateway.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/compose_gateway.py
@@ -46,7 +46,7 @@
         cold_over=gateway.cold_over_percent / _PERCENT,
         cold_slack=gateway.cold_slack,
         group=common.group,
-        far_cost_ms=gateway.far_region_cost_ms,
+        remote_cost_ms=gateway.far_region_cost_ms,
         far_sends_per_s=gateway.far_sends_per_s,
         behind_after_ms=gateway.behind_after_ms,
         measured_speed=bool(gateway.measured_speed),
--- a/packages/heronladder-router/src/heronladder_router/decisions/placement.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/placement.py
@@ -16,7 +16,12 @@
 
 from heronladder_router.decisions.availability import Availability
 from heronladder_router.decisions.cold_limit import WINDOW_S
-from heronladder_router.decisions.distance import Offer, Way, choose, split
+from heronladder_router.decisions.region_choice import (
+    Candidate,
+    RegionChoice,
+    choose_region,
+    split_by_region,
+)
 from heronladder_router.decisions.replica_limit import LimitVerdict
 from heronladder_router.decisions.speed import Speed
 from heronladder_router.replica_state import FleetReplica, RequestProfile
@@ -76,7 +81,7 @@
             as it gets at first.
         connection_share: Connections that may be open to each replica; None: any number.
         shares_load: Whether what other gateways have under way is known.
-        far_cost_ms: What a send to another region costs, in ms.
+        remote_cost_ms: What a send to another region costs, in ms.
         may_spill: Whether more may go there while there are replicas here.
         speed: Measured speed of the service's replicas.
     """
@@ -89,7 +94,7 @@
     bears_per_s: float
     cold_share: Callable[[str, float], int]
     shares_load: bool
-    far_cost_ms: float = 0.0
+    remote_cost_ms: float = 0.0
     may_spill: bool = True
     speed: Speed = field(default_factory=Speed)
     permits: Callable[[FleetReplica], bool] = lambda _replica: True
@@ -117,7 +122,7 @@
     cost_ms: float = 0.0
     again_tokens: int = 0
     compared: int = 0
-    way: Way = Way.NEAR
+    way: RegionChoice = RegionChoice.LOCAL
 
 
 def place(
@@ -143,23 +148,23 @@
     pool = [replica for replica in pool if not replica.refuses] or pool
     if profile.alone:
         pool = [_picked(profile.alone, _sound(view, pool) or pool)]
-    near, far = split(pool, view.zone, view.zone_regions)
+    near, far = split_by_region(pool, view.zone, view.zone_regions)
     sound_near, sound_far = _sound(view, near), _sound(view, far)
 
-    def best(some: list[FleetReplica]) -> Offer:
+    def best(some: list[FleetReplica]) -> Candidate:
         return _best(view, profile, some, source)
 
-    offer, way = choose(
+    offer, way = choose_region(
         sound_near or near,
         sound_far if sound_near or sound_far else far,
         best,
-        view.far_cost_ms,
+        view.remote_cost_ms,
         may_spill=view.may_spill,
-        near_suspect=bool(sound_far) and not sound_near,
+        local_suspect=bool(sound_far) and not sound_near,
     )
     suspect = offer.replica.suspect_until_s > view.now_s
     reason = Reason.SUSPECT if suspect else Reason.SOUND
-    cost_ms = offer.cost_ms + (view.far_cost_ms if way.is_far else 0.0)
+    cost_ms = offer.cost_ms + (view.remote_cost_ms if way.is_remote else 0.0)
     return Placement(offer.replica, reason, cost_ms, offer.again_tokens, offer.compared, way)
 
 
@@ -173,7 +178,7 @@
 
 def _best(
     view: PlacementView, profile: RequestProfile, pool: list[FleetReplica], source: Randomness
-) -> Offer:
+) -> Candidate:
     """Return the replica of one region that would begin first.
 
     What keeps shared parts, and the sample, are drawn within it: parts are kept once in each.
@@ -185,7 +190,7 @@
     least = min(range(len(pool)), key=lambda number: costs[number])
     chosen = pool[least]
     again = profile.shared_tokens - _kept_tokens(chosen, profile, keeper)
-    return Offer(chosen, costs[least], max(0, again), len(pool))
+    return Candidate(chosen, costs[least], max(0, again), len(pool))
 
 
 def _permitted(
--- a/packages/heronladder-router/src/heronladder_router/decisions/distance.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/region_choice.py
@@ -17,28 +17,28 @@
 from heronladder_router.replica_state import FleetReplica
 
 
-class Way(Enum):
+class RegionChoice(Enum):
     """Where a request goes, and why there."""
 
-    NEAR = "near"  # the own region
-    FAR_NONE_NEAR = "far_none_near"  # none of the own region may be sent to
-    FAR_NEAR_BUSY = "far_near_busy"  # those would begin later, the way counted
-    FAR_NEAR_SUSPECT = "far_near_suspect"  # those have no room or failed a moment ago
-    NEAR_SPILL_BOUND = "near_spill_bound"  # one of both, but as many as may went elsewhere
+    LOCAL = "near"  # the own region
+    REMOTE_NO_LOCAL = "far_none_near"  # none of the own region may be sent to
+    REMOTE_LOCAL_BUSY = "far_near_busy"  # those would begin later, the way counted
+    REMOTE_LOCAL_SUSPECT = "far_near_suspect"  # those have no room or failed a moment ago
+    LOCAL_SPILL_LIMIT = "near_spill_bound"  # one of both, but as many as may went elsewhere
 
     @property
-    def is_far(self) -> bool:
+    def is_remote(self) -> bool:
         """Whether it leads to another region."""
-        return self is Way.FAR_NONE_NEAR or self.is_spill
+        return self is RegionChoice.REMOTE_NO_LOCAL or self.is_spill
 
     @property
     def is_spill(self) -> bool:
         """Whether it leads there although the own region has a replica that may be sent to."""
-        return self in (Way.FAR_NEAR_BUSY, Way.FAR_NEAR_SUSPECT)
+        return self in (RegionChoice.REMOTE_LOCAL_BUSY, RegionChoice.REMOTE_LOCAL_SUSPECT)
 
 
 @dataclass(frozen=True)
-class Offer:
+class Candidate:
     """The best replica among some.
 
     Attributes:
@@ -54,7 +54,7 @@
     compared: int
 
 
-def is_far(zone: str, other: str, regions: Mapping[str, str]) -> bool:
+def is_remote(zone: str, other: str, regions: Mapping[str, str]) -> bool:
     """Whether two zones are in different regions, as far as is known."""
     if zone == other:
         return False
@@ -62,46 +62,50 @@
     return own_region is not None and other_region is not None and own_region != other_region
 
 
-def split(
+def split_by_region(
     pool: list[FleetReplica], zone: str, regions: Mapping[str, str]
 ) -> tuple[list[FleetReplica], list[FleetReplica]]:
     """Return the replicas of a zone's own region, and those of others."""
     near: list[FleetReplica] = []
     far: list[FleetReplica] = []
     for replica in pool:
-        (far if is_far(zone, replica.record.zone, regions) else near).append(replica)
+        (far if is_remote(zone, replica.record.zone, regions) else near).append(replica)
     return near, far
 
 
-def choose(
+def choose_region(
     near: list[FleetReplica],
     far: list[FleetReplica],
-    best: Callable[[list[FleetReplica]], Offer],
-    far_cost_ms: float,
+    best: Callable[[list[FleetReplica]], Candidate],
+    remote_cost_ms: float,
     *,
     may_spill: bool,
-    near_suspect: bool = False,
-) -> tuple[Offer, Way]:
+    local_suspect: bool = False,
+) -> tuple[Candidate, RegionChoice]:
     """Return the better offer of the own region and the others; there must be one.
 
     Args:
         near: Replicas of the own region.
         far: Replicas of others.
         best: Finds the best of some.
-        far_cost_ms: What a send to another region costs: the way, and its bytes.
+        remote_cost_ms: What a send to another region costs: the way, and its bytes.
         may_spill: Whether more may go there while there are replicas here.
-        near_suspect: Whether all of the own region are suspects, and others are not.
+        local_suspect: Whether all of the own region are suspects, and others are not.
     """
     if not near:
-        return best(far), Way.FAR_NONE_NEAR
-    if near_suspect:
+        return best(far), RegionChoice.REMOTE_NO_LOCAL
+    if local_suspect:
         if may_spill:
-            return best(far), Way.FAR_NEAR_SUSPECT
-        return best(near), Way.NEAR_SPILL_BOUND
+            return best(far), RegionChoice.REMOTE_LOCAL_SUSPECT
+        return best(near), RegionChoice.LOCAL_SPILL_LIMIT
     here = best(near)
-    if not far or here.cost_ms <= far_cost_ms:
-        return here, Way.NEAR
+    if not far or here.cost_ms <= remote_cost_ms:
+        return here, RegionChoice.LOCAL
     there = best(far)
-    if there.cost_ms + far_cost_ms >= here.cost_ms:
-        return here, Way.NEAR
-    return (there, Way.FAR_NEAR_BUSY) if may_spill else (here, Way.NEAR_SPILL_BOUND)
+    if there.cost_ms + remote_cost_ms >= here.cost_ms:
+        return here, RegionChoice.LOCAL
+    return (
+        (there, RegionChoice.REMOTE_LOCAL_BUSY)
+        if may_spill
+        else (here, RegionChoice.LOCAL_SPILL_LIMIT)
+    )
--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -257,7 +257,7 @@
             bears_per_s=self._bears_per_s(service),
             cold_share=self._cold.share,
             shares_load=self.loads.known,
-            far_cost_ms=self._where.far_cost_ms,
+            remote_cost_ms=self._where.remote_cost_ms,
             may_spill=self.far_sends < self._where.far_sends_per_s,
             speed=self.speeds.speed(service),
             permits=permits,
--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -22,8 +22,8 @@
 )
 from heronladder_router.crash_reports import CrashReports
 from heronladder_router.crashing_requests import CrashingRequests
-from heronladder_router.decisions.distance import Way
 from heronladder_router.decisions.placement import Placement, Reason
+from heronladder_router.decisions.region_choice import RegionChoice
 from heronladder_router.dispatch_reports import report_end, report_send
 from heronladder_router.errors import (
     BehindError,
@@ -251,12 +251,12 @@
         sends: Sends,
         progress: AnswerProgress,
     ) -> None:
-        if placement.way.is_far:
+        if placement.way.is_remote:
             self._parts.metrics.add("requests_across", placement.way.value)
             self._parts.metrics.add("body_bytes_across", amount=len(request.body))
             if placement.way.is_spill:
                 self._parts.replicas.spilled()
-        elif placement.way is Way.NEAR_SPILL_BOUND:
+        elif placement.way is RegionChoice.LOCAL_SPILL_LIMIT:
             self._parts.metrics.add("spills_held_back")
         progress.suspected = self._parts.crashing.is_suspect(request.fingerprint)
         progress.sends += 1
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -59,7 +59,7 @@
         cold_over: What all gateways may send to a cold replica, in multiples of what it bears.
         cold_slack: Requests a second that they may send to it besides.
         group: Its control group; empty: named like the region.
-        far_cost_ms: What a send to another region costs, in ms: the way, and its bytes.
+        remote_cost_ms: What a send to another region costs, in ms: the way, and its bytes.
         far_sends_per_s: Requests a second that may go there while there are replicas here.
         wait_for_places: Whether requests for plain services wait here or are turned away.
         behind_after_ms: Not ready while link or loop are later than that, in ms; 0: never.
@@ -83,7 +83,7 @@
     cold_over: float = 1.5
     cold_slack: int = 5
     group: str = ""
-    far_cost_ms: float = 150.0
+    remote_cost_ms: float = 150.0
     far_sends_per_s: int = 5
     wait_for_places: bool = False
     behind_after_ms: float = 0.0
@@ -208,7 +208,7 @@
             Surroundings(
                 options.zone,
                 options.zone_regions,
-                options.far_cost_ms,
+                options.remote_cost_ms,
                 options.far_sends_per_s,
                 options.measured_speed,
                 options.measured_patience,
--- a/packages/heronladder-router/src/heronladder_router/tokens/borrowing.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/borrowing.py
@@ -214,7 +214,7 @@
         if not later:
             return left_s
         patience_s = left_s * _SHARE_OF_WAIT
-        far = next((lender for lender in later if self._lenders.is_far(lender)), None)
+        far = next((lender for lender in later if self._lenders.is_remote(lender)), None)
         if far is not None:
             patience_s = min(patience_s, left_s - self._far_wait_s(far))
         return max(_LEAST_WAIT_S, patience_s)
@@ -272,7 +272,7 @@
     ) -> None:
         outcome = outcome_name(_NO_ANSWER if reply is None else reply.outcome)
         self._metrics.add("loans_asked", outcome)
-        far = self._lenders.is_far(lender)
+        far = self._lenders.is_remote(lender)
         if far:
             self._metrics.add("loans_asked_across", outcome)
         self._log.info(
@@ -300,7 +300,7 @@
         """Send a message to a lender; return its answer, or None if none came."""
         sent = list(account.unsettled)
         request = lending_pb2.LendRequest(
-            group=self._group.name_for(far=self._lenders.is_far(lender)),
+            group=self._group.name_for(far=self._lenders.is_remote(lender)),
             borrower=self._name,
             borrower_incarnation=self._incarnation,
             lender=lender.name,
--- a/packages/heronladder-router/src/heronladder_router/tokens/lenders.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/lenders.py
@@ -12,7 +12,7 @@
 import xxhash
 from heronladder_schema.v1 import control_pb2
 
-from heronladder_router.decisions.distance import is_far
+from heronladder_router.decisions.region_choice import is_remote
 
 # Holders of a tenant, at most: as many as one request asks. With five, of which three are
 # asked, a replayed cut served 0.82 of the tokens asked for, with three 0.91
@@ -112,14 +112,16 @@
     def _region(self, lender: Lender) -> str:
         return self._regions.get(lender.zone, "")
 
-    def is_far(self, lender: Lender) -> bool:
+    def is_remote(self, lender: Lender) -> bool:
         """Whether a gateway stands in another region."""
-        return is_far(self._zone, lender.zone, self._regions)
+        return is_remote(self._zone, lender.zone, self._regions)
 
     def to_ask(self, tenant: str) -> list[Lender]:
         """Return the other holders of a tenant: of this zone, this region, then elsewhere."""
         others = [lender for lender in self.holders(tenant) if lender.name != self._name]
-        return sorted(others, key=lambda lender: (self.is_far(lender), lender.zone != self._zone))
+        return sorted(
+            others, key=lambda lender: (self.is_remote(lender), lender.zone != self._zone)
+        )
 
     def is_holder(self, tenant: str) -> bool:
         """Whether this gateway holds tokens of a tenant ahead of need."""
--- a/tests/test_distance.py
+++ b/tests/test_region_choice.py
@@ -5,9 +5,9 @@
 from collections import Counter
 
 from heronladder_router.decisions.cold_limit import ColdLimits
-from heronladder_router.decisions.distance import Way
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.placement import Placement, PlacementView, Reason, place
+from heronladder_router.decisions.region_choice import RegionChoice
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.kept_parts import KeptParts, PromptPart
 from heronladder_router.replica_state import FleetReplica, RequestProfile
@@ -57,12 +57,12 @@
             bears_per_s=1.0 if cold else 0.0,
             cold_share=lambda *_: 0,
             shares_load=True,
-            far_cost_ms=_FAR_MS,
+            remote_cost_ms=_FAR_MS,
             may_spill=may_spill,
         )
         return place(view, profile, (), self.random)
 
-    def ways(self, profile: RequestProfile, tries: int = 200) -> Counter[Way]:
+    def ways(self, profile: RequestProfile, tries: int = 200) -> Counter[RegionChoice]:
         return Counter(self.place(profile).way for _ in range(tries))
 
 
@@ -74,7 +74,7 @@
             found = [fleet.place(profile) for _ in range(200)]
             regions = {_REGIONS[one.replica.record.zone] for one in found if one.replica}
             self.assertEqual(regions, {"n"})
-            self.assertEqual({one.way for one in found}, {Way.NEAR})
+            self.assertEqual({one.way for one in found}, {RegionChoice.LOCAL})
 
     def test_shared_parts_are_kept_once_in_each_region(self) -> None:
         fleet = _Fleet()
@@ -91,7 +91,7 @@
     def test_a_zone_of_no_known_region_is_taken_for_near(self) -> None:
         fleet = _Fleet(0)
         fleet.replicas = [FleetReplica(resources_pb2.Replica(id="r", zone="?"), KeptParts(0))]
-        self.assertEqual(fleet.place(RequestProfile(_SERVICE)).way, Way.NEAR)
+        self.assertEqual(fleet.place(RequestProfile(_SERVICE)).way, RegionChoice.LOCAL)
 
 
 class SpillTest(unittest.TestCase):
@@ -99,13 +99,15 @@
         fleet = _Fleet()
         for replica in fleet.of_region("n"):
             replica.others_in_flight = 7  # 210 ms of a plain service
-        self.assertEqual(fleet.ways(RequestProfile(_SERVICE)), {Way.FAR_NEAR_BUSY: 200})
+        self.assertEqual(
+            fleet.ways(RequestProfile(_SERVICE)), {RegionChoice.REMOTE_LOCAL_BUSY: 200}
+        )
 
     def test_a_region_as_busy_as_the_other_keeps_its_requests(self) -> None:
         fleet = _Fleet()
         for replica in fleet.replicas:
             replica.others_in_flight = 9
-        self.assertEqual(fleet.ways(RequestProfile(_SERVICE)), {Way.NEAR: 200})
+        self.assertEqual(fleet.ways(RequestProfile(_SERVICE)), {RegionChoice.LOCAL: 200})
 
     def test_past_the_bound_a_busy_region_keeps_its_requests(self) -> None:
         fleet = _Fleet()
@@ -113,26 +115,28 @@
             replica.others_in_flight = 7
         placement = fleet.place(RequestProfile(_SERVICE), may_spill=False)
         assert placement.replica is not None
-        self.assertEqual(placement.way, Way.NEAR_SPILL_BOUND)
+        self.assertEqual(placement.way, RegionChoice.LOCAL_SPILL_LIMIT)
         self.assertEqual(_REGIONS[placement.replica.record.zone], "n")
 
     def test_an_evacuated_region_goes_elsewhere_whatever_the_bound(self) -> None:
         zones = tuple(zone for zone, region in _REGIONS.items() if region == "n")
         placement = _Fleet().place(RequestProfile(_SERVICE), evacuated=zones, may_spill=False)
-        self.assertEqual(placement.way, Way.FAR_NONE_NEAR)
+        self.assertEqual(placement.way, RegionChoice.REMOTE_NO_LOCAL)
 
     def test_a_cold_region_goes_elsewhere(self) -> None:
         fleet = _Fleet()
         for replica in fleet.of_region("n"):
             replica.cold_until_s = 20.0
         placement = fleet.place(RequestProfile(_SERVICE), cold=True)
-        self.assertEqual(placement.way, Way.FAR_NONE_NEAR)
+        self.assertEqual(placement.way, RegionChoice.REMOTE_NO_LOCAL)
 
     def test_a_region_that_seems_lost_goes_elsewhere(self) -> None:
         fleet = _Fleet()
         for replica in fleet.of_region("n"):
             replica.suspect_until_s = 20.0
-        self.assertEqual(fleet.place(RequestProfile(_SERVICE)).way, Way.FAR_NEAR_SUSPECT)
+        self.assertEqual(
+            fleet.place(RequestProfile(_SERVICE)).way, RegionChoice.REMOTE_LOCAL_SUSPECT
+        )
 
     def test_past_the_bound_a_region_of_suspects_keeps_its_requests(self) -> None:
         """All replicas here had no room for a moment: 50 of 50 sends crossed past the bound."""
@@ -141,7 +145,7 @@
             replica.suspect_until_s = 10.15
             replica.busy_until_s = 10.15
         found = [fleet.place(RequestProfile(_SERVICE), may_spill=False) for _ in range(50)]
-        self.assertEqual({one.way for one in found}, {Way.NEAR_SPILL_BOUND})
+        self.assertEqual({one.way for one in found}, {RegionChoice.LOCAL_SPILL_LIMIT})
         self.assertEqual({one.reason for one in found}, {Reason.SUSPECT})
         self.assertTrue(all(one.replica and one.replica.record.zone[0] == "n" for one in found))
 
@@ -152,7 +156,7 @@
             replica.suspect_until_s = 20.0
             replica.refuses = True
         found = [fleet.place(RequestProfile(_SERVICE), may_spill=False) for _ in range(50)]
-        self.assertEqual({one.way for one in found}, {Way.FAR_NONE_NEAR})
+        self.assertEqual({one.way for one in found}, {RegionChoice.REMOTE_NO_LOCAL})
         for replica in fleet.replicas:
             replica.refuses = True
         self.assertIsNotNone(fleet.place(RequestProfile(_SERVICE)).replica)
@@ -162,14 +166,14 @@
         for replica in fleet.replicas:
             replica.suspect_until_s = 20.0
         placement = fleet.place(RequestProfile(_SERVICE), may_spill=False)
-        self.assertEqual((placement.way, placement.reason), (Way.NEAR, Reason.SUSPECT))
+        self.assertEqual((placement.way, placement.reason), (RegionChoice.LOCAL, Reason.SUSPECT))
 
     def test_homes_come_before_any_cost(self) -> None:
         fleet = _Fleet()
         for replica in fleet.of_region("n"):
             replica.others_in_flight = 50
         profile = RequestProfile(_SERVICE, regions=frozenset({"n"}))
-        self.assertEqual(fleet.ways(profile), {Way.NEAR: 200})
+        self.assertEqual(fleet.ways(profile), {RegionChoice.LOCAL: 200})
 
 
 class _Clock(Environment):
@@ -204,7 +208,7 @@
         )
         profile = RequestProfile(_SERVICE)
 
-        def send() -> Way:
+        def send() -> RegionChoice:
             placement = replicas.place(profile, ())
             assert placement.replica is not None
             if placement.way.is_spill:
@@ -214,16 +218,18 @@
             return placement.way
 
         ways = [send() for _ in range(5)]
-        self.assertEqual(ways, [Way.FAR_NEAR_BUSY] * 3 + [Way.NEAR_SPILL_BOUND] * 2)
+        self.assertEqual(
+            ways, [RegionChoice.REMOTE_LOCAL_BUSY] * 3 + [RegionChoice.LOCAL_SPILL_LIMIT] * 2
+        )
         self.assertEqual(replicas.far_sends, 3)
         clock.now_s += 0.5
-        self.assertEqual(send(), Way.NEAR_SPILL_BOUND)
+        self.assertEqual(send(), RegionChoice.LOCAL_SPILL_LIMIT)
         clock.now_s += 0.49
         replicas.loads.update_others(
             {f"n-{zone}": control_pb2.ReplicaLoad(in_flight=50) for zone in "abc"}
         )
         clock.now_s += 0.02
-        self.assertEqual(send(), Way.FAR_NEAR_BUSY)
+        self.assertEqual(send(), RegionChoice.REMOTE_LOCAL_BUSY)
 
 
 if __name__ == "__main__":
--- a/tests/test_region_tokens.py
+++ b/tests/test_region_tokens.py
@@ -99,7 +99,7 @@
             lone = _borrower(fleet, "s")
             fleet.cut_from_control.add(lone.name)
             for holder in lone.access.lenders.holders(TENANT):
-                if not lone.access.lenders.is_far(holder):
+                if not lone.access.lenders.is_remote(holder):
                     fleet.cut_pairs.add(frozenset((lone.name, holder.name)))
             await asyncio.sleep(3)
             tenant = lone.link.configuration.tenant
