--- a/packages/heronladder-router/src/heronladder_router/limit_demand.py
+++ b/packages/heronladder-router/src/heronladder_router/limit_demand.py
@@ -4,8 +4,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from heronladder_router.decisions.come_back import ComeBackView, come_back
 from heronladder_router.decisions.replica_limit import DEMAND_S, SPAN_S, sends_wanted
+from heronladder_router.decisions.retry_after import RetryAfterView, choose_retry_after
 
 _MOST_COUNTED = 1024  # requests of a service within DEMAND_S
 _SHORT_S = 0.3  # the leader that gave less than was asked has no more for a heartbeat
@@ -20,14 +20,14 @@
         waiting: How many wait for a grant now.
         asked: Sends that the newest heartbeat asked for.
         short_until_s: Until when the leader is taken to have none left.
-        told_until_s: The latest moment that a refused caller was told to come back.
+        last_assigned_s: The latest moment that a refused caller was told to come back.
     """
 
     requests_s: deque[float] = field(default_factory=lambda: deque(maxlen=_MOST_COUNTED))
     waiting: int = 0
     asked: int = 0
     short_until_s: float = -math.inf
-    told_until_s: float = -math.inf
+    last_assigned_s: float = -math.inf
 
 
 class LimitDemand:
@@ -99,7 +99,7 @@
         """
         demand = self._of(service)
         turn_s = 1.0 / per_s if per_s > 0 else SPAN_S
-        view = ComeBackView(now_s, turn_s, turn_s * max(1, gateways), demand.told_until_s)
-        told = come_back(view)
-        demand.told_until_s = told.told_until_s
+        view = RetryAfterView(now_s, turn_s, turn_s * max(1, gateways), demand.last_assigned_s)
+        told = choose_retry_after(view)
+        demand.last_assigned_s = told.last_assigned_s
         return told.after_s
--- a/packages/heronladder-router/src/heronladder_router/place_queue.py
+++ b/packages/heronladder-router/src/heronladder_router/place_queue.py
@@ -1,6 +1,6 @@
 """Requests for plain services that wait at a gateway until a replica has room.
 
-What is decided, and why, stands in ``decisions.waiting`` and ``decisions.come_back``.
+What is decided, and why, stands in ``decisions.waiting`` and ``decisions.retry_after``.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
 
-from heronladder_router.decisions.come_back import ComeBackView, come_back
+from heronladder_router.decisions.retry_after import RetryAfterView, choose_retry_after
 from heronladder_router.decisions.waiting import (
     AnswerTimes,
     ReplicaPlaces,
@@ -43,7 +43,7 @@
         default_factory=dict
     )
     given: int = 0
-    told_until_s: float = -math.inf
+    last_assigned_s: float = -math.inf
     measured: AnswerTimes = field(default_factory=AnswerTimes)
     places: int = 0
 
@@ -220,15 +220,15 @@
 
     def _told_s(self, queue: _ServiceQueue, free_in_ms: float) -> float:
         turn = turn_ms(queue.places, queue.measured.least_ms, self._gateways())
-        told = come_back(
-            ComeBackView(
+        told = choose_retry_after(
+            RetryAfterView(
                 self._environment.monotonic(),
                 free_in_ms / MILLISECONDS_PER_SECOND,
                 turn / MILLISECONDS_PER_SECOND,
-                queue.told_until_s,
+                queue.last_assigned_s,
             )
         )
-        queue.told_until_s = told.told_until_s
+        queue.last_assigned_s = told.last_assigned_s
         return told.after_s
 
     def _report(
--- a/packages/heronladder-router/src/heronladder_router/replica_availability.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_availability.py
@@ -11,7 +11,7 @@
 
 from heronladder_router.answer_signals import AnswerSignals
 from heronladder_router.decisions.availability import Availability, AvailabilityView, judge
-from heronladder_router.decisions.come_back import ComeBackView, come_back
+from heronladder_router.decisions.retry_after import RetryAfterView, choose_retry_after
 from heronladder_router.replica_state import FleetReplica
 
 #: For so long one is left out whose address answered that it is another's. Each start of a replica
@@ -247,6 +247,6 @@
             return None
         latest_s = self._latest_return_s.get(service, -math.inf)
         turn_s = _RETURN_PAUSE_S * max(1, self.gateways())
-        told = come_back(ComeBackView(first_end_s, 0.0, turn_s, latest_s))
-        self._latest_return_s[service] = told.told_until_s
+        told = choose_retry_after(RetryAfterView(first_end_s, 0.0, turn_s, latest_s))
+        self._latest_return_s[service] = told.last_assigned_s
         return first_end_s - now_s + told.after_s
--- a/tests/plain_service_model.py
+++ b/tests/plain_service_model.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from heronladder_router.decisions.come_back import ComeBackView, come_back
+from heronladder_router.decisions.retry_after import RetryAfterView, choose_retry_after
 from heronladder_router.decisions.waiting import (
     AnswerTimes,
     ReplicaPlaces,
@@ -215,9 +215,9 @@
     def _told(self, gateway: int, free_in_s: float) -> float:
         answer_ms = self._measured[gateway].least_ms
         turn_s = turn_ms(sum(self._load.slots), answer_ms, self._load.gateways)
-        view = ComeBackView(self.now_s, free_in_s, turn_s / _MS, self._told_s[gateway])
-        told = come_back(view)
-        self._told_s[gateway] = told.told_until_s
+        view = RetryAfterView(self.now_s, free_in_s, turn_s / _MS, self._told_s[gateway])
+        told = choose_retry_after(view)
+        self._told_s[gateway] = told.last_assigned_s
         return told.after_s
 
     def _last_start(self, request: _Request) -> None:
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 from typing import cast
 
-from heronladder_router.decisions.come_back import ComeBack, ComeBackView, come_back
+from heronladder_router.decisions.retry_after import RetryAfter, RetryAfterView, choose_retry_after
 from heronladder_router.decisions.waiting import (
     AnswerTimes,
     ReplicaPlaces,
@@ -223,23 +223,23 @@
         self.assertEqual(chosen.count(first), 1)
 
 
-class ComeBackTest(unittest.TestCase):
+class RetryAfterTest(unittest.TestCase):
     """A crowd that is refused at the same moment."""
 
     def test_no_two_of_a_crowd_are_told_the_same_moment(self) -> None:
         """Told 0.3 s each, all of them came back together."""
-        told: list[ComeBack] = []
+        told: list[RetryAfter] = []
         until_s = 0.0
         for _ in range(40):
-            told.append(come_back(ComeBackView(100.0, 0.2, 0.03, until_s)))
-            until_s = told[-1].told_until_s
+            told.append(choose_retry_after(RetryAfterView(100.0, 0.2, 0.03, until_s)))
+            until_s = told[-1].last_assigned_s
         moments = [round(one.after_s, 6) for one in told]
         self.assertEqual(len(set(moments)), len(moments))
         self.assertGreaterEqual(min(moments), 0.2)
         self.assertLessEqual(max(moments), 1.5)
 
     def test_a_later_crowd_does_not_wait_for_an_earlier_one(self) -> None:
-        told = come_back(ComeBackView(200.0, 0.2, 0.03, 101.0))
+        told = choose_retry_after(RetryAfterView(200.0, 0.2, 0.03, 101.0))
         self.assertAlmostEqual(told.after_s, 0.2)
 
 
