--- a/packages/heronladder-router/src/heronladder_router/decisions/cold_limit.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/cold_limit.py
@@ -4,31 +4,35 @@
 and cold. Each gateway finds them the least loaded of all, and no gateway hears of the others'
 sends within a second.
 
-Way chosen: the few senders of ``few_senders``, with equal whole shares a second. Two views of who
+Way chosen: the few senders of ``sender_selection``, with equal whole shares a second. Two views of who
 the gateways are may name two groups of senders, so each group gets half of the bound.
 """
 
 from collections.abc import Callable
 
-from heronladder_router.decisions.few_senders import VIEWS, GatewaysKnown, share_of_few
+from heronladder_router.decisions.sender_selection import (
+    MEMBERSHIP_VIEWS,
+    KnownGateways,
+    selected_sender_share,
+)
 
 # Sends are counted over a second and a bit: what one machine sends a second apart may be closer
 # together by another's clock.
 WINDOW_S = 1.05
 
 
-def bound_per_s(bears_per_s: float, over: float, slack: float) -> float:
+def cold_bound_per_s(cold_capacity_per_s: float, over: float, slack: float) -> float:
     """Return the most requests that a cold replica may get in any second.
 
     Args:
-        bears_per_s: Requests a second that it bears.
+        cold_capacity_per_s: Requests a second that it bears.
         over: How many times that it may get.
         slack: Requests that it may get besides.
     """
-    return bears_per_s * over + slack
+    return cold_capacity_per_s * over + slack
 
 
-def share_per_s(replica: str, gateway: str, known: GatewaysKnown, bound: float) -> int:
+def share_per_s(replica: str, gateway: str, known: KnownGateways, bound: float) -> int:
     """Return how many requests a gateway may send to a cold replica in any second.
 
     Args:
@@ -37,7 +41,7 @@
         known: All gateways.
         bound: Most requests that the replica may get in any second, from all gateways.
     """
-    return share_of_few(replica, gateway, known, int(bound / VIEWS))
+    return selected_sender_share(replica, gateway, known, int(bound / MEMBERSHIP_VIEWS))
 
 
 class ColdLimits:
@@ -51,25 +55,25 @@
     """
 
     def __init__(
-        self, gateway: str, over: float, slack: float, gateways: Callable[[], GatewaysKnown]
+        self, gateway: str, over: float, slack: float, gateways: Callable[[], KnownGateways]
     ) -> None:
         self._gateway = gateway
         self._over = over
         self._slack = slack
         self._gateways = gateways
-        self._known = GatewaysKnown((), 0)
+        self._known = KnownGateways((), 0)
         self._shares: dict[tuple[str, float], int] = {}
 
-    def share(self, replica: str, bears_per_s: float) -> int:
+    def share(self, replica: str, cold_capacity_per_s: float) -> int:
         """Return how many requests the gateway may send to a cold replica in any second."""
         known = self._gateways()
         if known != self._known:
             self._known = known
             self._shares.clear()
-        key = (replica, bears_per_s)
+        key = (replica, cold_capacity_per_s)
         found = self._shares.get(key)
         if found is None:
-            bound = bound_per_s(bears_per_s, self._over, self._slack)
+            bound = cold_bound_per_s(cold_capacity_per_s, self._over, self._slack)
             found = share_per_s(replica, self._gateway, known, bound)
             self._shares[key] = found
         return found
--- a/packages/heronladder-router/src/heronladder_router/decisions/placement.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/placement.py
@@ -72,7 +72,7 @@
         zone: Zone of the gateway.
         zone_regions: Region of each zone.
         evacuated: Zones to which nothing may go.
-        bears_per_s: Requests a second that a cold replica of the service bears; 0: any number.
+        cold_capacity_per_s: Requests a second that a cold replica of the service bears; 0: any number.
         cold_share: Requests that this gateway may send to a cold replica in any second.
         permits: Whether a replica's version may be sent to.
         limit_verdict: Whether a replica that named a limit may be sent to; None: it named none.
@@ -91,7 +91,7 @@
     zone: str
     zone_regions: Mapping[str, str]
     evacuated: Collection[str]
-    bears_per_s: float
+    cold_capacity_per_s: float
     cold_share: Callable[[str, float], int]
     shares_load: bool
     remote_cost_ms: float = 0.0
@@ -236,7 +236,7 @@
 
 def is_cold(view: PlacementView, replica: FleetReplica) -> bool:
     """Whether sends to a replica are limited."""
-    return view.bears_per_s > 0 and replica.cold_until_s > view.now_s
+    return view.cold_capacity_per_s > 0 and replica.cold_until_s > view.now_s
 
 
 def may_take_more(view: PlacementView, replica: FleetReplica) -> bool:
@@ -245,7 +245,7 @@
         return True
     since_s = view.now_s - WINDOW_S
     sent = sum(1 for moment_s in replica.cold_sends_s if moment_s > since_s)
-    return sent < view.cold_share(replica.name, view.bears_per_s)
+    return sent < view.cold_share(replica.name, view.cold_capacity_per_s)
 
 
 def is_within_limit(view: PlacementView, replica: FleetReplica) -> bool:
--- a/packages/heronladder-router/src/heronladder_router/decisions/replica_limit.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/replica_limit.py
@@ -14,7 +14,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from heronladder_router.decisions.few_senders import VIEWS, GatewaysKnown, share_of_few
+from heronladder_router.decisions.sender_selection import (
+    MEMBERSHIP_VIEWS,
+    KnownGateways,
+    selected_sender_share,
+)
 
 #: Sends without a grant are counted over so long: the span over which users judge them.
 SPAN_S = 4.0
@@ -63,7 +67,7 @@
     sends_s: Sequence[float]
     silent_s: float
     gateway: str
-    known: GatewaysKnown
+    known: KnownGateways
 
 
 def judge(view: LimitView) -> LimitVerdict:
@@ -77,7 +81,7 @@
     return LimitVerdict.ONE_OF_FEW if may_send else LimitVerdict.NONE_OF_FEW
 
 
-def share_without_leader(replica: str, gateway: str, known: GatewaysKnown, per_s: float) -> int:
+def share_without_leader(replica: str, gateway: str, known: KnownGateways, per_s: float) -> int:
     """Return the sends that a gateway may make in any ``SPAN_S`` without a grant.
 
     Args:
@@ -87,8 +91,8 @@
         per_s: Requests a second that the replica takes from all gateways.
     """
     # One at least: only an answer tells that the need has ended.
-    total = max(1, int(per_s * SPAN_S / VIEWS))
-    return share_of_few(replica, gateway, known, total)
+    total = max(1, int(per_s * SPAN_S / MEMBERSHIP_VIEWS))
+    return selected_sender_share(replica, gateway, known, total)
 
 
 def sends_wanted(requests: int, waiting: int, limited: int, usable: int, held: int) -> int:
--- a/packages/heronladder-router/src/heronladder_router/decisions/few_senders.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/sender_selection.py
@@ -11,12 +11,12 @@
 
 import xxhash
 
-VIEWS = 2  # groups of gateways that may send at the same time
+MEMBERSHIP_VIEWS = 2  # groups of gateways that may send at the same time
 _WEIGHTS = 1 << 64
 
 
 @dataclass(frozen=True)
-class GatewaysKnown:
+class KnownGateways:
     """What a gateway knows of all gateways.
 
     Attributes:
@@ -28,7 +28,7 @@
     count: int
 
 
-def share_of_few(replica: str, gateway: str, known: GatewaysKnown, total: int) -> int:
+def selected_sender_share(replica: str, gateway: str, known: KnownGateways, total: int) -> int:
     """Return a gateway's whole share of a number that few gateways have in equal parts.
 
     Args:
--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -254,7 +254,7 @@
             zone=self._where.zone,
             zone_regions=self._where.zone_regions,
             evacuated=self.evacuated,
-            bears_per_s=self._bears_per_s(service),
+            cold_capacity_per_s=self._bears_per_s(service),
             cold_share=self._cold.share,
             shares_load=self.loads.known,
             remote_cost_ms=self._where.remote_cost_ms,
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -16,7 +16,7 @@
 from heronladder_router.crash_reports import CrashReports
 from heronladder_router.crashing_requests import CrashingRequests
 from heronladder_router.decisions.cold_limit import ColdLimits
-from heronladder_router.decisions.few_senders import GatewaysKnown
+from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.gateway_dispatch import GatewayDispatcher, GatewayParts
 from heronladder_router.gateway_names import GatewayNames
@@ -198,8 +198,8 @@
         self.metrics.gauge("replicas_backing_off", lambda: self.replicas.availability.backing_off)
         self.metrics.gauge("replicas_limited", lambda: limits.count)
 
-    def _gateways_known(self) -> GatewaysKnown:
-        return GatewaysKnown(self.tokens.lenders.names, self.link.routers)
+    def _gateways_known(self) -> KnownGateways:
+        return KnownGateways(self.tokens.lenders.names, self.link.routers)
 
     def _make_replicas(self) -> FleetReplicas:
         options = self.options
--- a/packages/heronladder-router/src/heronladder_router/replica_limits.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_limits.py
@@ -22,7 +22,6 @@
 )
 from heronladder_schema.v1 import control_pb2
 
-from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.replica_limit import (
     LEADER_SILENT_S,
     SPAN_S,
@@ -30,6 +29,7 @@
     LimitView,
     judge,
 )
+from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.limit_demand import LimitDemand
 from heronladder_router.replica_state import FleetReplica
 
@@ -100,7 +100,7 @@
         self._answered = Pulse()  # given when the leader answered a heartbeat
         self._answered_s = float("-inf")  # when that heartbeat was sent
         self.gateway = ""
-        self.gateways: Callable[[], GatewaysKnown] = lambda: GatewaysKnown((), 1)
+        self.gateways: Callable[[], KnownGateways] = lambda: KnownGateways((), 1)
         self.leader_heard_s: Callable[[], float] = lambda: float("-inf")
         self.beat_now: Callable[[], None] = lambda: None
 
--- a/tests/back_off_run.py
+++ b/tests/back_off_run.py
@@ -170,7 +170,7 @@
             zone="z",
             zone_regions={"z": "r"},
             evacuated=(),
-            bears_per_s=0.0,
+            cold_capacity_per_s=0.0,
             cold_share=lambda *_: 0,
             shares_load=False,
             availability=self._verdict(gateway),
--- a/tests/limit_run.py
+++ b/tests/limit_run.py
@@ -11,8 +11,8 @@
 
 from heronladder_control.daemon_session import DaemonSession
 from heronladder_control.replica_limits import SharedReplicaLimits
-from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.replica_limit import LimitVerdict
+from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.kept_parts import KeptParts
 from heronladder_router.replica_limits import ReplicaLimits
 from heronladder_router.replica_state import FleetReplica
@@ -112,7 +112,7 @@
         )
         limits.gateway = f"g{number}"
         names = frozenset(f"g{other}" for other in range(self.gateways))
-        limits.gateways = lambda: GatewaysKnown(names, self.gateways)
+        limits.gateways = lambda: KnownGateways(names, self.gateways)
         limits.leader_heard_s = lambda: self.observed_s[number]
         limits.beat_now = lambda: self._at(0.0, lambda: self._beat(number))
         self.replicas[number], self.limited[number] = replicas, limits
--- a/tests/test_cold_replicas.py
+++ b/tests/test_cold_replicas.py
@@ -9,11 +9,11 @@
 from heronladder_router.decisions.cold_limit import (
     WINDOW_S,
     ColdLimits,
-    bound_per_s,
+    cold_bound_per_s,
     share_per_s,
 )
-from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.placement import PlacementView, Reason, place
+from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.kept_parts import KeptParts
 from heronladder_router.replica_state import FleetReplica, RequestProfile
 from heronladder_runtime.clock import Environment
@@ -38,11 +38,11 @@
 
 class ShareTest(unittest.TestCase):
     def test_the_bound_is_of_the_settings(self) -> None:
-        self.assertEqual(bound_per_s(_BEARS_PER_S, 1.5, 5), _BOUND)
+        self.assertEqual(cold_bound_per_s(_BEARS_PER_S, 1.5, 5), _BOUND)
 
     def test_all_gateways_together_stay_within_half_of_the_bound(self) -> None:
         for count in (1, 3, 7, 10, 11, 30, 68, 400):
-            known = GatewaysKnown(_names(count), count)
+            known = KnownGateways(_names(count), count)
             for replica in ("r1", "r2", "r3"):
                 shares = [share_per_s(replica, name, known, _BOUND) for name in known.names]
                 self.assertLessEqual(sum(shares), _BOUND / 2)
@@ -57,13 +57,13 @@
             total = 0
             for name in everyone:
                 view = first if name in first else second
-                known = GatewaysKnown(frozenset(view), len(view))
+                known = KnownGateways(frozenset(view), len(view))
                 if name in view:
                     total += share_per_s(f"r{trial}", name, known, _BOUND)
             self.assertLessEqual(total, _BOUND)
 
     def test_a_gateway_that_knows_only_a_number_sends_by_chance(self) -> None:
-        known = GatewaysKnown((), 30)
+        known = KnownGateways((), 30)
         senders = [
             sum(share_per_s(f"r{number}", name, known, _BOUND) for name in _names(30))
             for number in range(200)
@@ -76,7 +76,7 @@
     """One gateway's view of a zone of replicas that came back cold."""
 
     def __init__(self, name: str, gateways: int, seed: int) -> None:
-        known = GatewaysKnown(_names(gateways), gateways)
+        known = KnownGateways(_names(gateways), gateways)
         self.cold = ColdLimits(name, 1.5, 5, lambda: known)
         self.random = random.Random(seed)
         self.replicas = [
@@ -89,14 +89,14 @@
             for number in range(9)
         ]
 
-    def send(self, now_s: float, *, bears_per_s: float) -> str:
+    def send(self, now_s: float, *, cold_capacity_per_s: float) -> str:
         view = PlacementView(
             replicas=self.replicas,
             now_s=now_s,
             zone="z0",
             zone_regions={},
             evacuated=(),
-            bears_per_s=bears_per_s,
+            cold_capacity_per_s=cold_capacity_per_s,
             cold_share=self.cold.share,
             shares_load=True,
         )
@@ -113,26 +113,26 @@
 class ReturnOfAZoneTest(unittest.TestCase):
     """A zone of idle, cold replicas looks the least loaded to every gateway."""
 
-    def _play(self, bears_per_s: float) -> int:
+    def _play(self, cold_capacity_per_s: float) -> int:
         gateways = [_Gateway(f"front-{number}", 30, number) for number in range(30)]
         source = random.Random(7)
         sent: dict[str, list[float]] = {}
         now_s = 100.0
         while now_s < 103.0:
             now_s += source.expovariate(136.0)
-            name = source.choice(gateways).send(now_s, bears_per_s=bears_per_s)
+            name = source.choice(gateways).send(now_s, cold_capacity_per_s=cold_capacity_per_s)
             sent.setdefault(name, []).append(now_s)
         return max(_busiest_second(sent.get(f"r{number}", [0.0])) for number in (0, 3, 6))
 
     def test_none_gets_more_than_it_may_in_any_second(self) -> None:
         """23 and 24 requests reached cold replicas in a second in which 20 were allowed."""
-        self.assertGreater(self._play(bears_per_s=0.0), _BOUND)  # as any other replica
-        self.assertLessEqual(self._play(bears_per_s=_BEARS_PER_S), _BOUND)
+        self.assertGreater(self._play(cold_capacity_per_s=0.0), _BOUND)  # as any other replica
+        self.assertLessEqual(self._play(cold_capacity_per_s=_BEARS_PER_S), _BOUND)
 
     def test_a_cold_replica_that_could_take_work_gets_some(self) -> None:
         gateways = [_Gateway(f"front-{number}", 30, number) for number in range(30)]
         sent = [
-            gateway.send(100.0 + WINDOW_S * turn, bears_per_s=_BEARS_PER_S)
+            gateway.send(100.0 + WINDOW_S * turn, cold_capacity_per_s=_BEARS_PER_S)
             for turn in range(3)
             for gateway in gateways
         ]
@@ -162,7 +162,7 @@
             zone="south-1",
             zone_regions={"north-1": "north", "south-1": "south"},
             evacuated=(),
-            bears_per_s=0.0,
+            cold_capacity_per_s=0.0,
             cold_share=lambda *_: 0,
             shares_load=False,
         )
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -5,7 +5,7 @@
 
 from heronladder_control.replica_loads import ReplicaLoads
 from heronladder_router.decisions.cold_limit import ColdLimits
-from heronladder_router.decisions.few_senders import GatewaysKnown
+from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.kept_parts import parse_parts
 from heronladder_router.replica_state import RequestProfile
@@ -29,7 +29,7 @@
     """Return what a gateway of a zone knows: nine replicas over three zones."""
     configuration = ConfigurationStore("gateway")
     environment = _Clock(random=random.Random(seed))
-    cold = ColdLimits("gateway", 1.5, 5, lambda: GatewaysKnown({"gateway"}, 1))
+    cold = ColdLimits("gateway", 1.5, 5, lambda: KnownGateways({"gateway"}, 1))
     where = Surroundings(zone, {})
     replicas = FleetReplicas(where, cold, configuration, environment, EventLog("test", "gateway"))
     update = control_pb2.ConfigUpdate(revision=1, snapshot=True)
--- a/tests/test_gateway_readiness.py
+++ b/tests/test_gateway_readiness.py
@@ -7,8 +7,8 @@
 from typing import Any, cast
 
 from heronladder_router.decisions.cold_limit import ColdLimits
-from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.readiness import ReadinessView, Standing, judge_readiness
+from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.gateway_readiness import GatewayReadiness
 from heronladder_router.replica_state import RequestProfile
@@ -202,7 +202,7 @@
         store = ConfigurationStore("g")
         replicas = FleetReplicas(
             Surroundings("z", {}),
-            ColdLimits("g", 1.5, 5, lambda: GatewaysKnown({"g"}, 1)),
+            ColdLimits("g", 1.5, 5, lambda: KnownGateways({"g"}, 1)),
             store,
             _Clock(),
             EventLog("test", "g"),
--- a/tests/test_region_choice.py
+++ b/tests/test_region_choice.py
@@ -5,9 +5,9 @@
 from collections import Counter
 
 from heronladder_router.decisions.cold_limit import ColdLimits
-from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.placement import Placement, PlacementView, Reason, place
 from heronladder_router.decisions.region_choice import RegionChoice
+from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.kept_parts import KeptParts, PromptPart
 from heronladder_router.replica_state import FleetReplica, RequestProfile
@@ -54,7 +54,7 @@
             zone=zone,
             zone_regions=_REGIONS,
             evacuated=evacuated,
-            bears_per_s=1.0 if cold else 0.0,
+            cold_capacity_per_s=1.0 if cold else 0.0,
             cold_share=lambda *_: 0,
             shares_load=True,
             remote_cost_ms=_FAR_MS,
@@ -191,7 +191,7 @@
         configuration = ConfigurationStore("gateway")
         replicas = FleetReplicas(
             Surroundings("n-a", _REGIONS, _FAR_MS, 3),
-            ColdLimits("gateway", 1.5, 5, lambda: GatewaysKnown({"gateway"}, 1)),
+            ColdLimits("gateway", 1.5, 5, lambda: KnownGateways({"gateway"}, 1)),
             configuration,
             clock,
             EventLog("test", "gateway"),
--- a/tests/test_replica_limit_reports.py
+++ b/tests/test_replica_limit_reports.py
@@ -4,13 +4,13 @@
 
 from heronladder_control.daemon_session import DaemonSession
 from heronladder_control.replica_limits import SharedReplicaLimits
-from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.replica_limit import (
     SPAN_S,
     LimitVerdict,
     sends_wanted,
     share_without_leader,
 )
+from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.kept_parts import KeptParts
 from heronladder_router.replica_limits import ReplicaLimits
 from heronladder_router.replica_state import FleetReplica
@@ -80,7 +80,7 @@
             EventLog("gateway", "g0"),
         )
         self.limits.gateway = "g0"
-        self.limits.gateways = lambda: GatewaysKnown(frozenset({"g0"}), 1)
+        self.limits.gateways = lambda: KnownGateways(frozenset({"g0"}), 1)
         self.limits.leader_heard_s = lambda: self.leader_heard_s
         self.leader_heard_s = self.clock.now_s
         self.term = 1
@@ -262,7 +262,7 @@
 class WithoutALeaderTest(unittest.TestCase):
     def test_two_groups_of_few_senders_stay_within_the_limit(self) -> None:
         for count in (1, 3, 6, 30, 300):
-            known = GatewaysKnown(frozenset(f"g{number}" for number in range(count)), count)
+            known = KnownGateways(frozenset(f"g{number}" for number in range(count)), count)
             for per_s in (0.5, 1.7, 20.0, 300.0):
                 shares = [share_without_leader("r", name, known, per_s) for name in known.names]
                 self.assertLessEqual(2 * sum(shares), per_s * SPAN_S)
--- a/tests/test_speed.py
+++ b/tests/test_speed.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 
 from heronladder_router.decisions.cold_limit import ColdLimits
-from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.placement import PlacementView, place
+from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.decisions.speed import FirstEvent, MeasuredSpeed, ReplicaPace, Speed
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.kept_parts import KeptParts
@@ -198,7 +198,7 @@
 
     def test_a_full_link_of_the_gateway_tells_nothing_of_engines(self) -> None:
         """A gateway with a full link passed keepers over: 1.6 times as much was read again."""
-        cold = ColdLimits("g", 1.5, 5, lambda: GatewaysKnown({"g"}, 1))
+        cold = ColdLimits("g", 1.5, 5, lambda: KnownGateways({"g"}, 1))
         link_s = 0.5
         where = Surroundings("z", {}, measures_speed=True, link_s=lambda: link_s)
         store = ConfigurationStore("g")
