--- a/packages/heronladder-router/src/heronladder_router/decisions/patience.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/attempt_timeout.py
@@ -25,7 +25,7 @@
 _LEAST_SEEN = 20  # first events before they are believed
 
 
-class Measure(Enum):
+class TimeoutBasis(Enum):
     """What patience goes by."""
 
     OBJECTIVE = "objective"
@@ -33,39 +33,39 @@
 
 
 @dataclass(frozen=True)
-class FirstEventTimes:
+class FirstEventQuantile:
     """What four of five first events of a service stay within.
 
     Attributes:
-        most_within_s: That time.
-        seen: First events so far.
+        quantile_s: That time.
+        count: First events so far.
     """
 
-    most_within_s: float = 0.0
-    seen: int = 0
+    quantile_s: float = 0.0
+    count: int = 0
 
-    def after(self, took_s: float) -> "FirstEventTimes":
+    def after(self, took_s: float) -> "FirstEventQuantile":
         """Return what is known after one more first event, or one that was given up."""
-        if not self.seen:
-            return FirstEventTimes(took_s, 1)
-        share = _MOST if took_s > self.most_within_s else _MOST - 1
-        return FirstEventTimes(self.most_within_s * (1 + _RATE * share), self.seen + 1)
+        if not self.count:
+            return FirstEventQuantile(took_s, 1)
+        share = _MOST if took_s > self.quantile_s else _MOST - 1
+        return FirstEventQuantile(self.quantile_s * (1 + _RATE * share), self.count + 1)
 
 
 @dataclass(frozen=True)
-class Patience:
+class AttemptTimeout:
     """How long is waited, and by what.
 
     Attributes:
-        for_s: How long.
-        measure: By what.
+        timeout_s: How long.
+        basis: By what.
     """
 
-    for_s: float
-    measure: Measure
+    timeout_s: float
+    basis: TimeoutBasis
 
 
-def patience(objective_s: float, times: FirstEventTimes) -> Patience:
+def choose_attempt_timeout(objective_s: float, times: FirstEventQuantile) -> AttemptTimeout:
     """Return how long the first event of a stream is waited for.
 
     Args:
@@ -73,10 +73,10 @@
         times: First events of the service.
     """
     most_s = max(_SHORTEST_S, _OBJECTIVES * objective_s)
-    if times.seen < _LEAST_SEEN:
-        return Patience(most_s, Measure.OBJECTIVE)
+    if times.count < _LEAST_SEEN:
+        return AttemptTimeout(most_s, TimeoutBasis.OBJECTIVE)
     least_s = max(_SHORTEST_S, _LEAST_OBJECTIVES * objective_s)
-    measured_s = max(least_s, _TIMES * times.most_within_s)
+    measured_s = max(least_s, _TIMES * times.quantile_s)
     if measured_s >= most_s:
-        return Patience(most_s, Measure.OBJECTIVE)
-    return Patience(measured_s, Measure.MEASURED)
+        return AttemptTimeout(most_s, TimeoutBasis.OBJECTIVE)
+    return AttemptTimeout(measured_s, TimeoutBasis.MEASURED)
--- a/packages/heronladder-router/src/heronladder_router/replica_attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_attempt.py
@@ -17,8 +17,8 @@
     RunFailedError,
     RunLostError,
 )
+from heronladder_router.decisions.attempt_timeout import choose_attempt_timeout
 from heronladder_router.decisions.availability import Availability
-from heronladder_router.decisions.patience import patience
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.gateway_names import GatewayNames
 from heronladder_router.gateway_request import AnswerSink, GatewayRequest, ReplicaAnswer
@@ -179,9 +179,9 @@
 
     def _patience_s(self, request: GatewayRequest) -> float:
         objective_s = request.matched.route.objective_ms / MILLISECONDS_PER_SECOND
-        return patience(
+        return choose_attempt_timeout(
             objective_s, self._replicas.speeds.first_events(request.profile.service)
-        ).for_s
+        ).timeout_s
 
     def _headers(
         self, request: GatewayRequest, replica: FleetReplica, progress: AnswerProgress
--- a/packages/heronladder-router/src/heronladder_router/service_speeds.py
+++ b/packages/heronladder-router/src/heronladder_router/service_speeds.py
@@ -4,7 +4,7 @@
 
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 
-from heronladder_router.decisions.patience import FirstEventTimes
+from heronladder_router.decisions.attempt_timeout import FirstEventQuantile
 from heronladder_router.decisions.speed import FirstEvent, MeasuredSpeed, Speed
 from heronladder_router.replica_state import FleetReplica
 
@@ -33,7 +33,7 @@
         self._environment = environment
         self._measures_speed = measures_speed
         self._measures_patience = measures_patience
-        self._first_events: dict[str, FirstEventTimes] = {}
+        self._first_events: dict[str, FirstEventQuantile] = {}
         self._measured: dict[str, MeasuredSpeed] = {}
 
     def speed(self, service: str) -> Speed:
@@ -53,9 +53,9 @@
         replica.pace = replica.pace.after(seen, measured.speed(), now_s)
         self._measured[replica.record.service] = measured.after(seen)
 
-    def first_events(self, service: str) -> FirstEventTimes:
+    def first_events(self, service: str) -> FirstEventQuantile:
         """Return how long the first events of a service take."""
-        return self._first_events.get(service, FirstEventTimes())
+        return self._first_events.get(service, FirstEventQuantile())
 
     def given_up(self, replica: FleetReplica, after_s: float) -> None:
         """Note that no answer of a replica began in so long."""
--- a/tests/test_patience.py
+++ b/tests/test_attempt_timeout.py
@@ -3,7 +3,11 @@
 import random
 import unittest
 
-from heronladder_router.decisions.patience import FirstEventTimes, Measure, patience
+from heronladder_router.decisions.attempt_timeout import (
+    FirstEventQuantile,
+    TimeoutBasis,
+    choose_attempt_timeout,
+)
 
 _OBJECTIVE_S, _DEADLINE_S = 1.219, 3.047  # eligibility notes of the users' sheets
 _BY_OBJECTIVE_S = 3 * _OBJECTIVE_S
@@ -15,7 +19,7 @@
     def _served(self, *, measured: bool, slower: float = 1.0) -> tuple[float, float]:
         """Return the share served, and the share broken off while a replica was at work."""
         source = random.Random(1)
-        times = FirstEventTimes()
+        times = FirstEventQuantile()
         served = broken = 0
         count = 2_000
         for _ in range(count):
@@ -23,13 +27,17 @@
             for _ in range(2):
                 lost = source.random() < 0.1
                 takes_s = slower * source.uniform(0.1, 0.4)
-                for_s = patience(_OBJECTIVE_S, times).for_s if measured else _BY_OBJECTIVE_S
-                if not lost and takes_s <= for_s:
+                timeout_s = (
+                    choose_attempt_timeout(_OBJECTIVE_S, times).timeout_s
+                    if measured
+                    else _BY_OBJECTIVE_S
+                )
+                if not lost and takes_s <= timeout_s:
                     times = times.after(takes_s)
                     served += waited_s + takes_s <= _DEADLINE_S
                     break
-                times = times.after(for_s)
-                waited_s += for_s
+                times = times.after(timeout_s)
+                waited_s += timeout_s
                 broken += not lost
         return served / count, broken / count
 
@@ -46,16 +54,18 @@
         self.assertLess(broken, 0.03)
 
     def test_it_is_never_longer_than_the_share_of_the_objective(self) -> None:
-        slow = FirstEventTimes(9.0, 100)
-        self.assertEqual(patience(_OBJECTIVE_S, slow).for_s, _BY_OBJECTIVE_S)
-        self.assertEqual(patience(_OBJECTIVE_S, FirstEventTimes()).measure, Measure.OBJECTIVE)
-        quick = patience(0.415, FirstEventTimes(0.01, 100))
-        self.assertEqual((quick.for_s, quick.measure), (1.0, Measure.MEASURED))
+        slow = FirstEventQuantile(9.0, 100)
+        self.assertEqual(choose_attempt_timeout(_OBJECTIVE_S, slow).timeout_s, _BY_OBJECTIVE_S)
+        self.assertEqual(
+            choose_attempt_timeout(_OBJECTIVE_S, FirstEventQuantile()).basis, TimeoutBasis.OBJECTIVE
+        )
+        quick = choose_attempt_timeout(0.415, FirstEventQuantile(0.01, 100))
+        self.assertEqual((quick.timeout_s, quick.basis), (1.0, TimeoutBasis.MEASURED))
 
     def test_a_long_prompt_among_short_ones_is_not_given_up(self) -> None:
         """18 sends were given up at 1 s, of an objective of 835 ms, at slow engines."""
-        short = FirstEventTimes(0.12, 100)
-        self.assertGreaterEqual(patience(0.835, short).for_s, 2 * 0.835)
+        short = FirstEventQuantile(0.12, 100)
+        self.assertGreaterEqual(choose_attempt_timeout(0.835, short).timeout_s, 2 * 0.835)
 
 
 if __name__ == "__main__":
