--- a/packages/heronladder-router/src/heronladder_router/decisions/availability.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/availability.py
@@ -40,7 +40,7 @@
     misdirected: bool = False
 
 
-def judge(view: AvailabilityView) -> Availability:
+def check_availability(view: AvailabilityView) -> Availability:
     """Return whether a replica may be sent new requests."""
     if not view.registered:
         return Availability.UNREGISTERED
--- a/packages/heronladder-router/src/heronladder_router/decisions/readiness.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/readiness.py
@@ -29,16 +29,16 @@
 _REST_S = 4.0  # ready at least so long in between: half of the time at the worst
 
 
-class Standing(Enum):
+class ReadinessReason(Enum):
     """Why a gateway is ready or not."""
 
     OFF = "off"
-    UNKNOWN = "load_unknown"
-    IN_TIME = "in_time"
-    SHARED = "no_more_than_others"
+    LOAD_UNKNOWN = "load_unknown"
+    WITHIN_LIMIT = "in_time"
+    LOAD_IS_SHARED = "no_more_than_others"
     BEHIND = "behind"
-    RESTS = "was_behind_just_now"
-    LONG_ENOUGH = "behind_long_enough"
+    RECENTLY_BEHIND = "was_behind_just_now"
+    UNREADY_TOO_LONG = "behind_long_enough"
 
 
 @dataclass(frozen=True)
@@ -74,34 +74,36 @@
 
     Attributes:
         ready: Whether it does.
-        standing: Why.
+        reason: Why.
         late_ms: How far it is behind.
         mean: Requests under way at a gateway, on the mean.
     """
 
     ready: bool
-    standing: Standing
+    reason: ReadinessReason
     late_ms: float = 0.0
     mean: float = 0.0
 
 
-def judge_readiness(view: ReadinessView) -> Readiness:
+def check_readiness(view: ReadinessView) -> Readiness:
     """Return whether a gateway is ready for new connections."""
     late_ms = max(view.link_ms, view.loop_ms)
     if not view.limit_ms:
-        return Readiness(True, Standing.OFF, late_ms)
+        return Readiness(True, ReadinessReason.OFF, late_ms)
     if view.behind_s is not None:
         if late_ms < _BACK_SHARE * view.limit_ms:
-            return Readiness(True, Standing.IN_TIME, late_ms)
+            return Readiness(True, ReadinessReason.WITHIN_LIMIT, late_ms)
         ready = view.behind_s > _LONGEST_S
-        return Readiness(ready, Standing.LONG_ENOUGH if ready else Standing.BEHIND, late_ms)
+        return Readiness(
+            ready, ReadinessReason.UNREADY_TOO_LONG if ready else ReadinessReason.BEHIND, late_ms
+        )
     if view.others is None or view.heard_s < _SUMS_WHOLE_S or view.gateways < _MEANS:
-        return Readiness(True, Standing.UNKNOWN, late_ms)
+        return Readiness(True, ReadinessReason.LOAD_UNKNOWN, late_ms)
     mean = (view.own + view.others) / view.gateways
     if late_ms <= view.limit_ms:
-        return Readiness(True, Standing.IN_TIME, late_ms, mean)
+        return Readiness(True, ReadinessReason.WITHIN_LIMIT, late_ms, mean)
     if view.own < _LEAST_IN_FLIGHT or view.own <= _MEANS * mean:
-        return Readiness(True, Standing.SHARED, late_ms, mean)
+        return Readiness(True, ReadinessReason.LOAD_IS_SHARED, late_ms, mean)
     if view.ready_s < _REST_S:
-        return Readiness(True, Standing.RESTS, late_ms, mean)
-    return Readiness(False, Standing.BEHIND, late_ms, mean)
+        return Readiness(True, ReadinessReason.RECENTLY_BEHIND, late_ms, mean)
+    return Readiness(False, ReadinessReason.BEHIND, late_ms, mean)
--- a/packages/heronladder-router/src/heronladder_router/decisions/replica_limit.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/replica_limit.py
@@ -70,7 +70,7 @@
     known: KnownGateways
 
 
-def judge(view: LimitView) -> LimitVerdict:
+def check_limit(view: LimitView) -> LimitVerdict:
     """Return whether a rate-limited replica may be sent to."""
     if any(until_s > view.now_s for until_s in view.grants_s):
         return LimitVerdict.GRANTED
--- a/packages/heronladder-router/src/heronladder_router/gateway_readiness.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_readiness.py
@@ -7,7 +7,7 @@
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
 
-from heronladder_router.decisions.readiness import ReadinessView, judge_readiness
+from heronladder_router.decisions.readiness import ReadinessView, check_readiness
 from heronladder_router.shared_loads import SharedLoads
 
 
@@ -72,19 +72,19 @@
             ready_s=now_s - self._ready_since_s,
             heard_s=now_s - self._link.heard_since_s,
         )
-        decided = judge_readiness(view)
+        decided = check_readiness(view)
         if decided.ready is not self.behind:
             return
         if decided.ready:
             self._behind_since_s, self._ready_since_s = None, now_s
         else:
             self._behind_since_s = now_s
-        self._metrics.add("gateway_behind_changes", decided.standing.value)
+        self._metrics.add("gateway_behind_changes", decided.reason.value)
         self._log.info(
             "gateway_readiness",
             step="readiness",
             ready=decided.ready,
-            reason=decided.standing.value,
+            reason=decided.reason.value,
             link_ms=int(view.link_ms),
             loop_ms=int(view.loop_ms),
             limit_ms=int(view.limit_ms),
--- a/packages/heronladder-router/src/heronladder_router/replica_availability.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_availability.py
@@ -10,7 +10,11 @@
 from heronladder_runtime.replica_limit import Incarnation
 
 from heronladder_router.answer_signals import AnswerSignals
-from heronladder_router.decisions.availability import Availability, AvailabilityView, judge
+from heronladder_router.decisions.availability import (
+    Availability,
+    AvailabilityView,
+    check_availability,
+)
 from heronladder_router.decisions.retry_after import RetryAfterView, choose_retry_after
 from heronladder_router.replica_state import FleetReplica
 
@@ -195,7 +199,7 @@
             now_s < record.misdirected_until_s
             and record.misdirected_address == replica.record.address
         )
-        return judge(
+        return check_availability(
             AvailabilityView(
                 now_s, registered, record.back_off_until_s, record.leaving, is_elsewhere
             )
--- a/packages/heronladder-router/src/heronladder_router/replica_limits.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_limits.py
@@ -27,7 +27,7 @@
     SPAN_S,
     LimitVerdict,
     LimitView,
-    judge,
+    check_limit,
 )
 from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.limit_demand import LimitDemand
@@ -210,7 +210,7 @@
         if limited is None or limited.report.per_s is None:
             return None
         limited.drop_old(self._environment.monotonic())
-        return judge(
+        return check_limit(
             LimitView(
                 replica.name,
                 limited.report.per_s,
--- a/tests/test_answer_signals.py
+++ b/tests/test_answer_signals.py
@@ -6,7 +6,11 @@
 from email.utils import format_datetime
 
 from heronladder_router.answer_signals import AnswerSignals, read_signals
-from heronladder_router.decisions.availability import Availability, AvailabilityView, judge
+from heronladder_router.decisions.availability import (
+    Availability,
+    AvailabilityView,
+    check_availability,
+)
 from heronladder_router.gateway_names import GatewayNames
 from heronladder_router.kept_parts import KeptParts
 from heronladder_router.replica_availability import ReplicaAvailability
@@ -124,7 +128,7 @@
 
     def test_a_replica_that_is_not_registered_comes_first(self) -> None:
         view = AvailabilityView(1.0, registered=False, back_off_until_s=2.0)
-        self.assertIs(judge(view), Availability.UNREGISTERED)
+        self.assertIs(check_availability(view), Availability.UNREGISTERED)
 
     def test_afterwards_it_gets_one_request_then_more(self) -> None:
         self._ask(3.0)
--- a/tests/test_gateway_readiness.py
+++ b/tests/test_gateway_readiness.py
@@ -7,7 +7,7 @@
 from typing import Any, cast
 
 from heronladder_router.decisions.cold_limit import ColdLimits
-from heronladder_router.decisions.readiness import ReadinessView, Standing, judge_readiness
+from heronladder_router.decisions.readiness import ReadinessReason, ReadinessView, check_readiness
 from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.gateway_readiness import GatewayReadiness
@@ -85,7 +85,7 @@
         ]
         for number, link in enumerate(links):
             since_s = link.behind_since_s
-            decided = judge_readiness(
+            decided = check_readiness(
                 ReadinessView(
                     limit_ms,
                     2 * link.wait_s * 1000,
@@ -131,40 +131,43 @@
             behind = [
                 own
                 for own in loads
-                if not judge_readiness(_view(link_ms=9_000, own=own, others=sum(loads) - own)).ready
+                if not check_readiness(_view(link_ms=9_000, own=own, others=sum(loads) - own)).ready
             ]
             self.assertLess(len(behind), len(loads) / 2)
 
     def test_fewer_than_half_can_be_behind_while_a_new_leader_has_parts_of_the_sums(self) -> None:
         """All 20 were: each of them heard of few others at a leader that had just begun."""
         partial = [
-            judge_readiness(_view(link_ms=9_000, own=50, others=0, heard_s=0.9)) for _ in range(20)
+            check_readiness(_view(link_ms=9_000, own=50, others=0, heard_s=0.9)) for _ in range(20)
         ]
-        self.assertEqual({one.standing for one in partial}, {Standing.UNKNOWN})
+        self.assertEqual({one.reason for one in partial}, {ReadinessReason.LOAD_UNKNOWN})
         self.assertTrue(all(one.ready for one in partial))
-        self.assertFalse(judge_readiness(_view(link_ms=9_000, own=50, others=0, heard_s=1.0)).ready)
+        self.assertFalse(check_readiness(_view(link_ms=9_000, own=50, others=0, heard_s=1.0)).ready)
 
     def test_a_late_loop_counts_as_a_full_link_does(self) -> None:
-        self.assertFalse(judge_readiness(_view(loop_ms=400)).ready)
-        self.assertFalse(judge_readiness(_view(link_ms=400)).ready)
-        self.assertTrue(judge_readiness(_view(link_ms=300)).ready)
+        self.assertFalse(check_readiness(_view(loop_ms=400)).ready)
+        self.assertFalse(check_readiness(_view(link_ms=400)).ready)
+        self.assertTrue(check_readiness(_view(link_ms=300)).ready)
 
     def test_it_is_ready_where_it_cannot_compare_itself(self) -> None:
         self.assertEqual(
-            judge_readiness(_view(link_ms=900, others=None)).standing, Standing.UNKNOWN
+            check_readiness(_view(link_ms=900, others=None)).reason, ReadinessReason.LOAD_UNKNOWN
         )
         self.assertEqual(
-            judge_readiness(_view(link_ms=900, others=0, gateways=1)).standing, Standing.UNKNOWN
+            check_readiness(_view(link_ms=900, others=0, gateways=1)).reason,
+            ReadinessReason.LOAD_UNKNOWN,
         )
         self.assertEqual(
-            judge_readiness(_view(link_ms=900, own=7, others=0)).standing, Standing.SHARED
+            check_readiness(_view(link_ms=900, own=7, others=0)).reason,
+            ReadinessReason.LOAD_IS_SHARED,
         )
 
     def test_it_comes_back_with_a_margin_or_after_a_while(self) -> None:
-        self.assertFalse(judge_readiness(_view(link_ms=200, behind_s=1.0)).ready)
-        self.assertTrue(judge_readiness(_view(link_ms=149, behind_s=1.0)).ready)
+        self.assertFalse(check_readiness(_view(link_ms=200, behind_s=1.0)).ready)
+        self.assertTrue(check_readiness(_view(link_ms=149, behind_s=1.0)).ready)
         self.assertEqual(
-            judge_readiness(_view(link_ms=900, behind_s=4.1)).standing, Standing.LONG_ENOUGH
+            check_readiness(_view(link_ms=900, behind_s=4.1)).reason,
+            ReadinessReason.UNREADY_TOO_LONG,
         )
 
     def test_it_is_ready_for_half_of_the_time_whatever_its_times_say(self) -> None:
@@ -174,7 +177,7 @@
         for beat in range(200):
             now_s = beat * _BEAT_S
             behind_s = None if behind_since_s is None else now_s - behind_since_s
-            decided = judge_readiness(
+            decided = check_readiness(
                 ReadinessView(_LIMIT_MS, 900, 0.0, 100, 100, 20, behind_s, now_s - ready_since_s)
             )
             ready_beats += decided.ready
@@ -185,7 +188,9 @@
         self.assertGreater(ready_beats, 90)
 
     def test_it_can_be_turned_off(self) -> None:
-        self.assertEqual(judge_readiness(_view(limit_ms=0.0, link_ms=9_000)).standing, Standing.OFF)
+        self.assertEqual(
+            check_readiness(_view(limit_ms=0.0, link_ms=9_000)).reason, ReadinessReason.OFF
+        )
 
 
 class _Clock(Environment):
