--- a/packages/heronladder-router/src/heronladder_router/decisions/speed.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/speed.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class MeasuredSpeed:
+class ServiceSpeedFit:
     """What the first events of a service tell: sums of products, the newest counting most."""
 
     tokens_tokens: float = 0.0
@@ -73,10 +73,10 @@
     running_ms: float = 0.0
     streams: int = 0
 
-    def after(self, seen: FirstEvent) -> "MeasuredSpeed":
+    def after(self, seen: FirstEvent) -> "ServiceSpeedFit":
         """Return what is known after one more first event."""
         tokens, running, ms = seen.tokens, seen.running, _engine_ms(seen, self.speed())
-        return MeasuredSpeed(
+        return ServiceSpeedFit(
             _KEEP * self.tokens_tokens + tokens * tokens,
             _KEEP * self.tokens_running + tokens * running,
             _KEEP * self.running_running + running * running,
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True)
-class ReplicaPace:
+class ReplicaSlowdown:
     """How slow a replica is beside the others of its service.
 
     Attributes:
@@ -114,10 +114,10 @@
     expected_ms: float = 0.0
     seen_s: float = 0.0
 
-    def after(self, seen: FirstEvent, speed: Speed, now_s: float) -> "ReplicaPace":
+    def after(self, seen: FirstEvent, speed: Speed, now_s: float) -> "ReplicaSlowdown":
         """Return what is known after one more first event."""
         keep = _REPLICA_KEEP * self._kept(now_s)
-        return ReplicaPace(
+        return ReplicaSlowdown(
             keep * self.took_ms + _engine_ms(seen, speed),
             keep * self.expected_ms + speed.first_event_ms(seen.tokens, seen.running),
             now_s,
--- a/packages/heronladder-router/src/heronladder_router/replica_state.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_state.py
@@ -6,7 +6,7 @@
 from heronladder_runtime.replica_limit import Incarnation
 from heronladder_schema.v1 import resources_pb2
 
-from heronladder_router.decisions.speed import ReplicaPace
+from heronladder_router.decisions.speed import ReplicaSlowdown
 from heronladder_router.kept_parts import KeptParts, PromptPart
 
 
@@ -46,7 +46,7 @@
     others_in_flight: int = 0
     others_unread_tokens: int = 0
     busy_until_s: float = 0.0
-    pace: ReplicaPace = field(default_factory=ReplicaPace)
+    pace: ReplicaSlowdown = field(default_factory=ReplicaSlowdown)
 
     @property
     def name(self) -> str:
--- a/packages/heronladder-router/src/heronladder_router/service_speeds.py
+++ b/packages/heronladder-router/src/heronladder_router/service_speeds.py
@@ -5,7 +5,7 @@
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 
 from heronladder_router.decisions.attempt_timeout import FirstEventQuantile
-from heronladder_router.decisions.speed import FirstEvent, MeasuredSpeed, Speed
+from heronladder_router.decisions.speed import FirstEvent, ServiceSpeedFit, Speed
 from heronladder_router.replica_state import FleetReplica
 
 _LINK_SHARE = 0.25  # of a first event, from which it tells of the link
@@ -34,11 +34,11 @@
         self._measures_speed = measures_speed
         self._measures_patience = measures_patience
         self._first_events: dict[str, FirstEventQuantile] = {}
-        self._measured: dict[str, MeasuredSpeed] = {}
+        self._measured: dict[str, ServiceSpeedFit] = {}
 
     def speed(self, service: str) -> Speed:
         """Return the measured speed of a service's replicas."""
-        return self._measured.get(service, MeasuredSpeed()).speed()
+        return self._measured.get(service, ServiceSpeedFit()).speed()
 
     def first_event(self, replica: FleetReplica, seen: FirstEvent) -> None:
         """Take in how long a first event of a model's stream took."""
@@ -48,7 +48,7 @@
         link_full = self._link_s() > _LINK_SHARE * took_s
         if link_full or not self._measures_speed:
             return
-        measured = self._measured.get(replica.record.service, MeasuredSpeed())
+        measured = self._measured.get(replica.record.service, ServiceSpeedFit())
         now_s = self._environment.monotonic()
         replica.pace = replica.pace.after(seen, measured.speed(), now_s)
         self._measured[replica.record.service] = measured.after(seen)
--- a/tests/test_speed.py
+++ b/tests/test_speed.py
@@ -10,7 +10,7 @@
 from heronladder_router.decisions.cold_limit import ColdLimits
 from heronladder_router.decisions.placement import PlacementView, place
 from heronladder_router.decisions.sender_selection import KnownGateways
-from heronladder_router.decisions.speed import FirstEvent, MeasuredSpeed, ReplicaPace, Speed
+from heronladder_router.decisions.speed import FirstEvent, ReplicaSlowdown, ServiceSpeedFit, Speed
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.kept_parts import KeptParts
 from heronladder_router.replica_state import FleetReplica, RequestProfile
@@ -48,7 +48,7 @@
 @dataclass
 class _Gateway:
     replicas: list[FleetReplica]
-    measured: MeasuredSpeed = field(default_factory=MeasuredSpeed)
+    measured: ServiceSpeedFit = field(default_factory=ServiceSpeedFit)
 
 
 class _Fleet:
@@ -161,9 +161,9 @@
 
 
 class SpeedTest(unittest.TestCase):
-    def _seen(self, token_ms: float, running_ms: float, streams: int) -> MeasuredSpeed:
+    def _seen(self, token_ms: float, running_ms: float, streams: int) -> ServiceSpeedFit:
         source = random.Random(1)
-        measured = MeasuredSpeed()
+        measured = ServiceSpeedFit()
         for _ in range(streams):
             tokens, running = source.choice((540, 1_800, 9_000)), source.randrange(12)
             took_ms = 20 + tokens * token_ms + running * running_ms + source.uniform(0, 10)
@@ -177,24 +177,24 @@
             self.assertAlmostEqual(speed.token_ms * per_ms, 1.0, delta=0.15)
 
     def test_the_constants_hold_until_something_was_measured(self) -> None:
-        self.assertEqual(MeasuredSpeed().speed(), Speed())
+        self.assertEqual(ServiceSpeedFit().speed(), Speed())
         once = self._seen(1.0, 0.0, 1).speed()
         self.assertLess(once.token_ms, 2 * Speed().token_ms)
 
     def test_what_is_stuck_moves_no_figure_past_its_bound(self) -> None:
-        measured = MeasuredSpeed()
+        measured = ServiceSpeedFit()
         for _ in range(500):
             measured = measured.after(FirstEvent(2_000, 4, 60_000))
         self.assertLessEqual(measured.speed().token_ms, 4 * Speed().token_ms)
         self.assertLessEqual(measured.speed().running_ms, 4 * Speed().running_ms)
 
     def test_a_slow_replica_is_given_another_chance(self) -> None:
-        pace = ReplicaPace()
+        pace = ReplicaSlowdown()
         for number in range(5):
             pace = pace.after(FirstEvent(5_000, 2, 800), Speed(), 100.0 + number / 10)
         self.assertGreater(pace.factor(100.5), 2.0)
         self.assertLess(pace.factor(112.0), 1.3)
-        self.assertEqual(ReplicaPace().factor(100.0), 1.0)
+        self.assertEqual(ReplicaSlowdown().factor(100.0), 1.0)
 
     def test_a_full_link_of_the_gateway_tells_nothing_of_engines(self) -> None:
         """A gateway with a full link passed keepers over: 1.6 times as much was read again."""
@@ -207,7 +207,7 @@
         for _ in range(20):
             replicas.speeds.first_event(replica, FirstEvent(500, 2, 1_300))
         self.assertEqual(replicas.speeds.speed(_SERVICE), Speed())
-        self.assertEqual(replica.pace, ReplicaPace())
+        self.assertEqual(replica.pace, ReplicaSlowdown())
         link_s = 0.01
         replicas.speeds.first_event(replica, FirstEvent(500, 2, 1_300))
         self.assertGreater(replicas.speeds.speed(_SERVICE).token_ms, Speed().token_ms)
