--- a/packages/heronladder-router/src/heronladder_router/decisions/waiting.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/slot_admission.py
@@ -39,27 +39,27 @@
 _SHORTEST_MS = 5.0  # no answer is taken for faster
 
 
-class Verdict(Enum):
+class AdmissionVerdict(Enum):
     """What becomes of a request."""
 
     SEND = "send"
     WAIT = "wait"
-    TURN_AWAY = "turn_away"
+    REJECT = "turn_away"
 
 
-class Why(Enum):
+class AdmissionReason(Enum):
     """The reason of a verdict."""
 
-    NOT_COUNTED = "places_not_counted"
-    LINK = "link_is_slow"
-    DOUBTED = "answers_are_quick"
-    FREE = "place_free"
-    FULL = "full_in_time"
+    SLOTS_UNKNOWN = "places_not_counted"
+    LINK_SLOW = "link_is_slow"
+    ANSWERS_FAST = "answers_are_quick"
+    SLOT_FREE = "place_free"
+    SLOTS_FULL = "full_in_time"
     TOO_LATE = "cannot_be_in_time"
 
 
 @dataclass(frozen=True)
-class ReplicaPlaces:
+class ReplicaSlots:
     """Places of one replica.
 
     Attributes:
@@ -69,12 +69,12 @@
     """
 
     slots: int
-    taken: int
+    occupied: int
     busy: bool = False
 
 
 @dataclass(frozen=True)
-class WaitingView:
+class AdmissionView:
     """What is known when a request is about to be sent.
 
     Attributes:
@@ -88,18 +88,18 @@
         link_ms: Way over this gateway's link and back, as measured last.
     """
 
-    replicas: Collection[ReplicaPlaces]
-    sums_heard: bool
+    replicas: Collection[ReplicaSlots]
+    totals_known: bool
     gateways: int
     measured: "AnswerTimes"
     ahead: int
-    left_ms: float
-    whole_ms: float
+    remaining_ms: float
+    budget_ms: float
     link_ms: float = 0.0
 
 
 @dataclass(frozen=True)
-class Waiting:
+class AdmissionDecision:
     """What becomes of a request, and why.
 
     Attributes:
@@ -111,41 +111,49 @@
         places: Requests that they run at once.
     """
 
-    verdict: Verdict
-    why: Why
+    verdict: AdmissionVerdict
+    reason: AdmissionReason
     expected_ms: float = 0.0
     last_start_ms: float = 0.0
     free: int = 0
     places: int = 0
 
 
-def decide(view: WaitingView) -> Waiting:
+def decide_admission(view: AdmissionView) -> AdmissionDecision:
     """Return what becomes of a request that was not sent yet."""
     places = sum(replica.slots for replica in view.replicas)
     counted = all(replica.slots for replica in view.replicas)
-    if not (places and counted and view.sums_heard and view.measured.least_ms):
-        return Waiting(Verdict.SEND, Why.NOT_COUNTED, places=places)
-    answer_ms = max(_SHORTEST_MS, view.measured.least_ms)
-    turns = max(1.0, view.whole_ms / answer_ms - _MARGIN)
+    if not (places and counted and view.totals_known and view.measured.service_time_ms):
+        return AdmissionDecision(
+            AdmissionVerdict.SEND, AdmissionReason.SLOTS_UNKNOWN, places=places
+        )
+    answer_ms = max(_SHORTEST_MS, view.measured.service_time_ms)
+    turns = max(1.0, view.budget_ms / answer_ms - _MARGIN)
     free = sum(_room(replica, turns) for replica in view.replicas)
     if free > view.ahead:
-        return Waiting(Verdict.SEND, Why.FREE, free=free, places=places)
-    if view.link_ms > _LINK_SHARE * view.left_ms:
-        return Waiting(Verdict.SEND, Why.LINK, free=free, places=places)
+        return AdmissionDecision(
+            AdmissionVerdict.SEND, AdmissionReason.SLOT_FREE, free=free, places=places
+        )
+    if view.link_ms > _LINK_SHARE * view.remaining_ms:
+        return AdmissionDecision(
+            AdmissionVerdict.SEND, AdmissionReason.LINK_SLOW, free=free, places=places
+        )
     shed = any(replica.busy for replica in view.replicas)
-    if not shed and view.measured.newest_ms < _DOUBT_SHARE * view.left_ms:
-        return Waiting(Verdict.SEND, Why.DOUBTED, free=free, places=places)
+    if not shed and view.measured.recent_ms < _DOUBT_SHARE * view.remaining_ms:
+        return AdmissionDecision(
+            AdmissionVerdict.SEND, AdmissionReason.ANSWERS_FAST, free=free, places=places
+        )
     # While all is full, places come free at this pace, and other gateways wait for them too.
-    expected_ms = (view.ahead + 1 - free) * turn_ms(places, answer_ms, view.gateways)
-    last_start_ms = view.left_ms - _MARGIN * answer_ms
+    expected_ms = (view.ahead + 1 - free) * slot_interval_ms(places, answer_ms, view.gateways)
+    last_start_ms = view.remaining_ms - _MARGIN * answer_ms
     if expected_ms > last_start_ms:
-        verdict, why = Verdict.TURN_AWAY, Why.TOO_LATE
+        verdict, reason = AdmissionVerdict.REJECT, AdmissionReason.TOO_LATE
     else:
-        verdict, why = Verdict.WAIT, Why.FULL
-    return Waiting(verdict, why, expected_ms, max(0.0, last_start_ms), free, places)
+        verdict, reason = AdmissionVerdict.WAIT, AdmissionReason.SLOTS_FULL
+    return AdmissionDecision(verdict, reason, expected_ms, max(0.0, last_start_ms), free, places)
 
 
-def turn_ms(places: int, answer_ms: float, gateways: int) -> float:
+def slot_interval_ms(places: int, answer_ms: float, gateways: int) -> float:
     """Return how often a place comes free for one of several gateways, all places being taken.
 
     Half of the gateways are taken to wait: all of them would wait only where each has more
@@ -154,11 +162,11 @@
     return answer_ms / max(1, places) * max(1.0, gateways / 2)
 
 
-def _room(replica: ReplicaPlaces, turns: float) -> int:
+def _room(replica: ReplicaSlots, turns: float) -> int:
     """Return how many more a replica can answer in time, in so many turns of its places."""
     if replica.busy:
         return 0
-    return max(0, int(replica.slots * turns) - replica.taken)
+    return max(0, int(replica.slots * turns) - replica.occupied)
 
 
 @dataclass(frozen=True)
@@ -170,17 +178,17 @@
         newest_ms: Time of the newest answers.
     """
 
-    least_ms: float = 0.0
-    newest_ms: float = 0.0
+    service_time_ms: float = 0.0
+    recent_ms: float = 0.0
 
     def after(self, measured_ms: float) -> "AnswerTimes":
         """Return the times after one more answer was measured."""
-        if not self.least_ms:
+        if not self.service_time_ms:
             return AnswerTimes(measured_ms, measured_ms)
-        share = _FALL_SHARE if measured_ms < self.least_ms else _RISE_SHARE
+        share = _FALL_SHARE if measured_ms < self.service_time_ms else _RISE_SHARE
         return AnswerTimes(
-            self.least_ms + share * (measured_ms - self.least_ms),
-            self.newest_ms + _NEWEST_SHARE * (measured_ms - self.newest_ms),
+            self.service_time_ms + share * (measured_ms - self.service_time_ms),
+            self.recent_ms + _NEWEST_SHARE * (measured_ms - self.recent_ms),
         )
 
 
@@ -196,13 +204,13 @@
     """
 
     number: int
-    rank: int
+    priority: int
     in_time_until_s: float
-    whole_s: float
+    budget_s: float
 
-    def times_ms(self, now_s: float) -> tuple[float, float]:
+    def remaining_and_budget_ms(self, now_s: float) -> tuple[float, float]:
         """Return the time that is left, and the whole, as ``WaitingView`` has them."""
-        return (self.in_time_until_s - now_s) * _MS, self.whole_s * _MS
+        return (self.in_time_until_s - now_s) * _MS, self.budget_s * _MS
 
 
 def next_waiter(waiters: Collection[Waiter], given: int) -> Waiter:
@@ -218,10 +226,12 @@
     """
     if given % _OLDEST_TURN == _OLDEST_TURN - 1:
         return min(waiters, key=lambda waiter: waiter.number)
-    return min(waiters, key=lambda waiter: (waiter.rank, waiter.in_time_until_s, waiter.number))
+    return min(waiters, key=lambda waiter: (waiter.priority, waiter.in_time_until_s, waiter.number))
 
 
-def ahead_of(waiter: Waiter, waiters: Collection[Waiter]) -> int:
+def count_ahead(waiter: Waiter, waiters: Collection[Waiter]) -> int:
     """Return how many of those that wait go before one, by rank and laxity."""
-    own = (waiter.rank, waiter.in_time_until_s, waiter.number)
-    return sum(1 for other in waiters if (other.rank, other.in_time_until_s, other.number) < own)
+    own = (waiter.priority, waiter.in_time_until_s, waiter.number)
+    return sum(
+        1 for other in waiters if (other.priority, other.in_time_until_s, other.number) < own
+    )
--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -23,7 +23,7 @@
     is_within_limit,
     place,
 )
-from heronladder_router.decisions.waiting import ReplicaPlaces
+from heronladder_router.decisions.slot_admission import ReplicaSlots
 from heronladder_router.evacuated_zones import EvacuatedZones
 from heronladder_router.far_sends import FarSends
 from heronladder_router.kept_parts import KeptParts
@@ -272,7 +272,7 @@
         """Requests that spilled to other regions in the last second."""
         return self._far_sends.count
 
-    def places_of(self, profile: RequestProfile) -> tuple[list[ReplicaPlaces], bool]:
+    def places_of(self, profile: RequestProfile) -> tuple[list[ReplicaSlots], bool]:
         """Return the places of the replicas that a request may go to, and if sums are heard."""
         usable = self.usable(profile.service)
         view = self._view(profile.service, self.versions.admitted(profile.service, usable))
@@ -286,7 +286,7 @@
         ]
         trusted = [replica for replica in allowed if not replica.failures]
         places = [
-            ReplicaPlaces(
+            ReplicaSlots(
                 replica.record.slots,
                 replica.in_flight + replica.others_in_flight,
                 replica.busy_until_s > view.now_s or not is_within_limit(view, replica),
--- a/packages/heronladder-router/src/heronladder_router/place_queue.py
+++ b/packages/heronladder-router/src/heronladder_router/place_queue.py
@@ -1,6 +1,6 @@
 """Requests for plain services that wait at a gateway until a replica has room.
 
-What is decided, and why, stands in ``decisions.waiting`` and ``decisions.retry_after``.
+What is decided, and why, stands in ``decisions.slot_admission`` and ``decisions.retry_after``.
 """
 
 import asyncio
@@ -13,18 +13,18 @@
 from heronladder_runtime.metrics import Metrics
 
 from heronladder_router.decisions.retry_after import RetryAfterView, choose_retry_after
-from heronladder_router.decisions.waiting import (
+from heronladder_router.decisions.slot_admission import (
+    AdmissionDecision,
+    AdmissionReason,
+    AdmissionVerdict,
+    AdmissionView,
     AnswerTimes,
-    ReplicaPlaces,
-    Verdict,
+    ReplicaSlots,
     Waiter,
-    Waiting,
-    WaitingView,
-    Why,
-    ahead_of,
-    decide,
+    count_ahead,
+    decide_admission,
     next_waiter,
-    turn_ms,
+    slot_interval_ms,
 )
 from heronladder_router.errors import PlacesTakenError
 from heronladder_router.gateway_request import GatewayRequest
@@ -32,7 +32,7 @@
 
 _LEAST_WAIT_S = 0.001
 #: Replicas that a request may be sent to, and whether the others' load is known.
-PlacesOf = Callable[[RequestProfile], tuple[list[ReplicaPlaces], bool]]
+PlacesOf = Callable[[RequestProfile], tuple[list[ReplicaSlots], bool]]
 
 
 @dataclass
@@ -97,17 +97,17 @@
             return
         queue = self._services.setdefault(request.profile.service, _ServiceQueue())
         in_time_until_s = self._in_time_until_s(request)
-        whole_s = in_time_until_s - request.arrived_s
+        budget_s = in_time_until_s - request.arrived_s
         self._number += 1
-        waiter = Waiter(self._number, request.matched.priority, in_time_until_s, whole_s)
-        ahead = ahead_of(waiter, [other for other, _, _ in queue.waiting.values()])
+        waiter = Waiter(self._number, request.matched.priority, in_time_until_s, budget_s)
+        ahead = count_ahead(waiter, [other for other, _, _ in queue.waiting.values()])
         decided = self._decide(queue, request.profile, ahead, waiter)
-        if decided.why is Why.FREE:
+        if decided.reason is AdmissionReason.SLOT_FREE:
             return
         self._report(request, queue, decided, ahead)
-        if decided.verdict is Verdict.SEND:
+        if decided.verdict is AdmissionVerdict.SEND:
             return
-        if decided.verdict is Verdict.TURN_AWAY:
+        if decided.verdict is AdmissionVerdict.REJECT:
             raise self._turned_away(request, queue, decided)
         await self._wait(request, queue, waiter, decided.last_start_ms)
 
@@ -121,20 +121,20 @@
 
     def _decide(
         self, queue: _ServiceQueue, profile: RequestProfile, ahead: int, waiter: Waiter
-    ) -> Waiting:
+    ) -> AdmissionDecision:
         replicas, heard = self._places_of(profile)
-        left_ms, whole_ms = waiter.times_ms(self._environment.monotonic())
-        view = WaitingView(
+        remaining_ms, budget_ms = waiter.remaining_and_budget_ms(self._environment.monotonic())
+        view = AdmissionView(
             replicas,
             heard,
             self._gateways(),
             queue.measured,
             ahead,
-            left_ms,
-            whole_ms,
+            remaining_ms,
+            budget_ms,
             self._link_s() * MILLISECONDS_PER_SECOND,
         )
-        decided = decide(view)
+        decided = decide_admission(view)
         queue.places = decided.places
         return decided
 
@@ -175,7 +175,7 @@
             _, room, profile = queue.waiting[chosen.number]
             # What was granted just now is not under way yet.
             decided = self._decide(queue, profile, granted, chosen)
-            if decided.verdict is not Verdict.SEND:
+            if decided.verdict is not AdmissionVerdict.SEND:
                 return
             granted += 1
             queue.given += 1
@@ -197,7 +197,7 @@
     # ---- refusals ---------------------------------------------------------
 
     def _turned_away(
-        self, request: GatewayRequest, queue: _ServiceQueue, decided: Waiting
+        self, request: GatewayRequest, queue: _ServiceQueue, decided: AdmissionDecision
     ) -> PlacesTakenError:
         return PlacesTakenError(
             f"places are expected in {decided.expected_ms:.0f} ms",
@@ -214,12 +214,16 @@
             otherwise_s: What to say while nothing of the service is measured.
         """
         queue = self._services.get(service)
-        if not self._waits or queue is None or not (queue.measured.least_ms and queue.places):
+        if (
+            not self._waits
+            or queue is None
+            or not (queue.measured.service_time_ms and queue.places)
+        ):
             return otherwise_s
-        return self._told_s(queue, queue.measured.least_ms)
+        return self._told_s(queue, queue.measured.service_time_ms)
 
     def _told_s(self, queue: _ServiceQueue, free_in_ms: float) -> float:
-        turn = turn_ms(queue.places, queue.measured.least_ms, self._gateways())
+        turn = slot_interval_ms(queue.places, queue.measured.service_time_ms, self._gateways())
         told = choose_retry_after(
             RetryAfterView(
                 self._environment.monotonic(),
@@ -232,7 +236,7 @@
         return told.after_s
 
     def _report(
-        self, request: GatewayRequest, queue: _ServiceQueue, decided: Waiting, ahead: int
+        self, request: GatewayRequest, queue: _ServiceQueue, decided: AdmissionDecision, ahead: int
     ) -> None:
         self._metrics.add("place_verdicts", decided.verdict.value)
         self._log.info(
@@ -241,13 +245,13 @@
             peer=request.profile.service,
             request_id=request.request_id,
             verdict=decided.verdict.value,
-            reason=decided.why.value,
+            reason=decided.reason.value,
             free=decided.free,
             places=decided.places,
             ahead=ahead,
             gateways=self._gateways(),
             expected_ms=int(decided.expected_ms),
             last_start_ms=int(decided.last_start_ms),
-            least_answer_ms=int(queue.measured.least_ms),
-            newest_answer_ms=int(queue.measured.newest_ms),
+            least_answer_ms=int(queue.measured.service_time_ms),
+            newest_answer_ms=int(queue.measured.recent_ms),
         )
--- a/tests/plain_service_model.py
+++ b/tests/plain_service_model.py
@@ -11,24 +11,24 @@
 from dataclasses import dataclass, field
 
 from heronladder_router.decisions.retry_after import RetryAfterView, choose_retry_after
-from heronladder_router.decisions.waiting import (
+from heronladder_router.decisions.slot_admission import (
+    AdmissionVerdict,
+    AdmissionView,
     AnswerTimes,
-    ReplicaPlaces,
-    Verdict,
+    ReplicaSlots,
     Waiter,
-    WaitingView,
-    ahead_of,
-    decide,
+    count_ahead,
+    decide_admission,
     next_waiter,
-    turn_ms,
+    slot_interval_ms,
 )
 
-SUMS_S = 0.3  # between two hearings of the others' load
-WAY_S = 0.001  # one way between gateway and replica
+TOTALS_INTERVAL_S = 0.3  # between two hearings of the others' load
+ONE_WAY_S = 0.001  # one way between gateway and replica
 _BUSY_S = 0.15
 _SENDS = 4
 _MS = 1000.0  # in a second
-_SAFETY = 0.75  # of the repeats allowed, as the gateways' allowance keeps it
+_RETRY_BUDGET_FRACTION = 0.75  # of the repeats allowed, as the gateways' allowance keeps it
 
 
 @dataclass
@@ -43,9 +43,9 @@
     queue: int = 2
     objective_s: float = 0.415
     deadline_s: float = 3.1
-    ranks: tuple[int, ...] = (0,)
-    repeat_ratio: float = 0.2
-    repeat_slack: int = 100
+    priorities: tuple[int, ...] = (0,)
+    retry_ratio: float = 0.2
+    retry_slack: int = 100
 
 
 @dataclass
@@ -57,10 +57,10 @@
     failed: int = 0
     refusals: int = 0
     sends: int = 0
-    turned_away: int = 0  # sends that a full replica did not run
-    told_s: list[float] = field(default_factory=list)
+    rejected_by_replica: int = 0  # sends that a full replica did not run
+    retry_times_s: list[float] = field(default_factory=list)
     longest_wait_s: float = 0.0
-    by_rank: dict[int, list[int]] = field(default_factory=dict)
+    by_priority: dict[int, list[int]] = field(default_factory=dict)
 
     @property
     def in_time_share(self) -> float:
@@ -72,7 +72,7 @@
 class _Request:
     first_s: float
     gateway: int
-    rank: int
+    priority: int
     number: int
     arrived_s: float = 0.0
     sent_s: float = 0.0
@@ -92,7 +92,7 @@
     """Plays a load; ``waits``: by the decision on waiting, else sent at once."""
 
     def __init__(self, load: Load, seed: int, *, waits: bool) -> None:
-        self._load, self._waits = load, waits
+        self._load, self._applies_decision = load, waits
         self._random = random.Random(seed)
         self._replicas = [_Replica(slots, load.queue) for slots in load.slots]
         count, replicas = load.gateways, len(load.slots)
@@ -100,9 +100,9 @@
         self._others = [[0] * replicas for _ in range(count)]
         self._busy_s = [[0.0] * replicas for _ in range(count)]
         self._queue: list[dict[int, tuple[Waiter, _Request]]] = [{} for _ in range(count)]
-        self._given = [0] * count
-        self._told_s = [0.0] * count
-        self._repeats = [0] * count
+        self._slots_given = [0] * count
+        self._last_assigned_s = [0.0] * count
+        self._retries = [0] * count
         self._requests = [0] * count
         self._measured = [AnswerTimes().after(load.work_s * _MS) for _ in range(count)]
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -110,12 +110,12 @@
         self.now_s = 0.0
         self.outcome = Outcome()
 
-    def play(self) -> Outcome:
+    def run(self) -> Outcome:
         """Play until nothing is left to happen."""
         self._at(self._random.expovariate(self._load.rate(0.0)), self._arrive)
         for gateway in range(self._load.gateways):
-            first_s = self._random.random() * SUMS_S
-            self._at(first_s, lambda gateway=gateway: self._hear(gateway))  # type: ignore[misc]
+            first_s = self._random.random() * TOTALS_INTERVAL_S
+            self._at(first_s, lambda gateway=gateway: self._update_totals(gateway))  # type: ignore[misc]
         while self._events:
             self.now_s, _, event = heapq.heappop(self._events)
             event()
@@ -124,13 +124,13 @@
     def _at(self, moment_s: float, event: Callable[[], None]) -> None:
         heapq.heappush(self._events, (moment_s, next(self._numbers), event))
 
-    def _hear(self, gateway: int) -> None:
+    def _update_totals(self, gateway: int) -> None:
         for number in range(len(self._replicas)):
             total = sum(own[number] for own in self._own)
             self._others[gateway][number] = total - self._own[gateway][number]
-        self._room(gateway)
+        self._send_waiting(gateway)
         if self.now_s < self._load.until_s + self._load.deadline_s:
-            self._at(self.now_s + SUMS_S, lambda: self._hear(gateway))
+            self._at(self.now_s + TOTALS_INTERVAL_S, lambda: self._update_totals(gateway))
 
     # ---- callers ----------------------------------------------------------
 
@@ -138,7 +138,7 @@
         request = _Request(
             self.now_s,
             self._random.randrange(self._load.gateways),
-            self._random.choice(self._load.ranks),
+            self._random.choice(self._load.priorities),
             next(self._numbers),
         )
         self._attempt(request)
@@ -155,7 +155,7 @@
         self._requests[request.gateway] += 1
         self._consider(request)
 
-    def _end(self, request: _Request, answered: bool) -> None:
+    def _count_outcome(self, request: _Request, answered: bool) -> None:
         took_s = self.now_s - request.first_s
         outcome = self.outcome
         in_time = answered and took_s <= self._load.objective_s
@@ -165,23 +165,23 @@
             outcome.late += 1
         else:
             outcome.failed += 1
-        counts = outcome.by_rank.setdefault(request.rank, [0, 0])
+        counts = outcome.by_priority.setdefault(request.priority, [0, 0])
         counts[0] += in_time
         counts[1] += 1
 
     def _refuse(self, request: _Request, after_s: float) -> None:
         self.outcome.refusals += 1
-        self.outcome.told_s.append(self.now_s + after_s)
+        self.outcome.retry_times_s.append(self.now_s + after_s)
         if request.attempts > 1:
-            self._end(request, answered=False)
+            self._count_outcome(request, answered=False)
         else:
             self._at(self.now_s + after_s, lambda: self._attempt(request))
 
     # ---- at a gateway -----------------------------------------------------
 
-    def _view(self, gateway: int, ahead: int, waiter: Waiter) -> WaitingView:
+    def _view(self, gateway: int, ahead: int, waiter: Waiter) -> AdmissionView:
         places = [
-            ReplicaPlaces(
+            ReplicaSlots(
                 replica.slots,
                 self._own[gateway][number] + self._others[gateway][number],
                 self._busy_s[gateway][number] > self.now_s,
@@ -189,35 +189,35 @@
             for number, replica in enumerate(self._replicas)
         ]
         measured = self._measured[gateway]
-        left_ms, whole_ms = waiter.times_ms(self.now_s)
+        remaining_ms, budget_ms = waiter.remaining_and_budget_ms(self.now_s)
         gateways = self._load.gateways
-        return WaitingView(places, True, gateways, measured, ahead, left_ms, whole_ms)
+        return AdmissionView(places, True, gateways, measured, ahead, remaining_ms, budget_ms)
 
     def _consider(self, request: _Request) -> None:
-        if not self._waits:
+        if not self._applies_decision:
             self._send(request)
             return
-        whole_s = self._load.objective_s
+        budget_s = self._load.objective_s
         waiting = self._queue[request.gateway]
-        in_time_until_s = request.arrived_s + whole_s
-        waiter = Waiter(request.number, request.rank, in_time_until_s, whole_s)
-        ahead = ahead_of(waiter, [other for other, _ in waiting.values()])
-        verdict = decide(self._view(request.gateway, ahead, waiter))
-        if verdict.verdict is Verdict.SEND:
+        in_time_until_s = request.arrived_s + budget_s
+        waiter = Waiter(request.number, request.priority, in_time_until_s, budget_s)
+        ahead = count_ahead(waiter, [other for other, _ in waiting.values()])
+        verdict = decide_admission(self._view(request.gateway, ahead, waiter))
+        if verdict.verdict is AdmissionVerdict.SEND:
             self._send(request)
-        elif verdict.verdict is Verdict.TURN_AWAY:
-            self._refuse(request, self._told(request.gateway, verdict.expected_ms / _MS))
+        elif verdict.verdict is AdmissionVerdict.REJECT:
+            self._refuse(request, self._retry_after_s(request.gateway, verdict.expected_ms / _MS))
         else:
             waiting[request.number] = (waiter, request)
             last_s = self.now_s + verdict.last_start_ms / _MS
             self._at(last_s, lambda: self._last_start(request))
 
-    def _told(self, gateway: int, free_in_s: float) -> float:
-        answer_ms = self._measured[gateway].least_ms
-        turn_s = turn_ms(sum(self._load.slots), answer_ms, self._load.gateways)
-        view = RetryAfterView(self.now_s, free_in_s, turn_s / _MS, self._told_s[gateway])
+    def _retry_after_s(self, gateway: int, free_in_s: float) -> float:
+        answer_ms = self._measured[gateway].service_time_ms
+        turn_s = slot_interval_ms(sum(self._load.slots), answer_ms, self._load.gateways)
+        view = RetryAfterView(self.now_s, free_in_s, turn_s / _MS, self._last_assigned_s[gateway])
         told = choose_retry_after(view)
-        self._told_s[gateway] = told.last_assigned_s
+        self._last_assigned_s[gateway] = told.last_assigned_s
         return told.after_s
 
     def _last_start(self, request: _Request) -> None:
@@ -229,13 +229,18 @@
         self.outcome.longest_wait_s = max(self.outcome.longest_wait_s, waited_s)
         self._send(request)
 
-    def _room(self, gateway: int) -> None:
+    def _send_waiting(self, gateway: int) -> None:
         waiting = self._queue[gateway]
         while waiting:
-            chosen = next_waiter([waiter for waiter, _ in waiting.values()], self._given[gateway])
-            if decide(self._view(gateway, 0, chosen)).verdict is not Verdict.SEND:
+            chosen = next_waiter(
+                [waiter for waiter, _ in waiting.values()], self._slots_given[gateway]
+            )
+            if (
+                decide_admission(self._view(gateway, 0, chosen)).verdict
+                is not AdmissionVerdict.SEND
+            ):
                 return
-            self._given[gateway] += 1
+            self._slots_given[gateway] += 1
             self._release(waiting.pop(chosen.number)[1])
 
     def _send(self, request: _Request) -> None:
@@ -243,16 +248,18 @@
         pool = [number for number in range(len(self._replicas)) if number not in request.tried]
         sound = [number for number in pool if self._busy_s[gateway][number] <= self.now_s]
         if request.sends:
-            allowed = self._load.repeat_ratio * self._requests[gateway]
-            allowed += self._load.repeat_slack / self._load.gateways
+            allowed = self._load.retry_ratio * self._requests[gateway]
+            allowed += self._load.retry_slack / self._load.gateways
             if (
                 not pool
                 or request.sends >= _SENDS
-                or self._repeats[gateway] + 1 > _SAFETY * allowed
+                or self._retries[gateway] + 1 > _RETRY_BUDGET_FRACTION * allowed
             ):
-                self._refuse(request, self._told(gateway, 0.1) if self._waits else 0.3)
+                self._refuse(
+                    request, self._retry_after_s(gateway, 0.1) if self._applies_decision else 0.3
+                )
                 return
-            self._repeats[gateway] += 1
+            self._retries[gateway] += 1
         chosen = min(
             sound or pool,
             key=lambda number: (
@@ -263,26 +270,26 @@
         request.sent_s = self.now_s
         self.outcome.sends += 1
         self._own[gateway][chosen] += 1
-        self._at(self.now_s + WAY_S, lambda: self._reach(request, chosen))
+        self._at(self.now_s + ONE_WAY_S, lambda: self._receive(request, chosen))
 
     # ---- at a replica -----------------------------------------------------
 
-    def _reach(self, request: _Request, number: int) -> None:
+    def _receive(self, request: _Request, number: int) -> None:
         replica = self._replicas[number]
         if replica.running < replica.slots:
             self._run(request, number)
         elif len(replica.waiting) < replica.queue:
             replica.waiting.append(request)
         else:
-            self.outcome.turned_away += 1
-            self._at(self.now_s + WAY_S, lambda: self._rejected(request, number))
+            self.outcome.rejected_by_replica += 1
+            self._at(self.now_s + ONE_WAY_S, lambda: self._retry_rejected(request, number))
 
     def _run(self, request: _Request, number: int) -> None:
         self._replicas[number].running += 1
         took_s = self._load.work_s * self._random.uniform(0.8, 1.2)
-        self._at(self.now_s + took_s, lambda: self._ran(request, number))
+        self._at(self.now_s + took_s, lambda: self._finish_run(request, number))
 
-    def _ran(self, request: _Request, number: int) -> None:
+    def _finish_run(self, request: _Request, number: int) -> None:
         replica = self._replicas[number]
         replica.running -= 1
         if replica.waiting:
@@ -290,10 +297,10 @@
         self._own[request.gateway][number] -= 1
         measured = self._measured[request.gateway]
         self._measured[request.gateway] = measured.after((self.now_s - request.sent_s) * _MS)
-        self._end(request, answered=True)
-        self._room(request.gateway)
+        self._count_outcome(request, answered=True)
+        self._send_waiting(request.gateway)
 
-    def _rejected(self, request: _Request, number: int) -> None:
+    def _retry_rejected(self, request: _Request, number: int) -> None:
         self._own[request.gateway][number] -= 1
         self._busy_s[request.gateway][number] = self.now_s + _BUSY_S
         request.tried.add(number)
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -6,14 +6,14 @@
 from typing import cast
 
 from heronladder_router.decisions.retry_after import RetryAfter, RetryAfterView, choose_retry_after
-from heronladder_router.decisions.waiting import (
+from heronladder_router.decisions.slot_admission import (
+    AdmissionReason,
+    AdmissionVerdict,
+    AdmissionView,
     AnswerTimes,
-    ReplicaPlaces,
-    Verdict,
+    ReplicaSlots,
     Waiter,
-    WaitingView,
-    Why,
-    decide,
+    decide_admission,
     next_waiter,
 )
 from heronladder_router.gateway_request import GatewayRequest
@@ -35,18 +35,18 @@
     return Load(lambda now_s: factor * usual if 3.0 <= now_s < 8.0 else usual, [6, 6], queue=60)
 
 
-def _played(load: Load, *, waits: bool) -> Outcome:
+def _run_seeds(load: Load, *, waits: bool) -> Outcome:
     total = Outcome()
     for seed in _SEEDS:
-        outcome = PlainService(load, seed, waits=waits).play()
+        outcome = PlainService(load, seed, waits=waits).run()
         total.in_time += outcome.in_time
         total.late += outcome.late
         total.failed += outcome.failed
-        total.turned_away += outcome.turned_away
+        total.rejected_by_replica += outcome.rejected_by_replica
         total.sends += outcome.sends
         total.longest_wait_s = max(total.longest_wait_s, outcome.longest_wait_s)
-        for rank, (in_time, count) in outcome.by_rank.items():
-            counts = total.by_rank.setdefault(rank, [0, 0])
+        for priority, (in_time, count) in outcome.by_priority.items():
+            counts = total.by_priority.setdefault(priority, [0, 0])
             counts[0] += in_time
             counts[1] += count
     return total
@@ -57,8 +57,8 @@
 
     def test_more_are_in_time_than_if_all_are_sent_at_once(self) -> None:
         """Sent at once, half are late: 0.51 in time; with the decision 0.82."""
-        at_once = _played(_burst(2.5), waits=False)
-        decided = _played(_burst(2.5), waits=True)
+        at_once = _run_seeds(_burst(2.5), waits=False)
+        decided = _run_seeds(_burst(2.5), waits=True)
         self.assertLess(at_once.in_time_share, 0.60)
         self.assertGreater(decided.in_time_share, 0.75)
 
@@ -67,48 +67,48 @@
         for usual, factor, least in ((60.0, 4.0, 0.75), (100.0, 2.5, 0.70)):
             load = _burst(factor, usual)
             load.slots, load.queue = [6, 6, 6], 24
-            self.assertGreater(_played(load, waits=True).in_time_share, least)
+            self.assertGreater(_run_seeds(load, waits=True).in_time_share, least)
 
     def test_replicas_that_shed_are_not_asked_in_vain(self) -> None:
         """A queue of two: 0.60 sends a request were turned away unrun, with the decision less."""
         load = _burst(2.5)
         load.queue = 2
-        at_once = _played(load, waits=False)
-        decided = _played(load, waits=True)
-        self.assertLess(decided.turned_away, at_once.turned_away)
+        at_once = _run_seeds(load, waits=False)
+        decided = _run_seeds(load, waits=True)
+        self.assertLess(decided.rejected_by_replica, at_once.rejected_by_replica)
         self.assertGreater(decided.in_time_share, at_once.in_time_share)
 
     def test_in_calm_nothing_waits_and_nothing_is_turned_away(self) -> None:
         load = Load(lambda now_s: 60.0, [6, 6, 6], queue=60)
-        decided = _played(load, waits=True)
+        decided = _run_seeds(load, waits=True)
         self.assertEqual(decided.longest_wait_s, 0.0)
         self.assertEqual(decided.failed, 0)
         self.assertEqual(decided.sends, decided.in_time + decided.late)
 
     def test_no_rank_is_starved(self) -> None:
         load = _burst(2.5)
-        load.ranks = (0, 1, 2)
-        decided = _played(load, waits=True)
-        shares = [in_time / count for in_time, count in decided.by_rank.values()]
+        load.priorities = (0, 1, 2)
+        decided = _run_seeds(load, waits=True)
+        shares = [in_time / count for in_time, count in decided.by_priority.values()]
         self.assertGreater(min(shares), 0.5)
 
     def test_no_wait_lasts_three_quarters_of_the_objective(self) -> None:
         """Held so long and not offered, a request costs all it is worth."""
         for factor in (2.5, 4.0):
-            self.assertLess(_played(_burst(factor), waits=True).longest_wait_s, 0.75 * 0.415)
+            self.assertLess(_run_seeds(_burst(factor), waits=True).longest_wait_s, 0.75 * 0.415)
 
 
 def _view(
-    *places: ReplicaPlaces,
+    *places: ReplicaSlots,
     heard: bool = True,
     measured: AnswerTimes = _SLOW,
     ahead: int = 0,
-    left_ms: float = 415.0,
-    whole_ms: float | None = None,
+    remaining_ms: float = 415.0,
+    budget_ms: float | None = None,
     gateways: int = 30,
-) -> WaitingView:
-    whole = left_ms if whole_ms is None else whole_ms
-    return WaitingView(places, heard, gateways, measured, ahead, left_ms, whole)
+) -> AdmissionView:
+    whole = remaining_ms if budget_ms is None else budget_ms
+    return AdmissionView(places, heard, gateways, measured, ahead, remaining_ms, whole)
 
 
 class _Clock(Environment):
@@ -125,7 +125,7 @@
         """It stayed with 250 of 415 ms left, and one that came afterwards was sent."""
         clock, taken = _Clock(), [18]
         queue = PlaceQueue(
-            lambda profile: ([ReplicaPlaces(6, taken[0])], True),
+            lambda profile: ([ReplicaSlots(6, taken[0])], True),
             lambda: 1,
             lambda: 0.0,
             clock,
@@ -164,53 +164,63 @@
 
 class WaitingTest(unittest.TestCase):
     def test_nothing_waits_where_places_are_not_known(self) -> None:
-        full = ReplicaPlaces(6, 30)
+        full = ReplicaSlots(6, 30)
         for view in (
             _view(full, heard=False),
             _view(full, measured=AnswerTimes()),
-            _view(full, ReplicaPlaces(0, 30)),
+            _view(full, ReplicaSlots(0, 30)),
             _view(),
         ):
-            self.assertEqual(decide(view).why, Why.NOT_COUNTED)
-            self.assertEqual(decide(view).verdict, Verdict.SEND)
+            self.assertEqual(decide_admission(view).reason, AdmissionReason.SLOTS_UNKNOWN)
+            self.assertEqual(decide_admission(view).verdict, AdmissionVerdict.SEND)
 
     def test_nothing_is_turned_away_while_places_are_free(self) -> None:
         """Such a refusal costs half of what the request is worth."""
         for taken in range(6):
-            for left_ms in (0.0, 50.0, 415.0):
-                view = _view(ReplicaPlaces(6, taken), ReplicaPlaces(6, 40), left_ms=left_ms)
-                self.assertEqual(decide(view).verdict, Verdict.SEND)
+            for remaining_ms in (0.0, 50.0, 415.0):
+                view = _view(ReplicaSlots(6, taken), ReplicaSlots(6, 40), remaining_ms=remaining_ms)
+                self.assertEqual(decide_admission(view).verdict, AdmissionVerdict.SEND)
 
     def test_a_full_service_is_waited_for_if_it_is_in_time(self) -> None:
-        full = ReplicaPlaces(6, 18)
-        decided = decide(_view(full, full, full))
-        self.assertEqual((decided.verdict, decided.why), (Verdict.WAIT, Why.FULL))
+        full = ReplicaSlots(6, 18)
+        decided = decide_admission(_view(full, full, full))
+        self.assertEqual(
+            (decided.verdict, decided.reason), (AdmissionVerdict.WAIT, AdmissionReason.SLOTS_FULL)
+        )
         self.assertLess(decided.expected_ms, decided.last_start_ms)
-        behind = decide(_view(full, full, full, ahead=9))
-        self.assertEqual((behind.verdict, behind.why), (Verdict.TURN_AWAY, Why.TOO_LATE))
+        behind = decide_admission(_view(full, full, full, ahead=9))
+        self.assertEqual(
+            (behind.verdict, behind.reason), (AdmissionVerdict.REJECT, AdmissionReason.TOO_LATE)
+        )
         self.assertGreater(behind.expected_ms, decided.expected_ms)
 
     def test_requests_whose_answers_are_lost_do_not_look_like_load(self) -> None:
         """12 to 29 seemed under way at replicas whose answers took 0.13 s (gprb trouble-2)."""
-        decided = decide(_view(ReplicaPlaces(6, 29), ReplicaPlaces(6, 29), measured=_ANSWER))
-        self.assertEqual((decided.verdict, decided.why), (Verdict.SEND, Why.DOUBTED))
+        decided = decide_admission(
+            _view(ReplicaSlots(6, 29), ReplicaSlots(6, 29), measured=_ANSWER)
+        )
+        self.assertEqual(
+            (decided.verdict, decided.reason), (AdmissionVerdict.SEND, AdmissionReason.ANSWERS_FAST)
+        )
 
     def test_a_full_link_of_the_gateway_does_not_look_like_a_full_service(self) -> None:
         """Turned away at the one gateway whose link was full (grown locks, seed 906234049784)."""
-        full = ReplicaPlaces(6, 12)
-        view = WaitingView([full] * 5, True, 26, AnswerTimes(195.0, 698.0), 0, 415.0, 415.0, 336.0)
-        self.assertEqual(decide(view).why, Why.LINK)
-        self.assertEqual(decide(view).verdict, Verdict.SEND)
+        full = ReplicaSlots(6, 12)
+        view = AdmissionView(
+            [full] * 5, True, 26, AnswerTimes(195.0, 698.0), 0, 415.0, 415.0, 336.0
+        )
+        self.assertEqual(decide_admission(view).reason, AdmissionReason.LINK_SLOW)
+        self.assertEqual(decide_admission(view).verdict, AdmissionVerdict.SEND)
 
     def test_one_that_waits_is_not_passed_by_one_that_arrives(self) -> None:
         """With 200 of 415 ms left it found no room where one that arrived found some."""
         for taken in range(6, 20):
-            places = (ReplicaPlaces(6, taken), ReplicaPlaces(6, taken))
-            waits = decide(_view(*places, left_ms=200.0, whole_ms=415.0))
-            arrives = decide(_view(*places, ahead=1))
+            places = (ReplicaSlots(6, taken), ReplicaSlots(6, taken))
+            waits = decide_admission(_view(*places, remaining_ms=200.0, budget_ms=415.0))
+            arrives = decide_admission(_view(*places, ahead=1))
             self.assertEqual(waits.free, arrives.free)
-            if arrives.verdict is Verdict.SEND:
-                self.assertEqual(waits.verdict, Verdict.SEND)
+            if arrives.verdict is AdmissionVerdict.SEND:
+                self.assertEqual(waits.verdict, AdmissionVerdict.SEND)
 
     def test_one_that_came_back_is_not_put_behind(self) -> None:
         new, back = Waiter(1, 1, 10.4, 0.4), Waiter(2, 1, 10.1, 0.4)
