--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -30,7 +30,7 @@
 from heronladder_router.replica_availability import ReplicaAvailability
 from heronladder_router.replica_limits import ReplicaLimits
 from heronladder_router.replica_state import FleetReplica, RequestProfile
-from heronladder_router.rollouts.version_gates import Permits, VersionGates
+from heronladder_router.rollouts.version_gates import ReplicaFilter, VersionGates
 from heronladder_router.service_speeds import ServiceSpeeds
 from heronladder_router.shared_loads import SharedLoads
 from heronladder_router.surroundings import Surroundings
@@ -230,7 +230,9 @@
     def place(self, profile: RequestProfile, tried: Collection[str]) -> Placement:
         """Return the replica that would begin first, or why there is none."""
         usable = self.usable(profile.service)
-        for permits in self.versions.choices(profile.service, profile.route, tried, usable):
+        for permits in self.versions.candidate_filters(
+            profile.service, profile.route, tried, usable
+        ):
             view = self._view(profile.service, permits)
             placement = place(view, profile, tried, self._environment.random)
             if placement.replica is not None:
@@ -247,7 +249,7 @@
             if replica.record.service == service and not replica.record.gone
         )
 
-    def _view(self, service: str, permits: Permits) -> PlacementView:
+    def _view(self, service: str, permits: ReplicaFilter) -> PlacementView:
         return PlacementView(
             replicas=self.usable(service),
             now_s=self._environment.monotonic(),
@@ -275,7 +277,7 @@
     def places_of(self, profile: RequestProfile) -> tuple[list[ReplicaSlots], bool]:
         """Return the places of the replicas that a request may go to, and if sums are heard."""
         usable = self.usable(profile.service)
-        view = self._view(profile.service, self.versions.admitted(profile.service, usable))
+        view = self._view(profile.service, self.versions.admitted_filter(profile.service, usable))
         allowed = [
             replica
             for replica in view.replicas
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -134,9 +134,9 @@
         )
         handlers.replica_loads = self._loads_told
         self._join_limits(handlers)
-        self.replicas.versions.heard_s = lambda: self.link.standing.last_contact_s
+        self.replicas.versions.last_control_contact_s = lambda: self.link.standing.last_contact_s
         self.replicas.versions.count = lambda version: self.metrics.add("rollout_sends", version)
-        handlers.rollout_grants = self.replicas.versions.granted
+        handlers.rollout_grants = self.replicas.versions.apply_grants
         handlers.promises_noted = self.tokens.held.confirmed
         handlers.recall_prepaid = self.tokens.held.recall
         handlers.control_regained = self.tokens.held.control_regained
--- a/packages/heronladder-router/src/heronladder_router/replica_attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_attempt.py
@@ -31,7 +31,7 @@
 from heronladder_router.replica_connections import ReplicaConnections
 from heronladder_router.replica_connector import HeadHeldBackError
 from heronladder_router.replica_state import FleetReplica
-from heronladder_router.rollouts.version_gates import AnswerSeen
+from heronladder_router.rollouts.version_gates import AttemptObservation
 from heronladder_router.unread_prompt import UnreadPrompt
 
 _EVENT_STREAM = "text/event-stream"
@@ -110,7 +110,7 @@
         objective_s = route.objective_ms / MILLISECONDS_PER_SECOND
         seen = self._replicas.versions.sent(replica, route, objective_s, first=progress.sends == 1)
         if seen is not None and progress.suspected:
-            seen.spoiled = True
+            seen.discarded = True
         response: aiohttp.ClientResponse | None = None
         ran_before = progress.ran
         sent_s = self._environment.monotonic()
@@ -142,7 +142,7 @@
             if response is not None:
                 response.close()  # a connection whose answer was whole is back in the pool
 
-    def _count(self, seen: AnswerSeen | None, *, failed: bool) -> None:
+    def _count(self, seen: AttemptObservation | None, *, failed: bool) -> None:
         if seen is not None:
             seen.ended(self._environment.monotonic(), failed=failed)
 
@@ -205,7 +205,7 @@
         sink: AnswerSink,
         progress: AnswerProgress,
         reading: UnreadPrompt,
-        seen: AnswerSeen | None,
+        seen: AttemptObservation | None,
         sent_s: float,
     ) -> None:
         wall_s = self._environment.wall_ms() / MILLISECONDS_PER_SECOND
@@ -219,7 +219,7 @@
         if not is_own:
             raise RunLostError("the answer is of another request", step="send", peer=replica.name)
         if signals.leaving and seen is not None:
-            seen.spoiled = True  # what a replica fails as it ends says nothing of its version
+            seen.discarded = True  # what a replica fails as it ends says nothing of its version
         if not signals.misdirected:
             self._replicas.limits.observe(replica, signals.limit, sent_s)
         if signals.misdirected or signals.not_run:
@@ -243,7 +243,7 @@
             await self._pass_stream(request, response, sink, progress, reading, seen)
             return
         if seen is not None:
-            seen.came(self._environment.monotonic())
+            seen.record_bytes(self._environment.monotonic())
         answer = ReplicaAnswer(response.status, passed_headers(response), await response.read())
         if sink.started:
             raise RunLostError("the stream did not go on", step="resume", peer=replica.name)
@@ -260,7 +260,7 @@
         sink: AnswerSink,
         progress: AnswerProgress,
         reading: UnreadPrompt,
-        seen: AnswerSeen | None,
+        seen: AttemptObservation | None,
     ) -> None:
         cutter = progress.cutter
         cutter.drop_rest()
@@ -284,7 +284,7 @@
             if whole:
                 reading.read()
                 if seen is not None:
-                    seen.came(self._environment.monotonic(), cutter.events - events)
+                    seen.record_bytes(self._environment.monotonic(), cutter.events - events)
                 progress.passed_on(self._environment.monotonic())
                 await _passed(self._write(response, sink, whole), seen)
         if not cutter.clean:
@@ -303,11 +303,11 @@
         await sink.write(whole)
 
 
-async def _passed(passing_on: Coroutine[Any, Any, None], seen: AnswerSeen | None) -> None:
+async def _passed(passing_on: Coroutine[Any, Any, None], seen: AttemptObservation | None) -> None:
     """Pass something on to the caller; what fails there is no fault of the replica's version."""
     try:
         await passing_on
     except BaseException:
         if seen is not None:
-            seen.spoiled = True
+            seen.discarded = True
         raise
--- a/packages/heronladder-router/src/heronladder_router/rollouts/service_gate.py
+++ b/packages/heronladder-router/src/heronladder_router/rollouts/service_gate.py
@@ -14,13 +14,13 @@
 
 # Without a word of control for so long, nothing goes to a version on trial: a fifth of the
 # shortest bound on going back that users set.
-_SILENCE_S = 1.0
+_MAX_SILENCE_S = 1.0
 # `completed` comes 0.6 s before an order's time at the earliest, and a gateway learns of the order
 # so much after control: until then the old replicas stay.
-_OLD_STAY_S = 1.0
+_OLD_VERSION_MARGIN_S = 1.0
 # A grant waits so long for a request of the route that the trial has seen least.
-_RARE_ROUTE_WAIT_S = 0.5
-_JUDGE_S = 0.2  # between two looks at what it saw itself: as long as a stall may hit
+_RARE_ROUTE_TIMEOUT_S = 0.5
+_CHECK_INTERVAL_S = 0.2  # between two looks at what it saw itself: as long as a stall may hit
 _TRIAL = resources_pb2.ROLLOUT_PHASE_TRIAL
 _MOVING = resources_pb2.ROLLOUT_PHASE_MOVING
 _RUNNING = frozenset({resources_pb2.ROLLOUT_PHASE_WAITING, _TRIAL, _MOVING})
@@ -46,25 +46,25 @@
         self.granted = 0
         self.stopped = ""
         self.clear = False
-        self.hears = True
-        self._is_early = False
+        self.is_connected = True
+        self._old_version_remains = False
         self._watch = Watch(unread_routes)
-        self._learned_s = now_s
-        self._judged_s = -math.inf
+        self._received_s = now_s
+        self._checked_s = -math.inf
         self._sent_by_route: Counter[str] = Counter()
         self._routes: set[str] = set()
         self._grant_since_s = math.inf
         self._targets: list[FleetReplica] = []  # in the order in which the trial takes them
-        self._few = 1
-        self._trial: frozenset[str] = frozenset()
+        self._trial_replica_count = 1
+        self._trial_replicas: frozenset[str] = frozenset()
 
     # ---- the record -------------------------------------------------------
 
-    def take(self, record: resources_pb2.Rollout) -> None:
+    def update_record(self, record: resources_pb2.Rollout) -> None:
         """Take the next phase of the same order."""
         self.record = record
 
-    def take_replicas(self, replicas: list[FleetReplica]) -> None:
+    def update_replicas(self, replicas: list[FleetReplica]) -> None:
         """Choose the few replicas of the version on trial that get its share.
 
         Each bears about what one of the old bears, so that a version that is bad under load
@@ -74,20 +74,20 @@
             replicas: Those of the service that are not leaving.
         """
         old = sum(1 for replica in replicas if replica.record.software in self.record.admitted)
-        targets = [replica for replica in replicas if replica.record.software == self.on_trial]
+        targets = [replica for replica in replicas if replica.record.software == self.trial_version]
         self._targets = sorted(targets, key=lambda replica: _rank(replica.name))
-        self._few = max(1, round(_TRIAL_REPLICAS * old))
-        self.choose(math.inf)
+        self._trial_replica_count = max(1, round(_TRIAL_REPLICA_RATIO * old))
+        self.choose_trial_replicas(math.inf)
 
     @property
-    def on_trial(self) -> str:
+    def trial_version(self) -> str:
         """Version that goes by grants, or that all goes to; empty if there is none."""
         if self.record.phase in _RUNNING:
             return self.record.target
         return self.record.newcomer
 
     @property
-    def moves(self) -> bool:
+    def routes_all_to_target(self) -> bool:
         """Whether all requests go to the target.
 
         While control is heard, it decides by the sums of all: one of many gateways finds a good
@@ -96,21 +96,21 @@
         """
         if self.record.phase != _MOVING:
             return False
-        return self.hears or not (self.stopped or self._is_early)
+        return self.is_connected or not (self.stopped or self._old_version_remains)
 
     # ---- what may be sent to ----------------------------------------------
 
     def admits(self, replica: FleetReplica) -> bool:
         """Whether a replica may be sent to without a grant."""
-        if self.moves:
+        if self.routes_all_to_target:
             return replica.record.software == self.record.target
         return replica.record.software in self.record.admitted
 
-    def on_trial_here(self, replica: FleetReplica) -> bool:
+    def is_trial_replica(self, replica: FleetReplica) -> bool:
         """Whether a replica is one of those that the trial's share goes to now."""
-        return replica.name in self._trial
+        return replica.name in self._trial_replicas
 
-    def choose(self, now_s: float) -> None:
+    def choose_trial_replicas(self, now_s: float) -> None:
         """Choose the trial's replicas anew, without those that may be dead.
 
         With one dead replica in its place, a trial showed nothing until its end.
@@ -120,17 +120,17 @@
             for replica in self._targets
             if not replica.unreached and replica.suspect_until_s <= now_s
         ]
-        chosen = (alive or self._targets)[: self._few]
-        self._trial = frozenset(replica.name for replica in chosen)
+        chosen = (alive or self._targets)[: self._trial_replica_count]
+        self._trial_replicas = frozenset(replica.name for replica in chosen)
 
-    def note_silence(self, silent_s: float, now_s: float) -> None:
+    def update_connection(self, silent_s: float, now_s: float) -> None:
         """Note how long control has been silent."""
-        self.hears = silent_s <= _SILENCE_S
-        age_s = now_s - self._learned_s
+        self.is_connected = silent_s <= _MAX_SILENCE_S
+        age_s = now_s - self._received_s
         left_s = self.record.duration_ms / MILLISECONDS_PER_SECOND - age_s
-        self._is_early = left_s > _OLD_STAY_S
+        self._old_version_remains = left_s > _OLD_VERSION_MARGIN_S
 
-    def trial_is_due(self, route: str, now_s: float) -> bool:
+    def is_trial_due(self, route: str, now_s: float) -> bool:
         """Whether a request goes to the version on trial.
 
         Args:
@@ -140,38 +140,38 @@
         self._routes.add(route)
         if self.record.phase != _TRIAL and not self.record.newcomer:
             return False
-        if self.stopped or self.sent >= self.granted or not self.hears:
+        if self.stopped or self.sent >= self.granted or not self.is_connected:
             return False
         least = min(self._sent_by_route[known] for known in self._routes)
         if self._sent_by_route[route] <= least:
             return True
-        return now_s - self._grant_since_s >= _RARE_ROUTE_WAIT_S
+        return now_s - self._grant_since_s >= _RARE_ROUTE_TIMEOUT_S
 
     # ---- what was done and seen -------------------------------------------
 
     def count_send(self, replica: FleetReplica, route: str, now_s: float) -> None:
         """Count a send."""
-        if replica.record.software == self.on_trial and not self.admits(replica):
+        if replica.record.software == self.trial_version and not self.admits(replica):
             self._sent_by_route[route] += 1
             self._grant_since_s = now_s
-        if replica.record.software == self.on_trial:
+        if replica.record.software == self.trial_version:
             self.sent += 1
 
     def uncount_send(self, version: str, route: str) -> None:
         """Take back a send that was not run: it showed nothing, and harmed nothing."""
-        if version != self.on_trial:
+        if version != self.trial_version:
             return
         self.sent = max(0, self.sent - 1)
-        if self._sent_by_route[route] and not self.moves:
+        if self._sent_by_route[route] and not self.routes_all_to_target:
             self._sent_by_route[route] -= 1
 
-    def take_grant(self, total: int, now_s: float) -> None:
+    def apply_grant(self, total: int, now_s: float) -> None:
         """Take a total that may be sent; it only rises."""
         if total > self.granted and self.sent >= self.granted:
             self._grant_since_s = now_s
         self.granted = max(self.granted, total)
 
-    def answered(
+    def record_answer(
         self,
         version: str,
         route: str,
@@ -193,7 +193,7 @@
             whole_s: Time to its end.
             now_s: Time.
         """
-        of_target = version == self.on_trial
+        of_target = version == self.trial_version
         if not of_target and version not in self.record.admitted:
             return
         side = self.evidence.side(route, of_target=of_target)
@@ -204,16 +204,16 @@
             side.first[step_of(first_s)] += 1
         if gap_s is not None:
             side.gap[step_of(gap_s)] += 1
-        is_due = now_s - self._judged_s >= _JUDGE_S
+        is_due = now_s - self._checked_s >= _CHECK_INTERVAL_S
         if of_target and is_due and self.record.phase in _RUNNING:
-            self._judged_s = now_s
-            self._judge()
+            self._checked_s = now_s
+            self._check_own_evidence()
 
-    def _judge(self) -> None:
+    def _check_own_evidence(self) -> None:
         """Stop by what this gateway alone saw: it may not hear of the verdict."""
         if self.stopped:
             return
-        verdict = self._watch.judge(self.evidence, alone=self.moves)
+        verdict = self._watch.judge(self.evidence, alone=self.routes_all_to_target)
         if verdict.decision is Decision.GO_BACK:
             self.stopped = verdict.reason
 
@@ -229,10 +229,10 @@
             elsewhere: Requests under way at other versions than the target.
             now_s: Time.
         """
-        if not self.on_trial:
+        if not self.trial_version:
             return None
         # Withdrawn when it went back while it heard nothing: old replicas are stopped on it.
-        self.clear = self.moves and not elsewhere
+        self.clear = self.routes_all_to_target and not elsewhere
         return control_pb2.RolloutReport(
             service=service,
             ordered_revision=self.ordered_revision,
@@ -241,7 +241,7 @@
             elsewhere=elsewhere,
             clear=self.clear,
             stopped=self.stopped,
-            age_ms=int((now_s - self._learned_s) * MILLISECONDS_PER_SECOND),
+            age_ms=int((now_s - self._received_s) * MILLISECONDS_PER_SECOND),
             granted=self.granted,
             answers=self.evidence.to_messages(),
         )
@@ -249,7 +249,7 @@
 
 # Of the old version's replicas, so many of the new get the trial's share: with the share that a
 # trial uses of a bound of 0.1, each bears what an old one bears.
-_TRIAL_REPLICAS = 0.05
+_TRIAL_REPLICA_RATIO = 0.05
 
 
 def _rank(name: str) -> bytes:
--- a/packages/heronladder-router/src/heronladder_router/rollouts/version_gates.py
+++ b/packages/heronladder-router/src/heronladder_router/rollouts/version_gates.py
@@ -11,18 +11,18 @@
 from heronladder_router.replica_state import FleetReplica
 from heronladder_router.rollouts.service_gate import ServiceGate
 
-Permits = Callable[[FleetReplica], bool]
+ReplicaFilter = Callable[[FleetReplica], bool]
 
 
 def _any(_replica: FleetReplica) -> bool:
     return True
 
 
-ANY_VERSION: tuple[Permits, ...] = (_any,)
+ANY_VERSION: tuple[ReplicaFilter, ...] = (_any,)
 
 
 @dataclass
-class AnswerSeen:
+class AttemptObservation:
     """One send to a replica of a service that has a record, until its answer has ended.
 
     Attributes:
@@ -43,9 +43,9 @@
     sent_s: float
     first_s: float | None = None
     events: int = 0
-    spoiled: bool = False
+    discarded: bool = False
 
-    def came(self, now_s: float, events: int = 0) -> None:
+    def record_bytes(self, now_s: float, events: int = 0) -> None:
         """Note bytes of the answer.
 
         Args:
@@ -64,9 +64,9 @@
         self._count(now_s, gap_s, failed=failed)
 
     def _count(self, now_s: float, gap_s: float | None, *, failed: bool) -> None:
-        if self.spoiled:
+        if self.discarded:
             return
-        self.gate.answered(
+        self.gate.record_answer(
             self.version,
             self.route,
             failed=failed,
@@ -113,7 +113,7 @@
         self._log = log
         self._gates: dict[str, ServiceGate] = {}
         self._stops_reported: set[str] = set()
-        self.heard_s: Callable[[], float] = lambda: float("-inf")
+        self.last_control_contact_s: Callable[[], float] = lambda: float("-inf")
         self.count: Callable[[str], None] = lambda version: None
 
     # ---- the records ------------------------------------------------------
@@ -135,9 +135,9 @@
                 self._stops_reported.discard(service)
                 self._report(service, record)
             elif gate.record != record:
-                gate.take(record)
+                gate.update_record(record)
                 self._report(service, record)
-            gate.take_replicas(replicas(service))
+            gate.update_replicas(replicas(service))
 
     def _unread_routes(self) -> frozenset[str]:
         fleet = self._configuration.fleet()
@@ -163,9 +163,9 @@
 
     # ---- choice -----------------------------------------------------------
 
-    def choices(
+    def candidate_filters(
         self, service: str, route: str, tried: Collection[str], replicas: list[FleetReplica]
-    ) -> tuple[Permits, ...]:
+    ) -> tuple[ReplicaFilter, ...]:
         """Return what may be sent to, in order of preference.
 
         Only the first send of a request is a trial: what fails there goes on at a version that
@@ -181,13 +181,13 @@
         if gate is None:
             return ANY_VERSION
         now_s = self._environment.monotonic()
-        gate.note_silence(now_s - self.heard_s(), now_s)
-        if not tried and gate.trial_is_due(route, now_s):
-            gate.choose(now_s)
-            return (gate.on_trial_here, gate.admits)
-        return (self.admitted(service, replicas),)
+        gate.update_connection(now_s - self.last_control_contact_s(), now_s)
+        if not tried and gate.is_trial_due(route, now_s):
+            gate.choose_trial_replicas(now_s)
+            return (gate.is_trial_replica, gate.admits)
+        return (self.admitted_filter(service, replicas),)
 
-    def admitted(self, service: str, replicas: list[FleetReplica]) -> Permits:
+    def admitted_filter(self, service: str, replicas: list[FleetReplica]) -> ReplicaFilter:
         """Return what may be sent to without a grant.
 
         Args:
@@ -211,7 +211,7 @@
         objective_s: float,
         *,
         first: bool,
-    ) -> AnswerSeen | None:
+    ) -> AttemptObservation | None:
         """Count a send; return what is to be told of its answer, or None.
 
         Args:
@@ -227,18 +227,18 @@
         gate.requests += first
         now_s = self._environment.monotonic()
         gate.count_send(replica, route.name, now_s)
-        if replica.record.software == gate.on_trial:
+        if replica.record.software == gate.trial_version:
             self.count(replica.record.software)
-        return AnswerSeen(gate, replica.record.software, route.name, objective_s, now_s)
+        return AttemptObservation(gate, replica.record.software, route.name, objective_s, now_s)
 
     # ---- words to and from control ----------------------------------------
 
-    def granted(self, grants: Iterable[control_pb2.RolloutGrant]) -> None:
+    def apply_grants(self, grants: Iterable[control_pb2.RolloutGrant]) -> None:
         """Take what may be sent to versions on trial."""
         for grant in grants:
             gate = self._gates.get(grant.service)
             if gate is not None and gate.ordered_revision == grant.ordered_revision:
-                gate.take_grant(grant.total, self._environment.monotonic())
+                gate.apply_grant(grant.total, self._environment.monotonic())
 
     def fill_heartbeat(
         self, heartbeat: control_pb2.Heartbeat, replicas: Iterable[FleetReplica]
@@ -256,11 +256,12 @@
             elsewhere = sum(
                 replica.in_flight
                 for replica in known
-                if replica.record.service == service and replica.record.software != gate.on_trial
+                if replica.record.service == service
+                and replica.record.software != gate.trial_version
             )
             was_clear = gate.clear
             now_s = self._environment.monotonic()
-            gate.note_silence(now_s - self.heard_s(), now_s)
+            gate.update_connection(now_s - self.last_control_contact_s(), now_s)
             report = gate.report(service, elsewhere, now_s)
             if report is None:
                 continue
--- a/tests/test_suspension_held.py
+++ b/tests/test_suspension_held.py
@@ -90,7 +90,7 @@
     def _is_due(gateway: GatewayRole) -> bool:
         """Whether the next request would go to the version on trial."""
         replicas = gateway.replicas
-        permits = replicas.versions.choices(SERVICE, _PATH, (), replicas.usable(SERVICE))
+        permits = replicas.versions.candidate_filters(SERVICE, _PATH, (), replicas.usable(SERVICE))
         return len(permits) > 1
 
     def test_a_replica_is_suspected_no_longer_than_its_time(self) -> None:
