--- a/packages/heronladder-router/src/heronladder_router/attempt_outcomes.py
+++ b/packages/heronladder-router/src/heronladder_router/attempt_outcomes.py
@@ -4,7 +4,7 @@
 
 from heronladder_runtime.errors import HeronladderError
 
-from heronladder_router.decisions.placement import Reason
+from heronladder_router.decisions.placement import PlacementReason
 from heronladder_router.event_stream import EventCutter
 from heronladder_router.gateway_request import ReplicaAnswer
 
@@ -50,7 +50,7 @@
     unreached: int = 0  # of those that were rejected: no connection to the replica came about
     runs: int = 0
     failure: ReplicaAnswer | None = None
-    lacking: Reason = Reason.NONE_KNOWN  # why no replica was left
+    lacking: PlacementReason = PlacementReason.NONE_KNOWN  # why no replica was left
 
     @property
     def count(self) -> int:
--- a/packages/heronladder-router/src/heronladder_router/decisions/cold_limit.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/cold_limit.py
@@ -18,7 +18,7 @@
 
 # Sends are counted over a second and a bit: what one machine sends a second apart may be closer
 # together by another's clock.
-WINDOW_S = 1.05
+COLD_WINDOW_S = 1.05
 
 
 def cold_bound_per_s(cold_capacity_per_s: float, over: float, slack: float) -> float:
--- a/packages/heronladder-router/src/heronladder_router/decisions/placement.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/placement.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from heronladder_router.decisions.availability import Availability
-from heronladder_router.decisions.cold_limit import WINDOW_S
+from heronladder_router.decisions.cold_limit import COLD_WINDOW_S
 from heronladder_router.decisions.region_choice import (
     Candidate,
     RegionChoice,
@@ -36,7 +36,7 @@
 _SLOT_COST_MS = 30.0  # for each slot that is taken, at a plain service
 
 
-class Randomness(Protocol):
+class RandomSource(Protocol):
     """Where random numbers come from; the caller brings it."""
 
     def random(self) -> float:
@@ -46,20 +46,20 @@
         """Return ``k`` different ones."""
 
 
-class Reason(Enum):
+class PlacementReason(Enum):
     """Why a replica was chosen, or none was."""
 
-    SOUND = "sound"
+    HEALTHY = "sound"
     SUSPECT = "only_suspects"
     NONE_KNOWN = "none_known"
     EVACUATED = "evacuated"
     OTHER_REGION = "other_region"
     VERSION = "version_not_admitted"
     COLD = "cold"
-    LIMITED = "limited"
+    RATE_LIMITED = "limited"
     BACKING_OFF = "backing_off"
     LEAVING = "leaving"
-    TRIED = "all_tried"
+    ALL_TRIED = "all_tried"
 
 
 @dataclass(frozen=True)
@@ -118,7 +118,7 @@
     """
 
     replica: FleetReplica | None
-    reason: Reason
+    reason: PlacementReason
     cost_ms: float = 0.0
     again_tokens: int = 0
     compared: int = 0
@@ -126,7 +126,7 @@
 
 
 def place(
-    view: PlacementView, profile: RequestProfile, tried: Collection[str], source: Randomness
+    view: PlacementView, profile: RequestProfile, tried: Collection[str], source: RandomSource
 ) -> Placement:
     """Return the replica that would begin first.
 
@@ -163,7 +163,7 @@
         local_suspect=bool(sound_far) and not sound_near,
     )
     suspect = offer.replica.suspect_until_s > view.now_s
-    reason = Reason.SUSPECT if suspect else Reason.SOUND
+    reason = PlacementReason.SUSPECT if suspect else PlacementReason.HEALTHY
     cost_ms = offer.cost_ms + (view.remote_cost_ms if way.is_remote else 0.0)
     return Placement(offer.replica, reason, cost_ms, offer.again_tokens, offer.compared, way)
 
@@ -177,7 +177,7 @@
 
 
 def _best(
-    view: PlacementView, profile: RequestProfile, pool: list[FleetReplica], source: Randomness
+    view: PlacementView, profile: RequestProfile, pool: list[FleetReplica], source: RandomSource
 ) -> Candidate:
     """Return the replica of one region that would begin first.
 
@@ -195,19 +195,22 @@
 
 def _permitted(
     view: PlacementView, profile: RequestProfile, tried: Collection[str]
-) -> tuple[list[FleetReplica], Reason]:
+) -> tuple[list[FleetReplica], PlacementReason]:
     """Return the replicas that may be sent to; if none, what kept the last ones out."""
-    filters: tuple[tuple[Reason, Callable[[FleetReplica], bool]], ...] = (
-        (Reason.EVACUATED, lambda replica: replica.record.zone not in view.evacuated),
-        (Reason.OTHER_REGION, lambda replica: is_at_home(view, profile, replica)),
-        (Reason.VERSION, view.permits),
-        (Reason.TRIED, lambda replica: replica.name not in tried),
-        (Reason.BACKING_OFF, lambda replica: is_available(view, replica)),
-        (Reason.COLD, lambda replica: may_take_more(view, replica)),
-        (Reason.LIMITED, lambda replica: is_within_limit(view, replica)),
+    filters: tuple[tuple[PlacementReason, Callable[[FleetReplica], bool]], ...] = (
+        (PlacementReason.EVACUATED, lambda replica: replica.record.zone not in view.evacuated),
+        (
+            PlacementReason.OTHER_REGION,
+            lambda replica: is_in_allowed_region(view, profile, replica),
+        ),
+        (PlacementReason.VERSION, view.permits),
+        (PlacementReason.ALL_TRIED, lambda replica: replica.name not in tried),
+        (PlacementReason.BACKING_OFF, lambda replica: is_available(view, replica)),
+        (PlacementReason.COLD, lambda replica: has_cold_budget(view, replica)),
+        (PlacementReason.RATE_LIMITED, lambda replica: is_within_limit(view, replica)),
     )
     pool = view.replicas
-    lacking = Reason.NONE_KNOWN
+    lacking = PlacementReason.NONE_KNOWN
     for reason, allows in filters:
         if not pool:
             break
@@ -216,7 +219,9 @@
     return pool, lacking
 
 
-def is_at_home(view: PlacementView, profile: RequestProfile, replica: FleetReplica) -> bool:
+def is_in_allowed_region(
+    view: PlacementView, profile: RequestProfile, replica: FleetReplica
+) -> bool:
     """Whether a replica is in a region in which the request may be served."""
     if profile.regions is None:
         return True
@@ -239,11 +244,11 @@
     return view.cold_capacity_per_s > 0 and replica.cold_until_s > view.now_s
 
 
-def may_take_more(view: PlacementView, replica: FleetReplica) -> bool:
+def has_cold_budget(view: PlacementView, replica: FleetReplica) -> bool:
     """Whether this gateway's share of a cold replica is not used up; True for a warm one."""
     if not is_cold(view, replica):
         return True
-    since_s = view.now_s - WINDOW_S
+    since_s = view.now_s - COLD_WINDOW_S
     sent = sum(1 for moment_s in replica.cold_sends_s if moment_s > since_s)
     return sent < view.cold_share(replica.name, view.cold_capacity_per_s)
 
@@ -263,7 +268,7 @@
     profile: RequestProfile,
     pool: list[FleetReplica],
     keeper: str,
-    source: Randomness,
+    source: RandomSource,
 ) -> list[FleetReplica]:
     """Return some replicas at random, those that keep parts of the prompt, and granted ones.
 
@@ -285,7 +290,7 @@
     replica: FleetReplica,
     profile: RequestProfile,
     keeper: str,
-    source: Randomness,
+    source: RandomSource,
 ) -> float:
     """Estimate when a replica would begin the answer, in ms; with a random tie-break."""
     cost = source.random()
--- a/packages/heronladder-router/src/heronladder_router/decisions/replica_limit.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/replica_limit.py
@@ -21,13 +21,13 @@
 )
 
 #: Sends without a grant are counted over so long: the span over which users judge them.
-SPAN_S = 4.0
+LIMIT_WINDOW_S = 4.0
 #: Without a leader's word for longer, gateways go by what they share without one: the newest
 #: grants have run out by then.
-LEADER_SILENT_S = 1.0
+LEADER_SILENCE_LIMIT_S = 1.0
 #: A gateway asks for what it would have sent in so long: until the answer to its next heartbeat
 #: but one.
-DEMAND_S = 0.6
+DEMAND_WINDOW_S = 0.6
 _MOST_ASKED = 512  # at one service; far beyond what one gateway sends in that time
 
 
@@ -36,13 +36,13 @@
 
     GRANTED = "granted"
     NOT_GRANTED = "not_granted"
-    ONE_OF_FEW = "one_of_few"
-    NONE_OF_FEW = "none_of_few"
+    WITHIN_SHARE = "one_of_few"
+    NO_SHARE_LEFT = "none_of_few"
 
     @property
     def may_send(self) -> bool:
         """Whether it may be sent to."""
-        return self in (LimitVerdict.GRANTED, LimitVerdict.ONE_OF_FEW)
+        return self in (LimitVerdict.GRANTED, LimitVerdict.WITHIN_SHARE)
 
 
 @dataclass(frozen=True)
@@ -54,7 +54,7 @@
         per_s: Requests a second that it takes from all gateways.
         now_s: Time.
         grants_s: Until when each send may be made that the leader granted.
-        sends_s: When this gateway sent to it, over ``SPAN_S`` at least.
+        sends_s: When this gateway sent to it, over ``LIMIT_WINDOW_S`` at least.
         silent_s: How long no leader was heard.
         gateway: Name of this gateway.
         known: All gateways.
@@ -74,15 +74,15 @@
     """Return whether a rate-limited replica may be sent to."""
     if any(until_s > view.now_s for until_s in view.grants_s):
         return LimitVerdict.GRANTED
-    if view.silent_s < LEADER_SILENT_S:
+    if view.silent_s < LEADER_SILENCE_LIMIT_S:
         return LimitVerdict.NOT_GRANTED
-    sent = sum(1 for moment_s in view.sends_s if moment_s > view.now_s - SPAN_S)
+    sent = sum(1 for moment_s in view.sends_s if moment_s > view.now_s - LIMIT_WINDOW_S)
     may_send = sent < share_without_leader(view.replica, view.gateway, view.known, view.per_s)
-    return LimitVerdict.ONE_OF_FEW if may_send else LimitVerdict.NONE_OF_FEW
+    return LimitVerdict.WITHIN_SHARE if may_send else LimitVerdict.NO_SHARE_LEFT
 
 
 def share_without_leader(replica: str, gateway: str, known: KnownGateways, per_s: float) -> int:
-    """Return the sends that a gateway may make in any ``SPAN_S`` without a grant.
+    """Return the sends that a gateway may make in any ``LIMIT_WINDOW_S`` without a grant.
 
     Args:
         replica: Identity of the replica.
@@ -91,7 +91,7 @@
         per_s: Requests a second that the replica takes from all gateways.
     """
     # One at least: only an answer tells that the need has ended.
-    total = max(1, int(per_s * SPAN_S / MEMBERSHIP_VIEWS))
+    total = max(1, int(per_s * LIMIT_WINDOW_S / MEMBERSHIP_VIEWS))
     return selected_sender_share(replica, gateway, known, total)
 
 
@@ -103,7 +103,7 @@
     come surely.
 
     Args:
-        requests: Requests for the service in the last ``DEMAND_S``.
+        requests: Requests for the service in the last ``DEMAND_WINDOW_S``.
         waiting: Requests that wait for a grant.
         limited: Replicas of the service that are rate-limited.
         usable: All replicas of the service.
--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -12,14 +12,14 @@
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_router.decisions.availability import Availability
-from heronladder_router.decisions.cold_limit import WINDOW_S, ColdLimits
+from heronladder_router.decisions.cold_limit import COLD_WINDOW_S, ColdLimits
 from heronladder_router.decisions.connection_share import connection_share
 from heronladder_router.decisions.placement import (
     Placement,
+    PlacementReason,
     PlacementView,
-    Reason,
-    is_at_home,
     is_available,
+    is_in_allowed_region,
     is_within_limit,
     place,
 )
@@ -237,8 +237,8 @@
             placement = place(view, profile, tried, self._environment.random)
             if placement.replica is not None:
                 break
-        if placement.reason is Reason.NONE_KNOWN and self._all_leave(profile.service):
-            return Placement(None, Reason.LEAVING)
+        if placement.reason is PlacementReason.NONE_KNOWN and self._all_leave(profile.service):
+            return Placement(None, PlacementReason.LEAVING)
         return placement
 
     def _all_leave(self, service: str) -> bool:
@@ -282,7 +282,7 @@
             replica
             for replica in view.replicas
             if replica.record.zone not in view.evacuated
-            and is_at_home(view, profile, replica)
+            and is_in_allowed_region(view, profile, replica)
             and view.permits(replica)
             and is_available(view, replica)
         ]
@@ -341,7 +341,7 @@
         """Count all sends of the last second: the replica may be known for cold only then."""
         now_s = self._environment.monotonic()
         sends = replica.cold_sends_s
-        while sends and sends[0] <= now_s - WINDOW_S:
+        while sends and sends[0] <= now_s - COLD_WINDOW_S:
             sends.popleft()
         sends.append(now_s)
 
--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -22,7 +22,7 @@
 )
 from heronladder_router.crash_reports import CrashReports
 from heronladder_router.crashing_requests import CrashingRequests
-from heronladder_router.decisions.placement import Placement, Reason
+from heronladder_router.decisions.placement import Placement, PlacementReason
 from heronladder_router.decisions.region_choice import RegionChoice
 from heronladder_router.dispatch_reports import report_end, report_send
 from heronladder_router.errors import (
@@ -46,7 +46,7 @@
 _REJECTIONS = 3  # sends that were not run, over the route's attempts
 _REPLICA_WAIT_S = 0.2
 # Within a moment: a replica comes, is warm, or is of a version that has just been admitted.
-_MAY_PASS = frozenset({Reason.NONE_KNOWN, Reason.COLD, Reason.VERSION})
+_MAY_PASS = frozenset({PlacementReason.NONE_KNOWN, PlacementReason.COLD, PlacementReason.VERSION})
 
 
 class StreamBrokenError(HeronladderError):
@@ -127,7 +127,7 @@
         if not self._parts.replicas.availability.any_unavailable:
             return
         reason = self._place(request, Sends()).reason
-        if reason in (Reason.BACKING_OFF, Reason.LEAVING):
+        if reason in (PlacementReason.BACKING_OFF, PlacementReason.LEAVING):
             raise self._refusals.no_answer(request, Sends(lacking=reason))
 
     # ---- sends ------------------------------------------------------------
@@ -211,13 +211,13 @@
             return placement
         if not self._parts.allowance.try_repeat(request.profile.service):
             self._parts.metrics.add("repeats_not_allowed", request.profile.service)
-            return Placement(None, Reason.TRIED)
+            return Placement(None, PlacementReason.ALL_TRIED)
         return placement
 
-    async def _passes(self, reason: Reason, request: GatewayRequest) -> bool:
+    async def _passes(self, reason: PlacementReason, request: GatewayRequest) -> bool:
         """Wait a moment for what keeps a request from being sent; return whether it may be over."""
         replicas = self._parts.replicas
-        if reason is Reason.LIMITED:
+        if reason is PlacementReason.RATE_LIMITED:
             return await replicas.limits.wait_for_grant(request.profile.service)
         if reason in _MAY_PASS:
             await replicas.changed.wait(_REPLICA_WAIT_S)
--- a/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
@@ -1,7 +1,7 @@
 """What a caller is told whose request has no answer, and when it may come back."""
 
 from heronladder_router.attempt_outcomes import Sends
-from heronladder_router.decisions.placement import Reason
+from heronladder_router.decisions.placement import PlacementReason
 from heronladder_router.errors import (
     AnswerLostError,
     CallerError,
@@ -19,14 +19,14 @@
 from heronladder_router.gateway_request import GatewayRequest
 from heronladder_router.place_queue import PlaceQueue
 
-_NOT_SENT: dict[Reason, type[CallerError]] = {
-    Reason.EVACUATED: EvacuatedError,
-    Reason.OTHER_REGION: RegionUnservedError,
-    Reason.COLD: ReplicasColdError,
-    Reason.LIMITED: ReplicasLimitedError,
-    Reason.BACKING_OFF: ReplicasBackingOffError,
-    Reason.LEAVING: ReplicasLeavingError,
-    Reason.VERSION: VersionNotAdmittedError,
+_NOT_SENT: dict[PlacementReason, type[CallerError]] = {
+    PlacementReason.EVACUATED: EvacuatedError,
+    PlacementReason.OTHER_REGION: RegionUnservedError,
+    PlacementReason.COLD: ReplicasColdError,
+    PlacementReason.RATE_LIMITED: ReplicasLimitedError,
+    PlacementReason.BACKING_OFF: ReplicasBackingOffError,
+    PlacementReason.LEAVING: ReplicasLeavingError,
+    PlacementReason.VERSION: VersionNotAdmittedError,
 }
 
 
@@ -67,6 +67,6 @@
             return ends_s
         if sends.rejected and request.bounds is None:
             return self._places.come_back_s(service, otherwise_s)
-        if sends.lacking is Reason.LIMITED and not sends.rejected:
+        if sends.lacking is PlacementReason.RATE_LIMITED and not sends.rejected:
             return self._replicas.limits.come_back_s(service)
         return otherwise_s
--- a/packages/heronladder-router/src/heronladder_router/limit_demand.py
+++ b/packages/heronladder-router/src/heronladder_router/limit_demand.py
@@ -4,10 +4,10 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from heronladder_router.decisions.replica_limit import DEMAND_S, SPAN_S, sends_wanted
+from heronladder_router.decisions.replica_limit import DEMAND_WINDOW_S, LIMIT_WINDOW_S, sends_wanted
 from heronladder_router.decisions.retry_after import RetryAfterView, choose_retry_after
 
-_MOST_COUNTED = 1024  # requests of a service within DEMAND_S
+_MOST_COUNTED = 1024  # requests of a service within DEMAND_WINDOW_S
 _SHORT_S = 0.3  # the leader that gave less than was asked has no more for a heartbeat
 
 
@@ -62,7 +62,7 @@
             now_s: Time.
         """
         demand = self._of(service)
-        while demand.requests_s and demand.requests_s[0] <= now_s - DEMAND_S:
+        while demand.requests_s and demand.requests_s[0] <= now_s - DEMAND_WINDOW_S:
             demand.requests_s.popleft()
         requests = len(demand.requests_s)
         demand.asked = sends_wanted(requests, demand.waiting, limited, usable, held)
@@ -98,7 +98,7 @@
             now_s: Time.
         """
         demand = self._of(service)
-        turn_s = 1.0 / per_s if per_s > 0 else SPAN_S
+        turn_s = 1.0 / per_s if per_s > 0 else LIMIT_WINDOW_S
         view = RetryAfterView(now_s, turn_s, turn_s * max(1, gateways), demand.last_assigned_s)
         told = choose_retry_after(view)
         demand.last_assigned_s = told.last_assigned_s
--- a/packages/heronladder-router/src/heronladder_router/replica_limits.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_limits.py
@@ -23,8 +23,8 @@
 from heronladder_schema.v1 import control_pb2
 
 from heronladder_router.decisions.replica_limit import (
-    LEADER_SILENT_S,
-    SPAN_S,
+    LEADER_SILENCE_LIMIT_S,
+    LIMIT_WINDOW_S,
     LimitVerdict,
     LimitView,
     check_limit,
@@ -48,7 +48,7 @@
         report: The newest report on it.
         named_s: When this gateway last learned that it names a limit.
         grants_s: Until when each send may be made that the leader granted, the earliest first.
-        sends_s: When this gateway sent to it, over the newest ``SPAN_S``.
+        sends_s: When this gateway sent to it, over the newest ``LIMIT_WINDOW_S``.
     """
 
     report: LimitReport
@@ -60,7 +60,7 @@
         """Let go of grants that ran out, and of sends that count no more."""
         while self.grants_s and self.grants_s[0] <= now_s:
             del self.grants_s[0]
-        while self.sends_s and self.sends_s[0] <= now_s - SPAN_S:
+        while self.sends_s and self.sends_s[0] <= now_s - LIMIT_WINDOW_S:
             self.sends_s.popleft()
 
 
@@ -252,7 +252,9 @@
     def begin_wait(self, service: str) -> bool:
         """Have a request ask the leader for a send; return whether that may bring one."""
         now_s = self._environment.monotonic()
-        if self._silent_s() >= LEADER_SILENT_S or not self._demand.begin_wait(service, now_s):
+        if self._silent_s() >= LEADER_SILENCE_LIMIT_S or not self._demand.begin_wait(
+            service, now_s
+        ):
             return False
         self._beat_soon()
         return True
--- a/tests/test_cold_replicas.py
+++ b/tests/test_cold_replicas.py
@@ -7,12 +7,12 @@
 
 from heronladder_control.cold_reports import ColdReports
 from heronladder_router.decisions.cold_limit import (
-    WINDOW_S,
+    COLD_WINDOW_S,
     ColdLimits,
     cold_bound_per_s,
     share_per_s,
 )
-from heronladder_router.decisions.placement import PlacementView, Reason, place
+from heronladder_router.decisions.placement import PlacementReason, PlacementView, place
 from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.kept_parts import KeptParts
 from heronladder_router.replica_state import FleetReplica, RequestProfile
@@ -132,7 +132,7 @@
     def test_a_cold_replica_that_could_take_work_gets_some(self) -> None:
         gateways = [_Gateway(f"front-{number}", 30, number) for number in range(30)]
         sent = [
-            gateway.send(100.0 + WINDOW_S * turn, cold_capacity_per_s=_BEARS_PER_S)
+            gateway.send(100.0 + COLD_WINDOW_S * turn, cold_capacity_per_s=_BEARS_PER_S)
             for turn in range(3)
             for gateway in gateways
         ]
@@ -146,7 +146,7 @@
             gateway.replicas, 100.0, "z0", {}, (), _BEARS_PER_S, lambda *_: 0, False
         )
         placement = place(view, RequestProfile(SERVICE), (), gateway.random)
-        self.assertEqual(placement.reason, Reason.COLD)
+        self.assertEqual(placement.reason, PlacementReason.COLD)
         self.assertIsNone(placement.replica)
 
 
--- a/tests/test_limit_runs.py
+++ b/tests/test_limit_runs.py
@@ -91,7 +91,7 @@
                 return None
             now_s = limits._environment.monotonic()
             sent = sum(1 for moment_s in limited.sends_s if moment_s > now_s - 1.0)
-            return LimitVerdict.ONE_OF_FEW if sent < limited.report.per_s else None
+            return LimitVerdict.WITHIN_SHARE if sent < limited.report.per_s else None
 
         with mock.patch.object(ReplicaLimits, "verdict", alone):
             self.assertGreater(broken(_SEEDS), 10)
--- a/tests/test_region_choice.py
+++ b/tests/test_region_choice.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from heronladder_router.decisions.cold_limit import ColdLimits
-from heronladder_router.decisions.placement import Placement, PlacementView, Reason, place
+from heronladder_router.decisions.placement import Placement, PlacementReason, PlacementView, place
 from heronladder_router.decisions.region_choice import RegionChoice
 from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.fleet_replicas import FleetReplicas
@@ -146,7 +146,7 @@
             replica.busy_until_s = 10.15
         found = [fleet.place(RequestProfile(_SERVICE), may_spill=False) for _ in range(50)]
         self.assertEqual({one.way for one in found}, {RegionChoice.LOCAL_SPILL_LIMIT})
-        self.assertEqual({one.reason for one in found}, {Reason.SUSPECT})
+        self.assertEqual({one.reason for one in found}, {PlacementReason.SUSPECT})
         self.assertTrue(all(one.replica and one.replica.record.zone[0] == "n" for one in found))
 
     def test_a_region_where_nothing_listens_goes_elsewhere_whatever_the_bound(self) -> None:
@@ -166,7 +166,9 @@
         for replica in fleet.replicas:
             replica.suspect_until_s = 20.0
         placement = fleet.place(RequestProfile(_SERVICE), may_spill=False)
-        self.assertEqual((placement.way, placement.reason), (RegionChoice.LOCAL, Reason.SUSPECT))
+        self.assertEqual(
+            (placement.way, placement.reason), (RegionChoice.LOCAL, PlacementReason.SUSPECT)
+        )
 
     def test_homes_come_before_any_cost(self) -> None:
         fleet = _Fleet()
--- a/tests/test_replica_limit_reports.py
+++ b/tests/test_replica_limit_reports.py
@@ -5,7 +5,7 @@
 from heronladder_control.daemon_session import DaemonSession
 from heronladder_control.replica_limits import SharedReplicaLimits
 from heronladder_router.decisions.replica_limit import (
-    SPAN_S,
+    LIMIT_WINDOW_S,
     LimitVerdict,
     sends_wanted,
     share_without_leader,
@@ -265,7 +265,7 @@
             known = KnownGateways(frozenset(f"g{number}" for number in range(count)), count)
             for per_s in (0.5, 1.7, 20.0, 300.0):
                 shares = [share_without_leader("r", name, known, per_s) for name in known.names]
-                self.assertLessEqual(2 * sum(shares), per_s * SPAN_S)
+                self.assertLessEqual(2 * sum(shares), per_s * LIMIT_WINDOW_S)
                 self.assertGreaterEqual(sum(shares), 1)
 
 
