--- a/packages/heronladder-router/src/heronladder_router/decisions/__init__.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/__init__.py
@@ -1,5 +1,6 @@
-"""Decisions on requests, as functions of what is known.
+"""Decisions about requests, as pure functions of the state that is passed in.
 
-Nothing here reads a clock, a socket or a file, or draws a number of its own: the tasks that do
-ask these functions, and log what they were given and what they answered.
+No function in this package reads a clock, a socket or a file, or creates its own random numbers.
+The callers gather the state, call these functions, and log both the state and the decision. This
+makes every decision testable in virtual time.
 """
--- a/packages/heronladder-router/src/heronladder_router/decisions/attempt_timeout.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/attempt_timeout.py
@@ -1,32 +1,39 @@
-"""How long a stream that may be sent again is waited for before it is taken for lost.
+"""Chooses how long to wait for the first event of a stream before the attempt counts as lost.
 
-Load patterns: answers that are lost on their way, replicas that hang. A fixed share of the
-objective is longer than the whole deadline where objectives are long beside deadlines (three
-times 1,219 ms, of 3,047), so what was lost there is never sent again; and it is short where a
-service is slow for all. So patience is a multiple of what most first events of the service
-take, measured at this gateway, and never over the share of the objective.
+Only streams that may be retried have this timeout. It guards against lost responses and hung
+replicas.
 
-What is given up counts as a first event that took so long: where all are slow, patience grows
-and little is broken off while its replica is at work, which costs more than a late answer.
+A fixed multiple of the latency objective does not work for all services. Where the objective is
+long compared with the deadline (3 x 1219 ms with a deadline of 3047 ms), it exceeds the deadline,
+so a lost attempt is never retried. Where a whole service is slow, it is too short. Therefore the
+timeout is a multiple of the time within which most first events of the service arrive, as this
+gateway measures it. The fixed multiple of the objective remains the upper bound.
+
+An attempt that times out counts as a first event that took as long as the timeout. The timeout
+thus grows when all replicas are slow, and few attempts are aborted while their replica is at work:
+aborting such an attempt costs more than a late response.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 
-_OBJECTIVES = 3.0  # while little is measured, and at most
-_SHORTEST_S = 1.0  # nothing is given up sooner
-# Objectives, before which nothing is given up: long prompts at slow engines took over 1 s where
-# most first events take 0.1 s (25 sends were given up before 2 s in a trial, 18 at 1 s).
-_LEAST_OBJECTIVES = 2.0
-_TIMES = 4.0  # of what most first events take
-# Up to a fifth of the answers may be lost without patience growing.
-_MOST = 0.8
-_RATE = 0.1  # of the value, by which it moves: up by 0.08 of it, down by 0.02
-_LEAST_SEEN = 20  # first events before they are believed
+_MAX_OBJECTIVES = 3.0  # upper bound in objectives, and the timeout while there are few samples
+_MIN_TIMEOUT_S = 1.0
+# Lower bound in objectives. Long prompts on slow engines take more than 1 s where most first
+# events take 0.1 s: with a lower bound of 1 s alone, 25 such attempts were aborted before 2 s, 18
+# of them at 1 s.
+_MIN_OBJECTIVES = 2.0
+_QUANTILE_FACTOR = 4.0
+# Up to a fifth of the responses may be lost without increasing the timeout.
+_QUANTILE = 0.8
+# Step of the quantile estimate relative to its value: it rises by 0.08 of the value for a slower
+# first event and falls by 0.02 for a faster one.
+_STEP_RATIO = 0.1
+_MIN_SAMPLES = 20
 
 
 class TimeoutBasis(Enum):
-    """What patience goes by."""
+    """What the timeout is derived from."""
 
     OBJECTIVE = "objective"
     MEASURED = "measured"
@@ -34,31 +41,31 @@
 
 @dataclass(frozen=True)
 class FirstEventQuantile:
-    """What four of five first events of a service stay within.
+    """Running estimate of the time within which four of five first events of a service arrive.
 
     Attributes:
-        quantile_s: That time.
-        count: First events so far.
+        quantile_s: The estimate in seconds.
+        count: Number of first events so far.
     """
 
     quantile_s: float = 0.0
     count: int = 0
 
     def after(self, took_s: float) -> "FirstEventQuantile":
-        """Return what is known after one more first event, or one that was given up."""
+        """Return the estimate after one more first event, or after an attempt that timed out."""
         if not self.count:
             return FirstEventQuantile(took_s, 1)
-        share = _MOST if took_s > self.quantile_s else _MOST - 1
-        return FirstEventQuantile(self.quantile_s * (1 + _RATE * share), self.count + 1)
+        step = _QUANTILE if took_s > self.quantile_s else _QUANTILE - 1
+        return FirstEventQuantile(self.quantile_s * (1 + _STEP_RATIO * step), self.count + 1)
 
 
 @dataclass(frozen=True)
 class AttemptTimeout:
-    """How long is waited, and by what.
+    """Timeout for the first event of a stream.
 
     Attributes:
-        timeout_s: How long.
-        basis: By what.
+        timeout_s: The timeout in seconds.
+        basis: What it is derived from.
     """
 
     timeout_s: float
@@ -66,17 +73,17 @@
 
 
 def choose_attempt_timeout(objective_s: float, times: FirstEventQuantile) -> AttemptTimeout:
-    """Return how long the first event of a stream is waited for.
+    """Return how long to wait for the first event of a stream.
 
     Args:
-        objective_s: Time in which it is in time.
-        times: First events of the service.
+        objective_s: Latency objective for the first event, in seconds.
+        times: Estimate for the service.
     """
-    most_s = max(_SHORTEST_S, _OBJECTIVES * objective_s)
-    if times.count < _LEAST_SEEN:
-        return AttemptTimeout(most_s, TimeoutBasis.OBJECTIVE)
-    least_s = max(_SHORTEST_S, _LEAST_OBJECTIVES * objective_s)
-    measured_s = max(least_s, _TIMES * times.quantile_s)
-    if measured_s >= most_s:
-        return AttemptTimeout(most_s, TimeoutBasis.OBJECTIVE)
+    max_s = max(_MIN_TIMEOUT_S, _MAX_OBJECTIVES * objective_s)
+    if times.count < _MIN_SAMPLES:
+        return AttemptTimeout(max_s, TimeoutBasis.OBJECTIVE)
+    min_s = max(_MIN_TIMEOUT_S, _MIN_OBJECTIVES * objective_s)
+    measured_s = max(min_s, _QUANTILE_FACTOR * times.quantile_s)
+    if measured_s >= max_s:
+        return AttemptTimeout(max_s, TimeoutBasis.OBJECTIVE)
     return AttemptTimeout(measured_s, TimeoutBasis.MEASURED)
--- a/packages/heronladder-router/src/heronladder_router/decisions/availability.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/availability.py
@@ -1,8 +1,8 @@
-"""Whether a replica takes new requests of this gateway, by what it said of itself.
+"""Decides whether a replica accepts new requests, from what it has reported about itself.
 
-It is asked twice: when a replica is chosen, and when the head of a request is about to be written.
-In between a request may have waited for a connection, and the replica may have answered another
-one.
+The gateway checks availability twice: when it chooses a replica, and just before it writes the
+head of a request. In between, the request may have waited for a connection, and the replica may
+have changed its state in a response to another request.
 """
 
 import math
@@ -11,7 +11,7 @@
 
 
 class Availability(Enum):
-    """Whether a replica may be sent new requests, and why not."""
+    """Whether new requests may be sent to a replica, and if not, why."""
 
     AVAILABLE = "available"
     BACKING_OFF = "backing_off"
@@ -22,15 +22,16 @@
 
 @dataclass(frozen=True)
 class AvailabilityView:
-    """What is known when a replica may be sent to.
+    """State from which the availability of a replica is decided.
 
     Attributes:
-        now_s: Time, on a clock that goes on while the machine is suspended.
-        registered: Whether the incarnation is registered and not draining.
-        back_off_until_s: Until when it wants no requests of this gateway.
-        leaving: Whether it said that it leaves; for the rest of its life, whatever its heartbeats
-            say.
-        misdirected: Whether its address answered a moment ago that it is another's.
+        now_s: Current time in seconds, on a clock that continues while the machine is suspended.
+        registered: Whether this incarnation of the replica is registered and not draining.
+        back_off_until_s: Time until which the replica asked this gateway to send no requests.
+        leaving: Whether the replica announced that it is leaving. This holds for the rest of the
+            incarnation, whatever later heartbeats report.
+        misdirected: Whether a process at the replica's address recently answered that it is a
+            different replica.
     """
 
     now_s: float
@@ -41,7 +42,7 @@
 
 
 def check_availability(view: AvailabilityView) -> Availability:
-    """Return whether a replica may be sent new requests."""
+    """Return whether new requests may be sent to a replica."""
     if not view.registered:
         return Availability.UNREGISTERED
     if view.leaving:
--- a/packages/heronladder-router/src/heronladder_router/decisions/cold_limit.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/cold_limit.py
@@ -1,11 +1,12 @@
-"""How much one gateway may send to a cold replica, so that all together stay below its bound.
+"""Limits what each gateway sends to a cold replica, so that all together stay below a bound.
 
-Load pattern: a zone of replicas comes back, or was evacuated, and all its replicas stand idle
-and cold. Each gateway finds them the least loaded of all, and no gateway hears of the others'
-sends within a second.
+When the replicas of a zone return after an outage or an evacuation, all of them are idle and cold.
+Every gateway then estimates that they are the least loaded replicas, and no gateway learns within
+a second what the others send.
 
-Way chosen: the few senders of ``sender_selection``, with equal whole shares a second. Two views of who
-the gateways are may name two groups of senders, so each group gets half of the bound.
+Therefore only a few gateways send to a cold replica, with equal integer shares per second. They
+are selected by ``sender_selection``. Two gateways with different membership views can select two
+different groups of senders, so each group gets half of the bound.
 """
 
 from collections.abc import Callable
@@ -16,18 +17,18 @@
     selected_sender_share,
 )
 
-# Sends are counted over a second and a bit: what one machine sends a second apart may be closer
-# together by another's clock.
+# Slightly longer than a second: requests that one machine sends a second apart can be closer
+# together by the clock of another machine.
 COLD_WINDOW_S = 1.05
 
 
 def cold_bound_per_s(cold_capacity_per_s: float, over: float, slack: float) -> float:
-    """Return the most requests that a cold replica may get in any second.
+    """Return the upper bound on requests to a cold replica in any second.
 
     Args:
-        cold_capacity_per_s: Requests a second that it bears.
-        over: How many times that it may get.
-        slack: Requests that it may get besides.
+        cold_capacity_per_s: Requests per second that the replica can handle while it is cold.
+        over: Factor by which the capacity may be exceeded.
+        slack: Requests per second that are allowed in addition.
     """
     return cold_capacity_per_s * over + slack
 
@@ -38,20 +39,22 @@
     Args:
         replica: Identity of the replica.
         gateway: Name of the gateway.
-        known: All gateways.
-        bound: Most requests that the replica may get in any second, from all gateways.
+        known: Membership view of the gateway.
+        bound: Upper bound on requests to the replica in any second, over all gateways.
     """
     return selected_sender_share(replica, gateway, known, int(bound / MEMBERSHIP_VIEWS))
 
 
 class ColdLimits:
-    """The shares of one gateway.
+    """Shares of one gateway in the bounds of cold replicas.
+
+    The shares are cached until the membership view changes.
 
     Args:
-        gateway: Its name.
-        over: What all gateways may send to a cold replica, in multiples of what it bears.
-        slack: Requests a second that they may send to it besides.
-        gateways: Tells what is known of all gateways.
+        gateway: Name of the gateway.
+        over: Factor by which all gateways together may exceed the cold capacity of a replica.
+        slack: Requests per second that all gateways together may send in addition.
+        gateways: Returns the current membership view.
     """
 
     def __init__(
--- a/packages/heronladder-router/src/heronladder_router/decisions/connection_share.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/connection_share.py
@@ -1,41 +1,42 @@
-"""How many connections a gateway may have open to a replica that accepts some from all callers.
+"""Limits the connections of each gateway to a replica that accepts a bounded number.
 
-Load pattern: many gateways before a replica that accepts few connections and resets those beyond.
-A request on a connection that is reset may have run, for all that its gateway can tell.
+Many gateways may share a replica that accepts few connections and resets those beyond its limit.
+When a connection is reset, its gateway cannot tell whether the request on it was run.
 
-Equal parts, of nine tenths where there are enough: a gateway that starts is not counted by the
-others at once, and a connection that one side closed is open at the other for a moment.
+Each gateway gets an equal share of nine tenths of the limit, where the limit is large enough. The
+remaining tenth is a reserve, because the other gateways do not count a starting gateway at once,
+and a connection closed by one side stays open at the other for a short time.
 """
 
-_HANDED_OUT = 0.9
+_ASSIGNED_FRACTION = 0.9
 
 
 def connection_share(accepted: int, gateways: int) -> int | None:
     """Return how many connections a gateway may have open to a replica.
 
-    Where there are more gateways than connections each has one, and the sum is over what the
-    replica accepts if all use theirs at once.
+    If there are more gateways than connections, each gateway gets one. The total then exceeds the
+    limit of the replica if all gateways use their connection at the same time.
 
     Args:
-        accepted: Connections that the replica accepts from all callers; 0: any number.
-        gateways: Gateways that send to it.
+        accepted: Connections that the replica accepts from all clients; 0 for no limit.
+        gateways: Number of gateways that send to the replica.
 
     Returns:
-        Connections; None for any number.
+        Number of connections; None for no limit.
     """
     if not accepted:
         return None
     gateways = max(1, gateways)
-    part = round(accepted * _HANDED_OUT / gateways)
+    part = round(accepted * _ASSIGNED_FRACTION / gateways)
     return max(1, min(part, accepted // gateways))
 
 
 def expected_wait_s(waiting: int, held_s: float, share: int) -> float:
-    """Return how long a request waits for a connection behind others.
+    """Return how long a new request is expected to wait for a connection, in seconds.
 
     Args:
-        waiting: Requests that wait already.
-        held_s: How long a request holds a connection.
-        share: Connections that there are.
+        waiting: Requests that already wait for a connection.
+        held_s: Time for which a request holds its connection, in seconds.
+        share: Connections that this gateway may use.
     """
     return (waiting + 1) * held_s / share
--- a/packages/heronladder-router/src/heronladder_router/decisions/placement.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/placement.py
@@ -1,11 +1,14 @@
-"""Which replica a request goes to.
-
-Load patterns: requests with prompts that share parts, long prompts beside short ones, and many
-gateways that see a small part of the load each. The cost of a replica is an estimate of when it
-would begin the answer; the least cost is chosen among a few drawn at random where all gateways
-hear the same sums of load, and among all otherwise. What may not be sent to at all is left out
-first: evacuated zones, other regions than the request's, replicas that asked for back-off, and
-those that are cold or rate-limited beyond this gateway's share.
+"""Chooses the replica for a request.
+
+The choice handles prompts that share parts, long prompts among short ones, and many gateways of
+which each sees a small part of the load.
+
+Replicas that may not be sent to are excluded first: those in evacuated zones, in regions in which
+the request may not be served, or of a version that is not admitted, those that were tried before
+or asked for back-off, and cold or rate-limited replicas beyond this gateway's share. The cost of
+each remaining replica is an estimate of when it would begin its response, and the replica of the
+least cost is chosen. If all gateways know the same load totals, only a random sample is compared,
+so that they do not all choose the same replica; otherwise all replicas are compared.
 """
 
 import hashlib
@@ -26,28 +29,30 @@
 from heronladder_router.decisions.speed import Speed
 from heronladder_router.replica_state import FleetReplica, RequestProfile
 
-_OTHER_ZONE_COST_MS = 4.0
-_READ_AGAIN_COST_MS = 0.15  # for each token of a shared part that another replica keeps
-_MOST_READ_AGAIN_COST_MS = 600.0  # a keeper's queue may be so much longer
-_CHOICES = 4  # replicas compared at random where gateways share their load
-# A rate-limited replica goes before its equals while a send there is granted: unused, it runs out
-# and is lost to all gateways. Less than the cost of another zone.
-_GRANTED_GAIN_MS = 2.0
-_SLOT_COST_MS = 30.0  # for each slot that is taken, at a plain service
+_REMOTE_ZONE_COST_MS = 4.0
+# Cost of each token of a shared prompt part that another replica has cached.
+_REPROCESS_COST_MS_PER_TOKEN = 0.15
+# Upper bound on that cost: how much longer the queue of the replica with the cached part may be.
+_MAX_REPROCESS_COST_MS = 600.0
+_SAMPLE_SIZE = 4  # replicas compared when the gateways know each other's load
+# Preference for a rate-limited replica for which this gateway holds a grant, since an unused grant
+# expires and is lost to all gateways. Less than the cost of a remote zone.
+_GRANT_BONUS_MS = 2.0
+_IN_FLIGHT_COST_MS = 30.0  # per request in flight, for plain requests (without a prompt)
 
 
 class RandomSource(Protocol):
-    """Where random numbers come from; the caller brings it."""
+    """Source of random numbers, passed in by the caller."""
 
     def random(self) -> float:
-        """Return a number from 0 up to 1."""
+        """Return a number from 0 (included) to 1 (excluded)."""
 
     def sample(self, population: list[FleetReplica], k: int) -> list[FleetReplica]:
-        """Return ``k`` different ones."""
+        """Return ``k`` different replicas."""
 
 
 class PlacementReason(Enum):
-    """Why a replica was chosen, or none was."""
+    """Why a replica was chosen, or why none was."""
 
     HEALTHY = "sound"
     SUSPECT = "only_suspects"
@@ -64,26 +69,31 @@
 
 @dataclass(frozen=True)
 class PlacementView:
-    """What is known when a replica is chosen.
+    """State from which a replica is chosen.
 
     Attributes:
-        replicas: Those of the service that are not leaving.
-        now_s: Time.
+        replicas: Replicas of the service that are not leaving.
+        now_s: Current time in seconds.
         zone: Zone of the gateway.
         zone_regions: Region of each zone.
-        evacuated: Zones to which nothing may go.
-        cold_capacity_per_s: Requests a second that a cold replica of the service bears; 0: any number.
-        cold_share: Requests that this gateway may send to a cold replica in any second.
-        permits: Whether a replica's version may be sent to.
-        limit_verdict: Whether a replica that named a limit may be sent to; None: it named none.
-        availability: Whether a replica takes new requests, by what it said of itself.
-        is_window_full: Whether a replica that is back from a back-off has as much of this gateway
-            as it gets at first.
-        connection_share: Connections that may be open to each replica; None: any number.
-        shares_load: Whether what other gateways have under way is known.
-        remote_cost_ms: What a send to another region costs, in ms.
-        may_spill: Whether more may go there while there are replicas here.
-        speed: Measured speed of the service's replicas.
+        evacuated: Zones to which no request may be sent.
+        cold_capacity_per_s: Requests per second that a cold replica of the service can handle; 0
+            for no limit.
+        cold_share: Returns how many requests this gateway may send to a cold replica in any
+            second, from the name of the replica and its cold capacity.
+        shares_load: Whether the requests in flight from other gateways are known.
+        remote_cost_ms: Cost of an attempt in a remote region, in ms.
+        may_spill: Whether the spillover limit allows another request to a remote region while
+            there are local replicas.
+        speed: Measured speed of the replicas of the service.
+        permits: Returns whether the version of a replica may be sent to.
+        limit_verdict: Returns whether a rate-limited replica may be sent to; None if the replica
+            reported no limit.
+        availability: Returns whether a replica accepts new requests, from its own reports.
+        is_window_full: Returns whether a replica that recently ended a back-off has as many
+            requests of this gateway in flight as it may get at first.
+        connection_share: Connections that this gateway may have open to each replica; None for no
+            limit.
     """
 
     replicas: list[FleetReplica]
@@ -106,15 +116,17 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """The replica chosen, or none, and why.
+    """The chosen replica and the reason for the choice.
 
     Attributes:
-        replica: The replica; None if none may be sent to.
-        reason: Why.
-        cost_ms: Estimated time until it begins the answer, with what reading again costs.
-        again_tokens: Tokens of shared parts that it is expected to read again.
-        compared: How many replicas were compared.
-        way: Where it stands, and why there.
+        replica: The replica; None if no replica may be sent to.
+        reason: Why it was chosen, or why there is none.
+        cost_ms: Estimated time in ms until it begins its response, with the costs that are added
+            for reprocessing cached tokens and for a remote region.
+        again_tokens: Tokens of shared prompt parts that it is expected to process again, although
+            another replica has them cached.
+        compared: Number of replicas that were compared.
+        way: Whether it is in the local region or a remote one, and why. The log uses this name.
     """
 
     replica: FleetReplica | None
@@ -126,49 +138,59 @@
 
 
 def place(
-    view: PlacementView, profile: RequestProfile, tried: Collection[str], source: RandomSource
+    view: PlacementView,
+    profile: RequestProfile,
+    tried: Collection[str],
+    random_source: RandomSource,
 ) -> Placement:
-    """Return the replica that would begin first.
+    """Choose the replica that is expected to begin its response first.
 
-    Suspected replicas come only after all others of their region, and after those of other
-    regions as far as more may go there.
+    Suspected replicas are chosen only after all other replicas of their region, and after healthy
+    replicas of remote regions as far as the spillover limit allows.
 
     Args:
-        view: What is known.
-        profile: What is asked.
-        tried: Replicas that the request was sent to before.
-        source: Randomnessness.
+        view: State from which the replica is chosen.
+        profile: Properties of the request.
+        tried: Names of the replicas to which the request was already sent.
+        random_source: Source of random numbers.
     """
-    pool, lacking = _permitted(view, profile, tried)
+    pool, exclusion = _allowed_replicas(view, profile, tried)
     if not pool:
-        return Placement(None, lacking)
-    # One where nothing listens is none that may be sent to: it looks idle, and while it stood for a
-    # replica of the own region, what may go to others was bound (stand-ins, the region's three
-    # replicas crash, others idle: 12 to 25 refusals in each of ten runs, 1 to 4 without).
+        return Placement(None, exclusion)
+    # A replica that refuses connections has crashed, but looks idle. If it counted as a replica of
+    # the local region, requests to idle remote regions would remain subject to the spillover limit:
+    # with all three local replicas crashed, that caused 12 to 25 rejections instead of 1 to 4.
     pool = [replica for replica in pool if not replica.refuses] or pool
     if profile.alone:
-        pool = [_picked(profile.alone, _sound(view, pool) or pool)]
-    near, far = split_by_region(pool, view.zone, view.zone_regions)
-    sound_near, sound_far = _sound(view, near), _sound(view, far)
+        pool = [_pinned_replica(profile.alone, _healthy(view, pool) or pool)]
+    local, remote = split_by_region(pool, view.zone, view.zone_regions)
+    healthy_local, healthy_remote = _healthy(view, local), _healthy(view, remote)
 
     def best(some: list[FleetReplica]) -> Candidate:
-        return _best(view, profile, some, source)
+        return _best(view, profile, some, random_source)
 
-    offer, way = choose_region(
-        sound_near or near,
-        sound_far if sound_near or sound_far else far,
+    best_candidate, region = choose_region(
+        healthy_local or local,
+        healthy_remote if healthy_local or healthy_remote else remote,
         best,
         view.remote_cost_ms,
         may_spill=view.may_spill,
-        local_suspect=bool(sound_far) and not sound_near,
+        local_suspect=bool(healthy_remote) and not healthy_local,
     )
-    suspect = offer.replica.suspect_until_s > view.now_s
+    suspect = best_candidate.replica.suspect_until_s > view.now_s
     reason = PlacementReason.SUSPECT if suspect else PlacementReason.HEALTHY
-    cost_ms = offer.cost_ms + (view.remote_cost_ms if way.is_remote else 0.0)
-    return Placement(offer.replica, reason, cost_ms, offer.again_tokens, offer.compared, way)
+    cost_ms = best_candidate.cost_ms + (view.remote_cost_ms if region.is_remote else 0.0)
+    return Placement(
+        best_candidate.replica,
+        reason,
+        cost_ms,
+        best_candidate.again_tokens,
+        best_candidate.compared,
+        region,
+    )
 
 
-def _sound(view: PlacementView, pool: list[FleetReplica]) -> list[FleetReplica]:
+def _healthy(view: PlacementView, pool: list[FleetReplica]) -> list[FleetReplica]:
     return [
         replica
         for replica in pool
@@ -177,26 +199,30 @@
 
 
 def _best(
-    view: PlacementView, profile: RequestProfile, pool: list[FleetReplica], source: RandomSource
+    view: PlacementView,
+    profile: RequestProfile,
+    pool: list[FleetReplica],
+    random_source: RandomSource,
 ) -> Candidate:
-    """Return the replica of one region that would begin first.
+    """Return the replica of one region that is expected to begin its response first.
 
-    What keeps shared parts, and the sample, are drawn within it: parts are kept once in each.
+    The sample and the owner of the shared prompt parts are chosen within the region, so each
+    region caches the parts once.
     """
-    keeper = _keeper(profile, pool)
+    owner = _cache_owner(profile, pool)
     if view.shares_load:
-        pool = _sample(view, profile, pool, keeper, source)
-    costs = [_cost_ms(view, replica, profile, keeper, source) for replica in pool]
+        pool = _sample(view, profile, pool, owner, random_source)
+    costs = [_cost_ms(view, replica, profile, owner, random_source) for replica in pool]
     least = min(range(len(pool)), key=lambda number: costs[number])
     chosen = pool[least]
-    again = profile.shared_tokens - _kept_tokens(chosen, profile, keeper)
+    again = profile.shared_tokens - _cached_tokens(chosen, profile, owner)
     return Candidate(chosen, costs[least], max(0, again), len(pool))
 
 
-def _permitted(
+def _allowed_replicas(
     view: PlacementView, profile: RequestProfile, tried: Collection[str]
 ) -> tuple[list[FleetReplica], PlacementReason]:
-    """Return the replicas that may be sent to; if none, what kept the last ones out."""
+    """Return the replicas that may be sent to, and the last reason for which any was excluded."""
     filters: tuple[tuple[PlacementReason, Callable[[FleetReplica], bool]], ...] = (
         (PlacementReason.EVACUATED, lambda replica: replica.record.zone not in view.evacuated),
         (
@@ -210,51 +236,54 @@
         (PlacementReason.RATE_LIMITED, lambda replica: is_within_limit(view, replica)),
     )
     pool = view.replicas
-    lacking = PlacementReason.NONE_KNOWN
+    exclusion = PlacementReason.NONE_KNOWN
     for reason, allows in filters:
         if not pool:
             break
         pool = [replica for replica in pool if allows(replica)]
-        lacking = reason
-    return pool, lacking
+        exclusion = reason
+    return pool, exclusion
 
 
 def is_in_allowed_region(
     view: PlacementView, profile: RequestProfile, replica: FleetReplica
 ) -> bool:
-    """Whether a replica is in a region in which the request may be served."""
+    """Return whether a replica is in a region in which the request may be served."""
     if profile.regions is None:
         return True
     return view.zone_regions.get(replica.record.zone) in profile.regions
 
 
 def is_saturated(view: PlacementView, replica: FleetReplica) -> bool:
-    """Whether others are preferred: a replica has as much of this gateway as it gets by now."""
+    """Return whether a replica has as many requests of this gateway in flight as it may get.
+
+    Other replicas are then preferred.
+    """
     share = view.connection_share
     return (share is not None and replica.in_flight >= share) or view.is_window_full(replica)
 
 
 def is_available(view: PlacementView, replica: FleetReplica) -> bool:
-    """Whether a replica takes new requests, by what it said of itself."""
+    """Return whether a replica accepts new requests, from its own reports."""
     return view.availability(replica) is Availability.AVAILABLE
 
 
 def is_cold(view: PlacementView, replica: FleetReplica) -> bool:
-    """Whether sends to a replica are limited."""
+    """Return whether a replica is cold, so that requests to it are limited."""
     return view.cold_capacity_per_s > 0 and replica.cold_until_s > view.now_s
 
 
 def has_cold_budget(view: PlacementView, replica: FleetReplica) -> bool:
-    """Whether this gateway's share of a cold replica is not used up; True for a warm one."""
+    """Return whether this gateway may send more to a cold replica; True for a warm one."""
     if not is_cold(view, replica):
         return True
     since_s = view.now_s - COLD_WINDOW_S
-    sent = sum(1 for moment_s in replica.cold_sends_s if moment_s > since_s)
+    sent = sum(1 for sent_s in replica.cold_sends_s if sent_s > since_s)
     return sent < view.cold_share(replica.name, view.cold_capacity_per_s)
 
 
 def is_within_limit(view: PlacementView, replica: FleetReplica) -> bool:
-    """Whether a replica may be sent to, as far as the limit goes that it named; True for none."""
+    """Return whether the rate limit of a replica allows a request; True without a limit."""
     verdict = view.limit_verdict(replica)
     return verdict is None or verdict.may_send
 
@@ -267,20 +296,24 @@
     view: PlacementView,
     profile: RequestProfile,
     pool: list[FleetReplica],
-    keeper: str,
-    source: RandomSource,
+    owner: str,
+    random_source: RandomSource,
 ) -> list[FleetReplica]:
-    """Return some replicas at random, those that keep parts of the prompt, and granted ones.
+    """Return a random sample, with all replicas that have cached parts or hold a grant added.
 
-    All gateways hear the same sums, some 0.3 s old: if each took the least
-    loaded of all, they would all take the same one until they hear again.
+    All gateways know the same load totals, which are about 0.3 s old. If each chose the least
+    loaded of all replicas, all would choose the same one until the next totals arrive.
     """
-    chosen = source.sample(pool, min(_CHOICES, len(pool)))
+    chosen = random_source.sample(pool, min(_SAMPLE_SIZE, len(pool)))
     names = {replica.name for replica in chosen}
     for replica in pool:
         if replica.name in names:
             continue
-        if replica.name == keeper or _keeps(replica, profile) or _is_granted(view, replica):
+        if (
+            replica.name == owner
+            or _has_shared_parts(replica, profile)
+            or _is_granted(view, replica)
+        ):
             chosen.append(replica)
     return chosen
 
@@ -289,59 +322,69 @@
     view: PlacementView,
     replica: FleetReplica,
     profile: RequestProfile,
-    keeper: str,
-    source: RandomSource,
+    owner: str,
+    random_source: RandomSource,
 ) -> float:
-    """Estimate when a replica would begin the answer, in ms; with a random tie-break."""
-    cost = source.random()
+    """Estimate when a replica would begin its response, in ms, with a random tie-break."""
+    cost = random_source.random()
     in_flight = replica.in_flight
     unread = replica.unread_tokens
     if view.shares_load:
         in_flight += replica.others_in_flight
         unread += replica.others_unread_tokens
     if replica.record.zone != view.zone:
-        cost += _OTHER_ZONE_COST_MS
+        cost += _REMOTE_ZONE_COST_MS
     if _is_granted(view, replica):
-        cost -= _GRANTED_GAIN_MS
+        cost -= _GRANT_BONUS_MS
     if not profile.prompt_tokens:
-        return cost + in_flight * _SLOT_COST_MS
-    kept = _kept_tokens(replica, profile, keeper)
+        return cost + in_flight * _IN_FLIGHT_COST_MS
+    kept = _cached_tokens(replica, profile, owner)
     again = max(0, profile.shared_tokens - kept)
-    cost += min(_MOST_READ_AGAIN_COST_MS, again * _READ_AGAIN_COST_MS)
+    cost += min(_MAX_REPROCESS_COST_MS, again * _REPROCESS_COST_MS_PER_TOKEN)
     unread += max(0, profile.prompt_tokens - kept)
     slow = replica.pace.factor(view.now_s)
     return cost + slow * view.speed.first_event_ms(unread, in_flight)
 
 
-def _kept_tokens(replica: FleetReplica, profile: RequestProfile, keeper: str) -> int:
-    """Return the tokens of a prompt that a replica is expected to keep."""
+def _cached_tokens(replica: FleetReplica, profile: RequestProfile, owner: str) -> int:
+    """Return how many tokens of a prompt a replica is expected to have cached."""
     kept = replica.parts.kept_tokens(profile.parts)
-    return max(kept, profile.shared_tokens) if replica.name == keeper else kept
+    return max(kept, profile.shared_tokens) if replica.name == owner else kept
 
 
-def _keeper(profile: RequestProfile, pool: list[FleetReplica]) -> str:
-    """Return the replica at which all gateways expect the shared parts to be kept.
+def _cache_owner(profile: RequestProfile, pool: list[FleetReplica]) -> str:
+    """Return the name of the replica that all gateways choose to cache the shared prompt parts.
 
-    None is expected if this gateway knows of one that keeps them.
+    Returns:
+        The name; empty if the prompt has no shared parts, or if this gateway knows of a replica
+        that has cached them.
     """
     shared = profile.parts[:-1]
-    if not shared or any(_keeps(replica, profile) for replica in pool):
+    if not shared or any(_has_shared_parts(replica, profile) for replica in pool):
         return ""
     subject = shared[-1].identity.encode()
-    return max((replica.name for replica in pool), key=lambda name: _rank(subject, name))
+    return max(
+        (replica.name for replica in pool), key=lambda name: _rendezvous_weight(subject, name)
+    )
+
 
+def _pinned_replica(fingerprint: str, pool: list[FleetReplica]) -> FleetReplica:
+    """Return the replica to which all gateways with the same pool send a request.
 
-def _picked(fingerprint: str, pool: list[FleetReplica]) -> FleetReplica:
-    """Return the replica that all gateways with the same pool send a suspected request to."""
+    Used for a request that is suspected to crash replicas, so that it puts only one at risk.
+    """
     subject = fingerprint.encode()
-    return max(pool, key=lambda replica: _rank(subject, replica.name))
+    return max(pool, key=lambda replica: _rendezvous_weight(subject, replica.name))
+
 
+def _has_shared_parts(replica: FleetReplica, profile: RequestProfile) -> bool:
+    """Return whether a replica is known to have cached all shared parts of a prompt.
 
-def _keeps(replica: FleetReplica, profile: RequestProfile) -> bool:
-    """Whether a replica is known to keep all shared parts of a prompt, and there are some."""
+    Returns False if the prompt has no shared parts.
+    """
     shared = profile.shared_tokens
     return shared > 0 and replica.parts.kept_tokens(profile.parts[:-1]) == shared
 
 
-def _rank(subject: bytes, name: str) -> bytes:
+def _rendezvous_weight(subject: bytes, name: str) -> bytes:
     return hashlib.blake2b(subject, key=name.encode()[:64], digest_size=8).digest()
--- a/packages/heronladder-router/src/heronladder_router/decisions/replica_limit.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/replica_limit.py
@@ -1,12 +1,13 @@
-"""Whether this gateway may send to a rate-limited replica, and how much of its limit it asks for.
+"""Decides whether a gateway may send to a rate-limited replica, and how many grants it requests.
 
-A rate-limited replica names what it takes from all gateways together. Load pattern: some or all
-replicas of a service are; callers are uneven, and each gateway sees a part of the answers only.
+A rate-limited replica reports a limit that applies to all gateways together. Clients are
+distributed unevenly over the gateways, and each gateway sees only a part of the responses.
 
-Way chosen, of three that were compared (docs/design/shared-bounds.md): the leader grants sends that
-run out within a second. While no leader is heard, a few gateways share half of the limit, each of
-two views of who they are; even parts of a small limit are less than one request a gateway, and
-their chances add up beyond it.
+The leader therefore grants single sends, which expire within a second (the alternatives are
+compared in docs/design/shared-bounds.md). While no leader is heard, a few selected gateways share
+the limit, half of it for each of two membership views. Dividing it among all gateways does not
+work: each share of a small limit would be less than one request, and random variation would add up
+to more than the limit.
 """
 
 import math
@@ -20,19 +21,27 @@
     selected_sender_share,
 )
 
-#: Sends without a grant are counted over so long: the span over which users judge them.
+#: Window over which sends without a grant are counted. Compliance with a replica's limit is judged
+#: over the same window.
 LIMIT_WINDOW_S = 4.0
-#: Without a leader's word for longer, gateways go by what they share without one: the newest
-#: grants have run out by then.
+#: When no leader has been heard for longer, gateways use their shares without a leader. The latest
+#: grants have expired by then.
 LEADER_SILENCE_LIMIT_S = 1.0
-#: A gateway asks for what it would have sent in so long: until the answer to its next heartbeat
-#: but one.
+#: Window over which a gateway measures its demand. It lasts until the second next heartbeat is
+#: answered.
 DEMAND_WINDOW_S = 0.6
-_MOST_ASKED = 512  # at one service; far beyond what one gateway sends in that time
+_MAX_REQUESTED_SENDS = 512  # per service; far more than one gateway sends in DEMAND_WINDOW_S
 
 
 class LimitVerdict(Enum):
-    """Whether a rate-limited replica may be sent to, and why."""
+    """Whether a rate-limited replica may be sent to, and why.
+
+    Attributes:
+        GRANTED: This gateway holds a grant of the leader.
+        NOT_GRANTED: A leader is heard, and this gateway holds no grant.
+        WITHIN_SHARE: No leader is heard, and the share of this gateway is not used up.
+        NO_SHARE_LEFT: No leader is heard, and this gateway has no share or has used it up.
+    """
 
     GRANTED = "granted"
     NOT_GRANTED = "not_granted"
@@ -41,23 +50,24 @@
 
     @property
     def may_send(self) -> bool:
-        """Whether it may be sent to."""
+        """Whether the replica may be sent to."""
         return self in (LimitVerdict.GRANTED, LimitVerdict.WITHIN_SHARE)
 
 
 @dataclass(frozen=True)
 class LimitView:
-    """What is known when a rate-limited replica may be chosen.
+    """State from which it is decided whether a rate-limited replica may be sent to.
 
     Attributes:
-        replica: Its identity.
-        per_s: Requests a second that it takes from all gateways.
-        now_s: Time.
-        grants_s: Until when each send may be made that the leader granted.
-        sends_s: When this gateway sent to it, over ``LIMIT_WINDOW_S`` at least.
-        silent_s: How long no leader was heard.
+        replica: Identity of the replica.
+        per_s: Requests per second that it accepts from all gateways together.
+        now_s: Current time in seconds.
+        grants_s: Expiry times of the grants that this gateway holds.
+        sends_s: Times at which this gateway sent to the replica, over at least the last
+            ``LIMIT_WINDOW_S``.
+        silent_s: Time since a leader was last heard, in seconds.
         gateway: Name of this gateway.
-        known: All gateways.
+        known: Membership view of this gateway.
     """
 
     replica: str
@@ -71,44 +81,45 @@
 
 
 def check_limit(view: LimitView) -> LimitVerdict:
-    """Return whether a rate-limited replica may be sent to."""
+    """Return whether a rate-limited replica may be sent to, and why."""
     if any(until_s > view.now_s for until_s in view.grants_s):
         return LimitVerdict.GRANTED
     if view.silent_s < LEADER_SILENCE_LIMIT_S:
         return LimitVerdict.NOT_GRANTED
-    sent = sum(1 for moment_s in view.sends_s if moment_s > view.now_s - LIMIT_WINDOW_S)
+    sent = sum(1 for sent_s in view.sends_s if sent_s > view.now_s - LIMIT_WINDOW_S)
     may_send = sent < share_without_leader(view.replica, view.gateway, view.known, view.per_s)
     return LimitVerdict.WITHIN_SHARE if may_send else LimitVerdict.NO_SHARE_LEFT
 
 
 def share_without_leader(replica: str, gateway: str, known: KnownGateways, per_s: float) -> int:
-    """Return the sends that a gateway may make in any ``LIMIT_WINDOW_S`` without a grant.
+    """Return how many sends a gateway may make in any ``LIMIT_WINDOW_S`` without a grant.
 
     Args:
         replica: Identity of the replica.
         gateway: Name of the gateway.
-        known: All gateways.
-        per_s: Requests a second that the replica takes from all gateways.
+        known: Membership view of the gateway.
+        per_s: Requests per second that the replica accepts from all gateways together.
     """
-    # One at least: only an answer tells that the need has ended.
+    # At least one send is allowed, because only a response shows that the limit no longer applies.
     total = max(1, int(per_s * LIMIT_WINDOW_S / MEMBERSHIP_VIEWS))
     return selected_sender_share(replica, gateway, known, total)
 
 
 def sends_wanted(requests: int, waiting: int, limited: int, usable: int, held: int) -> int:
-    """Return how many sends to ask the leader for, at all rate-limited replicas of a service.
+    """Return how many grants to request for all rate-limited replicas of a service.
 
-    A send that is granted and not made is lost to all gateways. So where all replicas are
-    rate-limited one is asked for as its request comes, and ahead of it only as far as requests
-    come surely.
+    A grant that is not used is lost to all gateways. Therefore, if all replicas are rate-limited, a
+    grant is requested when its request arrives, and in advance only for one request fewer than
+    arrived in the last window. If only some replicas are rate-limited, grants are requested for
+    their proportion of the requests.
 
     Args:
         requests: Requests for the service in the last ``DEMAND_WINDOW_S``.
         waiting: Requests that wait for a grant.
-        limited: Replicas of the service that are rate-limited.
-        usable: All replicas of the service.
-        held: Sends that are granted and not made yet.
+        limited: Number of replicas of the service that are rate-limited.
+        usable: Number of replicas of the service.
+        held: Grants that are held and not used yet.
     """
     all_limited = limited >= usable
     ahead = requests - 1 if all_limited else math.ceil(requests * limited / usable)
-    return min(_MOST_ASKED, max(0, waiting + ahead - held))
+    return min(_MAX_REQUESTED_SENDS, max(0, waiting + ahead - held))
--- a/packages/heronladder-router/src/heronladder_router/decisions/retry_after.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/retry_after.py
@@ -1,28 +1,28 @@
-"""When a refused caller may come back: when what binds is expected free, one after another.
+"""Chooses when a rejected client retries, so that rejected clients do not retry simultaneously.
 
-Load pattern: a burst at a service of few places, a retrying crowd, gateways that restart. Told
-the same moment, all come back together and find the places taken by each other. Each refusal is
-told a moment of its own: the one at which what binds is expected free, or one turn after the
-moment told last, if that is later.
+If a burst exceeds the slots of a service and all rejected clients are given the same retry time,
+they return together and compete for the same slots again. Therefore each rejection gets its own
+retry time: the time at which the limiting resource is expected to be free, or one interval after
+the retry time assigned last, whichever is later.
 """
 
 from dataclasses import dataclass
 
-# Later than this a caller has given up or is served late anyway: the shortest deadlines of the
-# users' sheets are 3 s.
-_LATEST_S = 1.5
-_SOONEST_S = 0.05  # of a round trip and a new connection
+# Longest delay that is worth assigning: the shortest deadlines of clients are 3 s, so after a
+# longer delay the client has given up or its response is late.
+_MAX_DELAY_S = 1.5
+_MIN_DELAY_S = 0.05  # allows for a round trip and a new connection
 
 
 @dataclass(frozen=True)
 class RetryAfterView:
-    """What is known of what binds.
+    """State of the limiting resource, such as the slots of a service.
 
     Attributes:
-        now_s: Time.
-        free_in_s: When it is expected free for the next one.
-        spacing_s: Time from one that is served to the next.
-        last_assigned_s: The latest moment told to others.
+        now_s: Current time in seconds.
+        free_in_s: Time until the resource is expected to be free for the next request.
+        spacing_s: Interval between two requests that the resource can serve.
+        last_assigned_s: Latest retry time assigned to a client so far.
     """
 
     now_s: float
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True)
 class RetryAfter:
-    """What a caller is told.
+    """Retry time that is assigned to a client.
 
     Attributes:
-        after_s: It may come back so much later.
-        last_assigned_s: The latest moment told from now on.
-        capped: Whether it would have been later than is worth telling.
+        after_s: Delay in seconds after which the client may retry.
+        last_assigned_s: Value to pass in the view of the next rejection.
+        capped: Whether the delay was reduced to the longest one that is worth assigning.
     """
 
     after_s: float
@@ -47,13 +47,13 @@
 
 
 def choose_retry_after(view: RetryAfterView) -> RetryAfter:
-    """Return when a refused caller may come back."""
-    soonest_s = view.now_s + max(_SOONEST_S, view.free_in_s)
-    moment_s = max(soonest_s, view.last_assigned_s + view.spacing_s)
-    latest_s = view.now_s + _LATEST_S
-    if moment_s > latest_s:
-        # Those that are told no more than the latest are spread over the last half of it.
-        over_s = (moment_s - latest_s) % (_LATEST_S / 2)
-        moment_s = latest_s - over_s
-        return RetryAfter(moment_s - view.now_s, latest_s + over_s, capped=True)
-    return RetryAfter(moment_s - view.now_s, moment_s, capped=False)
+    """Return when a rejected client may retry."""
+    earliest_s = view.now_s + max(_MIN_DELAY_S, view.free_in_s)
+    retry_at_s = max(earliest_s, view.last_assigned_s + view.spacing_s)
+    latest_s = view.now_s + _MAX_DELAY_S
+    if retry_at_s > latest_s:
+        # Retry times beyond the longest delay are spread over its second half.
+        excess_s = (retry_at_s - latest_s) % (_MAX_DELAY_S / 2)
+        retry_at_s = latest_s - excess_s
+        return RetryAfter(retry_at_s - view.now_s, latest_s + excess_s, capped=True)
+    return RetryAfter(retry_at_s - view.now_s, retry_at_s, capped=False)
--- a/packages/heronladder-router/src/heronladder_router/decisions/sender_selection.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/sender_selection.py
@@ -1,9 +1,12 @@
-"""Which few gateways send to a replica that bears little, where nobody shares it out.
+"""Selects the few gateways that send to a replica of small capacity, without coordination.
 
-A share of a rate for every gateway is less than one request a second where there are many, and its
-chances add up: with 30 gateways at half a request a second each, one second in forty has over 20.
-So a few gateways send, by rendezvous hash over stable names, and the others do not. Two views of
-who the gateways are may name two groups of senders: each group gets half of what may be sent.
+If a small rate were divided among all gateways, each share would be less than one request per
+second, and random variation would add up: with 30 gateways at 0.5 requests per second each, the
+total exceeds 20 in one of 40 seconds. Therefore a few gateways send and the others do not. They
+are selected by rendezvous hashing over stable names.
+
+Two gateways with different membership views can select different groups of senders, so each group
+gets half of the total.
 """
 
 from collections.abc import Collection
@@ -11,17 +14,17 @@
 
 import xxhash
 
-MEMBERSHIP_VIEWS = 2  # groups of gateways that may send at the same time
-_WEIGHTS = 1 << 64
+MEMBERSHIP_VIEWS = 2  # groups of selected gateways that may send at the same time
+_HASH_RANGE = 1 << 64
 
 
 @dataclass(frozen=True)
 class KnownGateways:
-    """What a gateway knows of all gateways.
+    """Membership view: what one gateway knows of all gateways.
 
     Attributes:
-        names: Their names, with its own; empty if only their number is known.
-        count: How many there are.
+        names: Names of all gateways, including its own; empty if only their number is known.
+        count: Number of gateways.
     """
 
     names: Collection[str]
@@ -29,24 +32,28 @@
 
 
 def selected_sender_share(replica: str, gateway: str, known: KnownGateways, total: int) -> int:
-    """Return a gateway's whole share of a number that few gateways have in equal parts.
+    """Return a gateway's integer share of a total that a few selected gateways divide equally.
 
     Args:
         replica: Identity of the replica.
         gateway: Name of the gateway.
-        known: All gateways.
-        total: What all together have.
+        known: Membership view of the gateway.
+        total: Total over all gateways.
+
+    Returns:
+        The share; 0 if the gateway is not selected.
     """
     if gateway in known.names:
         senders = max(1, min(total, len(known.names)))
         own = _weight(replica, gateway)
         before = sum(1 for name in known.names if _weight(replica, name) > own)
         return total // senders if before < senders else 0
-    # Only their number is known: each sends with the chance that makes as many senders.
+    # Only the number of gateways is known: each selects itself with the probability that gives
+    # the same expected number of senders.
     chance = total / max(1, known.count)
     if chance >= 1:
         return int(chance)
-    return 1 if _weight(replica, gateway) < chance * _WEIGHTS else 0
+    return 1 if _weight(replica, gateway) < chance * _HASH_RANGE else 0
 
 
 def _weight(replica: str, gateway: str) -> int:
--- a/packages/heronladder-router/src/heronladder_router/decisions/slot_admission.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/slot_admission.py
@@ -1,46 +1,49 @@
-"""Whether a request for a plain service is sent, waits here for a place, or is turned away.
-
-Load pattern: a burst, or the loss of replicas, at a service of few places (3 to 6 replicas of
-6). Replicas queue what they cannot run yet, some of them more than can be in time: sent at once,
-all that come are answered late. Others turn away unrun what is over a short queue, and each
-further send counts against the repeats that all gateways share. So a replica has room for as
-many as it can answer in time one after the other, by the measured time of an answer, and for
-none while it turns requests away. While no replica has room, a request waits at its gateway for
-one; what cannot be in time behind what waits is turned away at once, because a refusal costs
-least within an eighth of the objective.
-
-Room is judged by the whole time that a request had when it arrived, for one that waits as for one
-that arrives. Judged by what is left, those that wait are passed by those that come, and fewer are
-in time: 0.73 and not 0.78 of all at four times the usual, in the model of the tests.
-
-Room is only known by sums some 0.3 s old. A wait therefore ends, at the last start that can be
-in time, with a send: an offer may still find a place, a held request cannot.
+"""Decides whether a request for a plain service is sent, queued at its gateway, or rejected.
+
+Under a burst, or after replicas are lost, a service of few slots (3 to 6 replicas with 6 slots
+each) is overloaded. Some replicas queue more requests than they can answer in time: if all requests
+are sent at once, all responses are late. Others reject requests beyond a short queue without
+running them, and each retry counts against the retry budget that all gateways share.
+
+Therefore a replica has room for as many requests as its slots can answer in time one after the
+other, by the measured service time, and for none while it rejects requests. While no replica has
+room, a request waits at its gateway. If it cannot be answered in time behind the requests that
+already wait, it is rejected at once, because a rejection costs least within an eighth of the
+latency objective.
+
+Room is computed from the time budget that a request had on arrival, also for a request that waits.
+If the remaining time were used instead, newly arriving requests would overtake those that wait, and
+fewer would be answered in time: 0.73 instead of 0.78 of all requests at four times the usual load,
+in the model of the tests.
+
+Room is only known from load totals that are about 0.3 s old. A wait therefore ends with a send at
+the latest time from which a response can still be in time: the replica may have a free slot after
+all, while a request that stays queued is certainly late.
 """
 
 from collections.abc import Collection
 from dataclasses import dataclass
 from enum import Enum
 
-# Times of an answer that are left beside those that run before it: for its own run, and for what
-# the sums do not tell yet.
-_MARGIN = 2.0
-# Each so manieth place goes to whoever waited longest, whatever its rank.
-_OLDEST_TURN = 4
-_NEWEST_SHARE = 0.3  # of the newest answer in the newest times
-_FALL_SHARE = 0.3  # of a quicker answer in the least time
-_RISE_SHARE = 0.02  # of a slower one: a burst of seconds hardly moves it
-# Requests whose answers are lost count as taken until their time runs out. While the newest
-# answers took less than this share of the time left, such sums are not believed.
-_DOUBT_SHARE = 0.35
-# Of the time left: where the gateway's own link takes more, what is under way and how long answers
-# take tell of the link and not of the service.
-_LINK_SHARE = 0.25
-_MS = 1000.0  # in a second
-_SHORTEST_MS = 5.0  # no answer is taken for faster
+# Service times that are reserved beside those of the requests ahead: one for the request's own run
+# and one for load that the totals do not show yet.
+_MARGIN_TURNS = 2.0
+_OLDEST_EVERY = 4  # every fourth slot goes to the request that has waited longest
+_RECENT_WEIGHT = 0.3  # weight of the latest response in the recent response time
+_FALL_WEIGHT = 0.3  # weight of a faster response in the service time
+_RISE_WEIGHT = 0.02  # weight of a slower one, so that a burst of some seconds hardly changes it
+# Requests whose responses are lost count as in flight until they time out. While recent responses
+# take less than this fraction of the remaining time, a high load is attributed to such requests.
+_FAST_ANSWER_RATIO = 0.35
+# If the round trip over the gateway's own link exceeds this fraction of the remaining time, load and
+# response times reflect the link and not the service.
+_SLOW_LINK_RATIO = 0.25
+_MS_PER_S = 1000.0
+_MIN_SERVICE_TIME_MS = 5.0
 
 
 class AdmissionVerdict(Enum):
-    """What becomes of a request."""
+    """What is done with a request."""
 
     SEND = "send"
     WAIT = "wait"
@@ -48,7 +51,16 @@
 
 
 class AdmissionReason(Enum):
-    """The reason of a verdict."""
+    """Reason for a verdict.
+
+    Attributes:
+        SLOTS_UNKNOWN: Slots, load totals or response times are not known, so the request is sent.
+        LINK_SLOW: The gateway's own link is the bottleneck, so the request is sent.
+        ANSWERS_FAST: Responses are too fast for the load that the totals show, so it is sent.
+        SLOT_FREE: A replica can answer the request in time.
+        SLOTS_FULL: No replica has room, but one is expected to have room in time.
+        TOO_LATE: No replica is expected to have room in time.
+    """
 
     SLOTS_UNKNOWN = "places_not_counted"
     LINK_SLOW = "link_is_slow"
@@ -60,12 +72,12 @@
 
 @dataclass(frozen=True)
 class ReplicaSlots:
-    """Places of one replica.
+    """Slots of one replica and how many of them are in use.
 
     Attributes:
-        slots: Requests that it runs at once; 0: it did not tell.
-        taken: Requests that it holds, by the newest sums.
-        busy: Whether it turned a request away a moment ago.
+        slots: Number of requests that the replica runs concurrently; 0 if it did not report it.
+        occupied: Requests that it runs or queues, according to the latest load totals.
+        busy: Whether it rejected a request recently.
     """
 
     slots: int
@@ -75,17 +87,17 @@
 
 @dataclass(frozen=True)
 class AdmissionView:
-    """What is known when a request is about to be sent.
+    """State from which the admission of a request is decided.
 
     Attributes:
-        replicas: Those that it may be sent to.
-        sums_heard: Whether what other gateways have under way is known.
-        gateways: Gateways that send to the service.
-        measured: Times of answers, as this gateway measured them.
-        ahead: Requests that wait here and go first.
-        left_ms: Time left in which its answer is in time.
-        whole_ms: What it had when it arrived.
-        link_ms: Way over this gateway's link and back, as measured last.
+        replicas: Replicas to which the request may be sent.
+        totals_known: Whether the requests in flight from other gateways are known.
+        gateways: Number of gateways that send to the service.
+        measured: Response times that this gateway measured.
+        ahead: Requests that wait at this gateway and are sent first.
+        remaining_ms: Remaining time in which a response is in time, in ms.
+        budget_ms: Time budget that the request had on arrival, in ms.
+        link_ms: Latest round trip over this gateway's link, in ms.
     """
 
     replicas: Collection[ReplicaSlots]
@@ -100,15 +112,15 @@
 
 @dataclass(frozen=True)
 class AdmissionDecision:
-    """What becomes of a request, and why.
+    """What is done with a request, and why.
 
     Attributes:
         verdict: What is done.
-        why: The reason.
-        expected_ms: When a place is expected for it, from now.
-        last_start_ms: When it must be sent to be in time, from now.
-        free: How many more the replicas can answer in time.
-        places: Requests that they run at once.
+        reason: Why.
+        expected_ms: Expected time until a slot is free for the request, in ms.
+        last_start_ms: Time until the latest send from which a response is in time, in ms.
+        free: Number of further requests that the replicas can answer in time.
+        places: Number of slots of the replicas. The log uses this name.
     """
 
     verdict: AdmissionVerdict
@@ -120,32 +132,32 @@
 
 
 def decide_admission(view: AdmissionView) -> AdmissionDecision:
-    """Return what becomes of a request that was not sent yet."""
+    """Decide whether a request that was not sent yet is sent, queued or rejected."""
     places = sum(replica.slots for replica in view.replicas)
-    counted = all(replica.slots for replica in view.replicas)
-    if not (places and counted and view.totals_known and view.measured.service_time_ms):
+    all_known = all(replica.slots for replica in view.replicas)
+    if not (places and all_known and view.totals_known and view.measured.service_time_ms):
         return AdmissionDecision(
             AdmissionVerdict.SEND, AdmissionReason.SLOTS_UNKNOWN, places=places
         )
-    answer_ms = max(_SHORTEST_MS, view.measured.service_time_ms)
-    turns = max(1.0, view.budget_ms / answer_ms - _MARGIN)
-    free = sum(_room(replica, turns) for replica in view.replicas)
+    answer_ms = max(_MIN_SERVICE_TIME_MS, view.measured.service_time_ms)
+    turns = max(1.0, view.budget_ms / answer_ms - _MARGIN_TURNS)
+    free = sum(_free_slots(replica, turns) for replica in view.replicas)
     if free > view.ahead:
         return AdmissionDecision(
             AdmissionVerdict.SEND, AdmissionReason.SLOT_FREE, free=free, places=places
         )
-    if view.link_ms > _LINK_SHARE * view.remaining_ms:
+    if view.link_ms > _SLOW_LINK_RATIO * view.remaining_ms:
         return AdmissionDecision(
             AdmissionVerdict.SEND, AdmissionReason.LINK_SLOW, free=free, places=places
         )
-    shed = any(replica.busy for replica in view.replicas)
-    if not shed and view.measured.recent_ms < _DOUBT_SHARE * view.remaining_ms:
+    rejecting = any(replica.busy for replica in view.replicas)
+    if not rejecting and view.measured.recent_ms < _FAST_ANSWER_RATIO * view.remaining_ms:
         return AdmissionDecision(
             AdmissionVerdict.SEND, AdmissionReason.ANSWERS_FAST, free=free, places=places
         )
-    # While all is full, places come free at this pace, and other gateways wait for them too.
+    # While all slots are full, they become free at this interval for one of the waiting gateways.
     expected_ms = (view.ahead + 1 - free) * slot_interval_ms(places, answer_ms, view.gateways)
-    last_start_ms = view.remaining_ms - _MARGIN * answer_ms
+    last_start_ms = view.remaining_ms - _MARGIN_TURNS * answer_ms
     if expected_ms > last_start_ms:
         verdict, reason = AdmissionVerdict.REJECT, AdmissionReason.TOO_LATE
     else:
@@ -154,16 +166,26 @@
 
 
 def slot_interval_ms(places: int, answer_ms: float, gateways: int) -> float:
-    """Return how often a place comes free for one of several gateways, all places being taken.
+    """Return the interval in ms at which slots become free for one gateway while all are full.
+
+    Half of the gateways are assumed to have waiting requests: all of them have some only if each
+    has more than its share.
 
-    Half of the gateways are taken to wait: all of them would wait only where each has more
-    than its share.
+    Args:
+        places: Number of slots of the service.
+        answer_ms: Service time, in ms.
+        gateways: Number of gateways that send to the service.
     """
     return answer_ms / max(1, places) * max(1.0, gateways / 2)
 
 
-def _room(replica: ReplicaSlots, turns: float) -> int:
-    """Return how many more a replica can answer in time, in so many turns of its places."""
+def _free_slots(replica: ReplicaSlots, turns: float) -> int:
+    """Return how many further requests a replica can answer in time.
+
+    Args:
+        replica: The replica.
+        turns: Requests that one slot can run one after the other in that time.
+    """
     if replica.busy:
         return 0
     return max(0, int(replica.slots * turns) - replica.occupied)
@@ -171,36 +193,37 @@
 
 @dataclass(frozen=True)
 class AnswerTimes:
-    """Times of whole answers of a service, as one gateway measured them; 0: none was.
+    """Times of complete responses of a service, measured by one gateway; 0 before the first one.
 
     Attributes:
-        least_ms: Time of an answer that waits for no place: falls quickly, rises slowly.
-        newest_ms: Time of the newest answers.
+        service_time_ms: Estimated time of a response without queueing, in ms. The estimate falls
+            quickly and rises slowly.
+        recent_ms: Moving average over the latest responses, in ms.
     """
 
     service_time_ms: float = 0.0
     recent_ms: float = 0.0
 
     def after(self, measured_ms: float) -> "AnswerTimes":
-        """Return the times after one more answer was measured."""
+        """Return the times after one more response."""
         if not self.service_time_ms:
             return AnswerTimes(measured_ms, measured_ms)
-        share = _FALL_SHARE if measured_ms < self.service_time_ms else _RISE_SHARE
+        weight = _FALL_WEIGHT if measured_ms < self.service_time_ms else _RISE_WEIGHT
         return AnswerTimes(
-            self.service_time_ms + share * (measured_ms - self.service_time_ms),
-            self.recent_ms + _NEWEST_SHARE * (measured_ms - self.recent_ms),
+            self.service_time_ms + weight * (measured_ms - self.service_time_ms),
+            self.recent_ms + _RECENT_WEIGHT * (measured_ms - self.recent_ms),
         )
 
 
 @dataclass(frozen=True)
 class Waiter:
-    """A request that waits.
+    """A request that waits for a slot.
 
     Attributes:
-        number: Order of arrival.
-        rank: Rank of the request; 0 is first.
-        in_time_until_s: Until when its answer is in time.
-        whole_s: Time that it had for that when it arrived.
+        number: Position in the order of arrival.
+        priority: Priority of the request; 0 is served first.
+        in_time_until_s: Time until which its response is in time.
+        budget_s: Time budget that it had on arrival, in seconds.
     """
 
     number: int
@@ -209,28 +232,28 @@
     budget_s: float
 
     def remaining_and_budget_ms(self, now_s: float) -> tuple[float, float]:
-        """Return the time that is left, and the whole, as ``WaitingView`` has them."""
-        return (self.in_time_until_s - now_s) * _MS, self.budget_s * _MS
+        """Return the remaining time and the time budget, in ms, for an ``AdmissionView``."""
+        return (self.in_time_until_s - now_s) * _MS_PER_S, self.budget_s * _MS_PER_S
 
 
 def next_waiter(waiters: Collection[Waiter], given: int) -> Waiter:
-    """Return the one that gets the next place: rank, then least laxity.
+    """Return the request that gets the next slot, by priority and then by least laxity.
 
-    Each fourth place goes to the one that waited longest, so that none starves behind a
-    higher rank. One that came back has less time left than one that is new: laxity puts it
-    first, not behind.
+    Every fourth slot goes to the request that has waited longest, so that none starves behind
+    requests of higher priority. A request that returns has less time remaining than a new one, so
+    laxity puts it first and not last.
 
     Args:
-        waiters: All that wait; not empty.
-        given: Places given so far.
+        waiters: All waiting requests; not empty.
+        given: Number of slots assigned so far.
     """
-    if given % _OLDEST_TURN == _OLDEST_TURN - 1:
+    if given % _OLDEST_EVERY == _OLDEST_EVERY - 1:
         return min(waiters, key=lambda waiter: waiter.number)
     return min(waiters, key=lambda waiter: (waiter.priority, waiter.in_time_until_s, waiter.number))
 
 
 def count_ahead(waiter: Waiter, waiters: Collection[Waiter]) -> int:
-    """Return how many of those that wait go before one, by rank and laxity."""
+    """Return how many waiting requests are sent before a given one, by priority and laxity."""
     own = (waiter.priority, waiter.in_time_until_s, waiter.number)
     return sum(
         1 for other in waiters if (other.priority, other.in_time_until_s, other.number) < own
--- a/packages/heronladder-router/src/heronladder_router/decisions/speed.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/speed.py
@@ -1,60 +1,70 @@
-"""How fast replicas read prompts and make steps, from the first events of our own streams.
-
-Load patterns: engines that read 36 or 92 tokens a ms where a constant says 50, and a third of a
-service's replicas that are slow for a while (they have just started, or share a machine). A
-gateway sees few streams of each replica, but many of a service: two figures are fitted for the
-service (ms a prompt token, ms a running request), and each replica has one factor beside.
-
-The figures are held near the constants until enough was measured, and never leave a factor of
-four of them: a link that is full makes all first events late, and says nothing of engines. A
-replica's factor is forgotten within seconds: where it is slow, little is sent that could tell
-that it is slow no more.
+"""Estimates the speed of replicas from the first events of this gateway's own streams.
+
+Constants alone estimate badly: engines process 36 or 92 prompt tokens per ms where the default is
+50, and a third of the replicas of a service can be slow for a while because they have just started
+or share a machine. A gateway sees few streams of each replica but many of each service. Therefore
+two parameters are fitted per service (ms per prompt token and ms per request in flight), and each
+replica has one slowdown factor.
+
+The parameters stay near their defaults until enough streams are measured, and always within a
+factor of four of them: a saturated link delays all first events and says nothing about engines.
+The slowdown of a replica decays within seconds, because a slow replica gets few requests that
+could show that it has recovered.
 """
 
 from dataclasses import dataclass
 
-_TOKEN_MS = 1 / 50.0  # before any is measured
-_RUNNING_MS = 3.0
-_FIRST_STEP_MS = 20.0  # of a first event, whatever was asked (the users' sheets: work of 20 ms)
-_BOUND = 4.0  # of the constants, either way
-_KEEP = 0.995  # of earlier streams of a service with each new one: some 200 count
-# The constants count as much as 20 streams of 2,000 unread tokens beside five others.
-_TOKEN_WEIGHT = 20 * 2_000.0**2
-_RUNNING_WEIGHT = 20 * 5.0**2
-_REPLICA_KEEP = 0.7  # of earlier streams of a replica: some three count
-_REPLICA_WEIGHT_MS = 100.0  # of first events at the pace of the service that count beside
-# A factor below is taken for chance: each passing over of a replica that keeps a shared part has
-# it read again elsewhere (0.031 of worth for that on an own day where it was 0.024 by constants).
-_SLOW_FROM = 1.5
-_SLOWEST = 4.0
-_FORGET_S = 2.0  # half of what a factor says is forgotten in that time
+_DEFAULT_TOKEN_MS = 1 / 50.0
+_DEFAULT_RUNNING_MS = 3.0
+_FIRST_STEP_MS = 20.0  # part of each first event that does not depend on the load or the prompt
+_BOUND_FACTOR = 4.0  # largest ratio between a parameter and its default, in both directions
+# Weight that earlier streams of a service keep with each new one; about the last 200 count.
+_DECAY_RATIO = 0.995
+# The defaults weigh as much as 20 streams, each with 2,000 unprocessed tokens and five other
+# requests in flight.
+_TOKEN_PRIOR_WEIGHT = 20 * 2_000.0**2
+_RUNNING_PRIOR_WEIGHT = 20 * 5.0**2
+# Weight that earlier streams of a replica keep with each new one; about the last three count.
+_REPLICA_DECAY_RATIO = 0.7
+_REPLICA_PRIOR_MS = 100.0  # weight of first events without slowdown that is added to the samples
+# A smaller slowdown counts as random variation. Avoiding a replica that has a shared prompt part
+# cached makes another one process the part again: without this threshold, that cost rises to 0.031
+# of the value of all requests, from 0.024 with constants alone.
+_MIN_SLOWDOWN = 1.5
+_MAX_SLOWDOWN = 4.0
+_HALF_LIFE_S = 2.0  # time in which the weight of earlier streams of a replica halves
 
 
 @dataclass(frozen=True)
 class Speed:
-    """Speed of a service's replicas.
+    """Speed of the replicas of a service.
 
     Attributes:
-        token_ms: Time to read a prompt token.
-        running_ms: Time that each request under way adds to the first event of one more.
+        token_ms: Time to process a prompt token, in ms.
+        running_ms: Time that each request in flight adds to the first event of another one, in ms.
     """
 
-    token_ms: float = _TOKEN_MS
-    running_ms: float = _RUNNING_MS
+    token_ms: float = _DEFAULT_TOKEN_MS
+    running_ms: float = _DEFAULT_RUNNING_MS
 
     def first_event_ms(self, tokens: float, running: float) -> float:
-        """Return when a first event is expected, without what every one takes."""
+        """Return the expected time to the first event in ms, without its constant part.
+
+        Args:
+            tokens: Unprocessed prompt tokens at the replica.
+            running: Requests in flight at the replica.
+        """
         return tokens * self.token_ms + running * self.running_ms
 
 
 @dataclass(frozen=True)
 class FirstEvent:
-    """A first event that came.
+    """First event of a stream, with the load of the replica when the request was sent.
 
     Attributes:
-        tokens: Unread tokens at the replica when the request was sent, its own among them.
-        running: Requests under way there then.
-        took_ms: Time from then to the event.
+        tokens: Unprocessed prompt tokens at the replica, including those of the request.
+        running: Requests in flight at the replica.
+        took_ms: Time from the send to the event, in ms.
     """
 
     tokens: float
@@ -64,7 +74,18 @@
 
 @dataclass(frozen=True)
 class ServiceSpeedFit:
-    """What the first events of a service tell: sums of products, the newest counting most."""
+    """Least-squares fit of the speed of a service from its first events.
+
+    The fields are exponentially weighted sums of products of the samples.
+
+    Attributes:
+        tokens_tokens: Sum of tokens times tokens.
+        tokens_running: Sum of tokens times requests in flight.
+        running_running: Sum of requests in flight times requests in flight.
+        tokens_ms: Sum of tokens times duration.
+        running_ms: Sum of requests in flight times duration.
+        streams: Number of first events.
+    """
 
     tokens_tokens: float = 0.0
     tokens_running: float = 0.0
@@ -74,40 +95,40 @@
     streams: int = 0
 
     def after(self, seen: FirstEvent) -> "ServiceSpeedFit":
-        """Return what is known after one more first event."""
+        """Return the fit after one more first event."""
         tokens, running, ms = seen.tokens, seen.running, _engine_ms(seen, self.speed())
         return ServiceSpeedFit(
-            _KEEP * self.tokens_tokens + tokens * tokens,
-            _KEEP * self.tokens_running + tokens * running,
-            _KEEP * self.running_running + running * running,
-            _KEEP * self.tokens_ms + tokens * ms,
-            _KEEP * self.running_ms + running * ms,
+            _DECAY_RATIO * self.tokens_tokens + tokens * tokens,
+            _DECAY_RATIO * self.tokens_running + tokens * running,
+            _DECAY_RATIO * self.running_running + running * running,
+            _DECAY_RATIO * self.tokens_ms + tokens * ms,
+            _DECAY_RATIO * self.running_ms + running * ms,
             self.streams + 1,
         )
 
     def speed(self) -> Speed:
-        """Return the figures that fit best, held near the constants."""
+        """Return the parameters that fit best, weighted with their defaults and bounded."""
         if not self.streams:
             return Speed()
-        first = self.tokens_tokens + _TOKEN_WEIGHT
-        second = self.running_running + _RUNNING_WEIGHT
+        first = self.tokens_tokens + _TOKEN_PRIOR_WEIGHT
+        second = self.running_running + _RUNNING_PRIOR_WEIGHT
         both = self.tokens_running
-        first_ms = self.tokens_ms + _TOKEN_WEIGHT * _TOKEN_MS
-        second_ms = self.running_ms + _RUNNING_WEIGHT * _RUNNING_MS
-        scale = first * second - both * both  # over 0: the weights are
+        first_ms = self.tokens_ms + _TOKEN_PRIOR_WEIGHT * _DEFAULT_TOKEN_MS
+        second_ms = self.running_ms + _RUNNING_PRIOR_WEIGHT * _DEFAULT_RUNNING_MS
+        scale = first * second - both * both  # positive, because the prior weights are
         token_ms = (first_ms * second - second_ms * both) / scale
         running_ms = (second_ms * first - first_ms * both) / scale
-        return Speed(_bounded(token_ms, _TOKEN_MS), _bounded(running_ms, _RUNNING_MS))
+        return Speed(_bounded(token_ms, _DEFAULT_TOKEN_MS), _bounded(running_ms, _DEFAULT_RUNNING_MS))
 
 
 @dataclass(frozen=True)
 class ReplicaSlowdown:
-    """How slow a replica is beside the others of its service.
+    """Slowdown of a replica relative to the other replicas of its service.
 
     Attributes:
-        took_ms: Time that its first events took, the newest counting most.
-        expected_ms: Time that they would have taken at the speed of the service.
-        seen_s: When the newest came.
+        took_ms: Exponentially weighted sum of the times that its first events took, in ms.
+        expected_ms: The same sum of the times expected at the speed of the service, in ms.
+        seen_s: Time of the latest first event; 0 if there was none.
     """
 
     took_ms: float = 0.0
@@ -115,8 +136,8 @@
     seen_s: float = 0.0
 
     def after(self, seen: FirstEvent, speed: Speed, now_s: float) -> "ReplicaSlowdown":
-        """Return what is known after one more first event."""
-        keep = _REPLICA_KEEP * self._kept(now_s)
+        """Return the slowdown after one more first event."""
+        keep = _REPLICA_DECAY_RATIO * self._decay(now_s)
         return ReplicaSlowdown(
             keep * self.took_ms + _engine_ms(seen, speed),
             keep * self.expected_ms + speed.first_event_ms(seen.tokens, seen.running),
@@ -124,24 +145,27 @@
         )
 
     def factor(self, now_s: float) -> float:
-        """Return how many times as long as the others it takes."""
+        """Return how many times longer than the others it takes; 1 for a small slowdown."""
         if not self.seen_s:
             return 1.0
-        kept = self._kept(now_s)
-        took_ms = kept * self.took_ms + _REPLICA_WEIGHT_MS
-        expected_ms = kept * self.expected_ms + _REPLICA_WEIGHT_MS
-        factor = min(_SLOWEST, took_ms / expected_ms)
-        return factor if factor >= _SLOW_FROM else 1.0
+        kept = self._decay(now_s)
+        took_ms = kept * self.took_ms + _REPLICA_PRIOR_MS
+        expected_ms = kept * self.expected_ms + _REPLICA_PRIOR_MS
+        factor = min(_MAX_SLOWDOWN, took_ms / expected_ms)
+        return factor if factor >= _MIN_SLOWDOWN else 1.0
 
-    def _kept(self, now_s: float) -> float:
-        return float(0.5 ** (max(0.0, now_s - self.seen_s) / _FORGET_S))
+    def _decay(self, now_s: float) -> float:
+        return float(0.5 ** (max(0.0, now_s - self.seen_s) / _HALF_LIFE_S))
 
 
 def _engine_ms(seen: FirstEvent, speed: Speed) -> float:
-    """Return the engine's part of a first event; one that was stuck counts no more than slow."""
-    most_ms = _BOUND * speed.first_event_ms(seen.tokens, seen.running) + _FIRST_STEP_MS
+    """Return the part of a first event's time that the engine took, in ms, with an upper bound.
+
+    The bound makes a stream that hung count no more than one that was slow.
+    """
+    most_ms = _BOUND_FACTOR * speed.first_event_ms(seen.tokens, seen.running) + _FIRST_STEP_MS
     return max(0.0, min(seen.took_ms - _FIRST_STEP_MS, most_ms))
 
 
 def _bounded(value: float, constant: float) -> float:
-    return min(_BOUND * constant, max(constant / _BOUND, value))
+    return min(_BOUND_FACTOR * constant, max(constant / _BOUND_FACTOR, value))
