--- a/packages/heronladder-router/src/heronladder_router/decisions/slot_admission.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/slot_admission.py
@@ -34,7 +34,7 @@
 _RISE_WEIGHT = 0.02  # weight of a slower one, so that a burst of some seconds hardly changes it
 # Requests whose responses are lost count as in flight until they time out. While recent responses
 # take less than this fraction of the remaining time, a high load is attributed to such requests.
-_FAST_ANSWER_RATIO = 0.35
+_FAST_RESPONSE_RATIO = 0.35
 # If the round trip over the gateway's own link exceeds this fraction of the remaining time, load and
 # response times reflect the link and not the service.
 _SLOW_LINK_RATIO = 0.25
@@ -56,7 +56,7 @@
     Attributes:
         SLOTS_UNKNOWN: Slots, load totals or response times are not known, so the request is sent.
         LINK_SLOW: The gateway's own link is the bottleneck, so the request is sent.
-        ANSWERS_FAST: Responses are too fast for the load that the totals show, so it is sent.
+        RESPONSES_FAST: Responses are too fast for the load that the totals show, so it is sent.
         SLOT_FREE: A replica can answer the request in time.
         SLOTS_FULL: No replica has room, but one is expected to have room in time.
         TOO_LATE: No replica is expected to have room in time.
@@ -64,7 +64,7 @@
 
     SLOTS_UNKNOWN = "places_not_counted"
     LINK_SLOW = "link_is_slow"
-    ANSWERS_FAST = "answers_are_quick"
+    RESPONSES_FAST = "answers_are_quick"
     SLOT_FREE = "place_free"
     SLOTS_FULL = "full_in_time"
     TOO_LATE = "cannot_be_in_time"
@@ -103,7 +103,7 @@
     replicas: Collection[ReplicaSlots]
     totals_known: bool
     gateways: int
-    measured: "AnswerTimes"
+    measured: "ResponseTimes"
     ahead: int
     remaining_ms: float
     budget_ms: float
@@ -141,7 +141,7 @@
         )
     answer_ms = max(_MIN_SERVICE_TIME_MS, view.measured.service_time_ms)
     turns = max(1.0, view.budget_ms / answer_ms - _MARGIN_TURNS)
-    free = sum(_free_slots(replica, turns) for replica in view.replicas)
+    free = sum(_remaining_capacity(replica, turns) for replica in view.replicas)
     if free > view.ahead:
         return AdmissionDecision(
             AdmissionVerdict.SEND, AdmissionReason.SLOT_FREE, free=free, places=places
@@ -151,9 +151,9 @@
             AdmissionVerdict.SEND, AdmissionReason.LINK_SLOW, free=free, places=places
         )
     rejecting = any(replica.busy for replica in view.replicas)
-    if not rejecting and view.measured.recent_ms < _FAST_ANSWER_RATIO * view.remaining_ms:
+    if not rejecting and view.measured.recent_ms < _FAST_RESPONSE_RATIO * view.remaining_ms:
         return AdmissionDecision(
-            AdmissionVerdict.SEND, AdmissionReason.ANSWERS_FAST, free=free, places=places
+            AdmissionVerdict.SEND, AdmissionReason.RESPONSES_FAST, free=free, places=places
         )
     # While all slots are full, they become free at this interval for one of the waiting gateways.
     expected_ms = (view.ahead + 1 - free) * slot_interval_ms(places, answer_ms, view.gateways)
@@ -179,7 +179,7 @@
     return answer_ms / max(1, places) * max(1.0, gateways / 2)
 
 
-def _free_slots(replica: ReplicaSlots, turns: float) -> int:
+def _remaining_capacity(replica: ReplicaSlots, turns: float) -> int:
     """Return how many further requests a replica can answer in time.
 
     Args:
@@ -192,7 +192,7 @@
 
 
 @dataclass(frozen=True)
-class AnswerTimes:
+class ResponseTimes:
     """Times of complete responses of a service, measured by one gateway; 0 before the first one.
 
     Attributes:
@@ -204,12 +204,12 @@
     service_time_ms: float = 0.0
     recent_ms: float = 0.0
 
-    def after(self, measured_ms: float) -> "AnswerTimes":
+    def after(self, measured_ms: float) -> "ResponseTimes":
         """Return the times after one more response."""
         if not self.service_time_ms:
-            return AnswerTimes(measured_ms, measured_ms)
+            return ResponseTimes(measured_ms, measured_ms)
         weight = _FALL_WEIGHT if measured_ms < self.service_time_ms else _RISE_WEIGHT
-        return AnswerTimes(
+        return ResponseTimes(
             self.service_time_ms + weight * (measured_ms - self.service_time_ms),
             self.recent_ms + _RECENT_WEIGHT * (measured_ms - self.recent_ms),
         )
--- a/packages/heronladder-router/src/heronladder_router/place_queue.py
+++ b/packages/heronladder-router/src/heronladder_router/place_queue.py
@@ -18,8 +18,8 @@
     AdmissionReason,
     AdmissionVerdict,
     AdmissionView,
-    AnswerTimes,
     ReplicaSlots,
+    ResponseTimes,
     Waiter,
     count_ahead,
     decide_admission,
@@ -44,7 +44,7 @@
     )
     given: int = 0
     last_assigned_s: float = -math.inf
-    measured: AnswerTimes = field(default_factory=AnswerTimes)
+    measured: ResponseTimes = field(default_factory=ResponseTimes)
     places: int = 0
 
 
--- a/tests/plain_service_model.py
+++ b/tests/plain_service_model.py
@@ -14,8 +14,8 @@
 from heronladder_router.decisions.slot_admission import (
     AdmissionVerdict,
     AdmissionView,
-    AnswerTimes,
     ReplicaSlots,
+    ResponseTimes,
     Waiter,
     count_ahead,
     decide_admission,
@@ -104,7 +104,7 @@
         self._last_assigned_s = [0.0] * count
         self._retries = [0] * count
         self._requests = [0] * count
-        self._measured = [AnswerTimes().after(load.work_s * _MS) for _ in range(count)]
+        self._measured = [ResponseTimes().after(load.work_s * _MS) for _ in range(count)]
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
         self.now_s = 0.0
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -10,8 +10,8 @@
     AdmissionReason,
     AdmissionVerdict,
     AdmissionView,
-    AnswerTimes,
     ReplicaSlots,
+    ResponseTimes,
     Waiter,
     decide_admission,
     next_waiter,
@@ -26,8 +26,8 @@
 from platform_stand_ins import Received, StandInReplica, answer, configuration, route, start_fleet
 
 _SEEDS = (1, 2, 3)
-_ANSWER = AnswerTimes(90.0, 90.0)
-_SLOW = AnswerTimes(90.0, 400.0)
+_ANSWER = ResponseTimes(90.0, 90.0)
+_SLOW = ResponseTimes(90.0, 400.0)
 
 
 def _burst(factor: float, usual: float = 60.0) -> "Load":
@@ -101,7 +101,7 @@
 def _view(
     *places: ReplicaSlots,
     heard: bool = True,
-    measured: AnswerTimes = _SLOW,
+    measured: ResponseTimes = _SLOW,
     ahead: int = 0,
     remaining_ms: float = 415.0,
     budget_ms: float | None = None,
@@ -167,7 +167,7 @@
         full = ReplicaSlots(6, 30)
         for view in (
             _view(full, heard=False),
-            _view(full, measured=AnswerTimes()),
+            _view(full, measured=ResponseTimes()),
             _view(full, ReplicaSlots(0, 30)),
             _view(),
         ):
@@ -200,14 +200,15 @@
             _view(ReplicaSlots(6, 29), ReplicaSlots(6, 29), measured=_ANSWER)
         )
         self.assertEqual(
-            (decided.verdict, decided.reason), (AdmissionVerdict.SEND, AdmissionReason.ANSWERS_FAST)
+            (decided.verdict, decided.reason),
+            (AdmissionVerdict.SEND, AdmissionReason.RESPONSES_FAST),
         )
 
     def test_a_full_link_of_the_gateway_does_not_look_like_a_full_service(self) -> None:
         """Turned away at the one gateway whose link was full (grown locks, seed 906234049784)."""
         full = ReplicaSlots(6, 12)
         view = AdmissionView(
-            [full] * 5, True, 26, AnswerTimes(195.0, 698.0), 0, 415.0, 415.0, 336.0
+            [full] * 5, True, 26, ResponseTimes(195.0, 698.0), 0, 415.0, 415.0, 336.0
         )
         self.assertEqual(decide_admission(view).reason, AdmissionReason.LINK_SLOW)
         self.assertEqual(decide_admission(view).verdict, AdmissionVerdict.SEND)
