--- a/packages/heronladder-router/src/heronladder_router/decisions/slot_admission.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/slot_admission.py
@@ -35,8 +35,8 @@
 # Requests whose responses are lost count as in flight until they time out. While recent responses
 # take less than this fraction of the remaining time, a high load is attributed to such requests.
 _FAST_RESPONSE_RATIO = 0.35
-# If the round trip over the gateway's own link exceeds this fraction of the remaining time, load and
-# response times reflect the link and not the service.
+# If the round trip over the gateway's own link exceeds this fraction of the remaining time, load
+# and response times reflect the link and not the service.
 _SLOW_LINK_RATIO = 0.25
 _MS_PER_S = 1000.0
 _MIN_SERVICE_TIME_MS = 5.0
--- a/packages/heronladder-router/src/heronladder_router/decisions/speed.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/speed.py
@@ -118,7 +118,9 @@
         scale = first * second - both * both  # positive, because the prior weights are
         token_ms = (first_ms * second - second_ms * both) / scale
         running_ms = (second_ms * first - first_ms * both) / scale
-        return Speed(_bounded(token_ms, _DEFAULT_TOKEN_MS), _bounded(running_ms, _DEFAULT_RUNNING_MS))
+        return Speed(
+            _bounded(token_ms, _DEFAULT_TOKEN_MS), _bounded(running_ms, _DEFAULT_RUNNING_MS)
+        )
 
 
 @dataclass(frozen=True)
--- a/packages/heronladder-router/src/heronladder_router/rollouts/__init__.py
+++ b/packages/heronladder-router/src/heronladder_router/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway's part in roll-outs: what may be sent to, and what it saw."""
+"""A gateway's part in rollouts: which versions it may send to, and what it observes of them."""
--- a/packages/heronladder-router/src/heronladder_router/rollouts/version_gates.py
+++ b/packages/heronladder-router/src/heronladder_router/rollouts/version_gates.py
@@ -1,4 +1,7 @@
-"""Which versions a gateway may send to, for all services; nothing where none has a record."""
+"""Decides which versions a gateway may send to, for all services that have a rollout record.
+
+Services without a record are not restricted.
+"""
 
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass
@@ -14,26 +17,27 @@
 ReplicaFilter = Callable[[FleetReplica], bool]
 
 
-def _any(_replica: FleetReplica) -> bool:
+def _allow_any(_replica: FleetReplica) -> bool:
     return True
 
 
-ANY_VERSION: tuple[ReplicaFilter, ...] = (_any,)
+ANY_VERSION: tuple[ReplicaFilter, ...] = (_allow_any,)
 
 
 @dataclass
 class AttemptObservation:
-    """One send to a replica of a service that has a record, until its answer has ended.
+    """One attempt at a replica of a service with a rollout record, until its response has ended.
 
     Attributes:
-        gate: The service.
+        gate: Gate of the service.
         version: Version of the replica.
         route: Route of the request.
-        objective_s: Time in which its first byte would be in time, in seconds.
-        sent_s: When it was sent.
-        first_s: When its first byte came; None before.
-        events: Events that came.
-        spoiled: Whether the caller's side broke it, which says nothing of the version.
+        objective_s: Latency objective for the first byte, in seconds.
+        sent_s: Time at which the request was sent.
+        first_s: Time of the first byte; None before it.
+        events: Number of events received.
+        discarded: Whether the attempt is not evidence about the version, for example because the
+            client's connection failed.
     """
 
     gate: ServiceGate
@@ -46,24 +50,24 @@
     discarded: bool = False
 
     def record_bytes(self, now_s: float, events: int = 0) -> None:
-        """Note bytes of the answer.
+        """Record that bytes of the response were received.
 
         Args:
-            now_s: Time.
-            events: Whole events that came with them.
+            now_s: Current time in seconds.
+            events: Number of complete events among them.
         """
         if self.first_s is None:
             self.first_s = now_s
         self.events += events
 
     def ended(self, now_s: float, *, failed: bool) -> None:
-        """Count the answer."""
+        """Add the ended response to the evidence."""
         gap_s = None
         if self.first_s is not None and self.events > 1:
             gap_s = (now_s - self.first_s) / (self.events - 1)
-        self._count(now_s, gap_s, failed=failed)
+        self._record(now_s, gap_s, failed=failed)
 
-    def _count(self, now_s: float, gap_s: float | None, *, failed: bool) -> None:
+    def _record(self, now_s: float, gap_s: float | None, *, failed: bool) -> None:
         if self.discarded:
             return
         self.gate.record_answer(
@@ -77,29 +81,33 @@
         )
 
     def not_run(self) -> None:
-        """Note that the replica did not run it: a refused connection, or a rejection."""
+        """Record that the replica did not run the request: a refused connection or a rejection."""
         self.gate.uncount_send(self.version, self.route)
 
     def given_up(self, now_s: float) -> None:
-        """Count an answer that nobody waits for any more; it says something if it was late.
+        """Add an abandoned response to the evidence if it was late or had events.
 
-        Of a stream that had begun, the event that did not come counts for its gap: a version too
-        slow to end any stream in time showed none.
+        For a stream that had begun, the missing event counts for the gap between events. Otherwise
+        a version that is too slow to end any stream in time would show no gaps.
         """
         if self.first_s is not None and self.events:
-            self._count(now_s, (now_s - self.first_s) / self.events, failed=False)
+            self._record(now_s, (now_s - self.first_s) / self.events, failed=False)
         elif self.first_s is None and now_s - self.sent_s > self.objective_s:
             self.first_s = now_s
             self.ended(now_s, failed=False)
 
 
 class VersionGates:
-    """The services of a gateway that have a record of versions.
+    """Gates of all services with a rollout record.
 
     Args:
-        configuration: The gateway's configuration.
-        environment: Time.
-        log: Where changes are reported.
+        configuration: Configuration of the gateway.
+        environment: Source of the current time.
+        log: Log to which changes are written.
+
+    Attributes:
+        last_control_contact_s: Returns the time at which control was last heard.
+        count: Called with the version for each send to a trial version.
     """
 
     def __init__(
@@ -116,13 +124,13 @@
         self.last_control_contact_s: Callable[[], float] = lambda: float("-inf")
         self.count: Callable[[str], None] = lambda version: None
 
-    # ---- the records ------------------------------------------------------
+    # ---- rollout records --------------------------------------------------
 
     def rebuild(self, replicas: Callable[[str], list[FleetReplica]]) -> None:
-        """Take in the configuration.
+        """Update the gates from the configuration.
 
         Args:
-            replicas: Gives the replicas of a service that are not leaving.
+            replicas: Returns the replicas of a service that are not leaving.
         """
         records = self._configuration.rollouts()
         for service in self._gates.keys() - records.keys():
@@ -133,10 +141,10 @@
                 gate = ServiceGate(record, self._environment.monotonic(), self._unread_routes())
                 self._gates[service] = gate
                 self._stops_reported.discard(service)
-                self._report(service, record)
+                self._log_record(service, record)
             elif gate.record != record:
                 gate.update_record(record)
-                self._report(service, record)
+                self._log_record(service, record)
             gate.update_replicas(replicas(service))
 
     def _unread_routes(self) -> frozenset[str]:
@@ -144,7 +152,7 @@
         routes = fleet.routes if fleet is not None else ()
         return frozenset(route.name for route in routes if route.affinity)
 
-    def _report(self, service: str, record: resources_pb2.Rollout) -> None:
+    def _log_record(self, service: str, record: resources_pb2.Rollout) -> None:
         self._log.info(
             "versions_known",
             step="rollout",
@@ -157,24 +165,24 @@
         )
 
     def phase(self, service: str) -> str:
-        """Return the phase of a service's record; empty if it has none."""
+        """Return the phase of a service's rollout record; empty if it has none."""
         gate = self._gates.get(service)
         return resources_pb2.RolloutPhase.Name(gate.record.phase) if gate is not None else ""
 
-    # ---- choice -----------------------------------------------------------
+    # ---- selection of replicas --------------------------------------------
 
     def candidate_filters(
         self, service: str, route: str, tried: Collection[str], replicas: list[FleetReplica]
     ) -> tuple[ReplicaFilter, ...]:
-        """Return what may be sent to, in order of preference.
+        """Return filters of the replicas that may be sent to, in order of preference.
 
-        Only the first send of a request is a trial: what fails there goes on at a version that
-        is admitted.
+        Only the first attempt of a request can be a trial. If it fails, the retry goes to a version
+        that is admitted.
 
         Args:
-            service: The service.
+            service: Name of the service.
             route: Route of the request.
-            tried: Replicas that it was sent to before.
+            tried: Replicas to which the request was already sent.
             replicas: Replicas of the service that are not leaving.
         """
         gate = self._gates.get(service)
@@ -188,21 +196,22 @@
         return (self.admitted_filter(service, replicas),)
 
     def admitted_filter(self, service: str, replicas: list[FleetReplica]) -> ReplicaFilter:
-        """Return what may be sent to without a grant.
+        """Return a filter of the replicas that may be sent to without a grant.
 
         Args:
-            service: The service.
+            service: Name of the service.
             replicas: Replicas of the service that are not leaving.
         """
         gate = self._gates.get(service)
         if gate is None:
-            return _any
+            return _allow_any
         if gate.record.newcomer and not any(map(gate.admits, replicas)):
-            # No order runs, and what is admitted is gone: it was replaced, not moved.
-            return _any
+            # No rollout is in progress and no replica of an admitted version is left: the old
+            # version was replaced without a rollout.
+            return _allow_any
         return gate.admits
 
-    # ---- what was done and seen -------------------------------------------
+    # ---- counts and evidence ----------------------------------------------
 
     def sent(
         self,
@@ -212,14 +221,18 @@
         *,
         first: bool,
     ) -> AttemptObservation | None:
-        """Count a send; return what is to be told of its answer, or None.
+        """Count a send to a replica.
 
         Args:
-            replica: Where to.
+            replica: The replica.
             route: Route of the request.
-            objective_s: Time in which its first byte would be in time, in seconds.
-            first: Whether it is the request's first: what was refused unsent never reached the
-                service, and must not raise what its new version may get.
+            objective_s: Latency objective for the first byte, in seconds.
+            first: Whether this is the first send of the request. The number of requests is counted
+                here and not on arrival: a request that is rejected before it is sent never
+                reaches the service and must not raise the number of sends to its new version.
+
+        Returns:
+            Observation of the attempt; None if the service has no rollout record.
         """
         gate = self._gates.get(replica.record.service)
         if gate is None:
@@ -231,10 +244,10 @@
             self.count(replica.record.software)
         return AttemptObservation(gate, replica.record.software, route.name, objective_s, now_s)
 
-    # ---- words to and from control ----------------------------------------
+    # ---- messages from and to control -------------------------------------
 
     def apply_grants(self, grants: Iterable[control_pb2.RolloutGrant]) -> None:
-        """Take what may be sent to versions on trial."""
+        """Apply grants of control for sends to versions on trial."""
         for grant in grants:
             gate = self._gates.get(grant.service)
             if gate is not None and gate.ordered_revision == grant.ordered_revision:
@@ -243,11 +256,11 @@
     def fill_heartbeat(
         self, heartbeat: control_pb2.Heartbeat, replicas: Iterable[FleetReplica]
     ) -> None:
-        """Tell what was done and seen.
+        """Add the reports of all services to a heartbeat.
 
         Args:
-            heartbeat: What control is told.
-            replicas: All replicas, also those that leave.
+            heartbeat: The heartbeat to control.
+            replicas: All replicas, including those that are leaving.
         """
         if not self._gates:
             return
