--- a/tests/plain_service_model.py
+++ b/tests/plain_service_model.py
@@ -1,7 +1,8 @@
-"""A plain service of few places behind many gateways, in virtual time; decisions are the real ones.
+"""Model in virtual time of a plain service with few slots behind many gateways.
 
-Gateways hear the sums of what the others have under way each 0.3 s. A replica runs ``slots``
-requests at once, queues a few, and turns the rest away unrun. A refused caller comes back once.
+The decisions are those of production code. The gateways receive the load totals of the others every
+0.3 s. A replica runs ``slots`` requests concurrently, queues a few and rejects the others without
+running them. A rejected client retries once.
 """
 
 import heapq
@@ -23,19 +24,33 @@
     slot_interval_ms,
 )
 
-TOTALS_INTERVAL_S = 0.3  # between two hearings of the others' load
-ONE_WAY_S = 0.001  # one way between gateway and replica
-_BUSY_S = 0.15
-_SENDS = 4
-_MS = 1000.0  # in a second
-_RETRY_BUDGET_FRACTION = 0.75  # of the repeats allowed, as the gateways' allowance keeps it
+TOTALS_INTERVAL_S = 0.3  # interval at which a gateway receives the load of the others
+ONE_WAY_S = 0.001  # latency between gateway and replica, one way
+_BUSY_PERIOD_S = 0.15
+_MAX_SENDS = 4
+_MS_PER_S = 1000.0
+_RETRY_BUDGET_FRACTION = 0.75  # fraction of the allowed retries that gateways use
 
 
 @dataclass
 class Load:
-    """What comes, and what it meets."""
-
-    rate: Callable[[float], float]  # requests a second at a time
+    """Requests that arrive, and the service that they arrive at.
+
+    Attributes:
+        rate: Returns the requests per second at a time.
+        slots: Slots of each replica.
+        until_s: Time at which the last request arrives.
+        gateways: Number of gateways.
+        work_s: Mean time that a replica needs for a request.
+        queue: Requests that a replica queues.
+        objective_s: Latency objective.
+        deadline_s: Time after which a response is useless.
+        priorities: Priorities of the requests, chosen at random.
+        retry_ratio: Retries allowed per request.
+        retry_slack: Retries allowed in addition, over all gateways.
+    """
+
+    rate: Callable[[float], float]
     slots: list[int]
     until_s: float = 10.0
     gateways: int = 30
@@ -50,21 +65,33 @@
 
 @dataclass
 class Outcome:
-    """What became of all callers' requests; each is counted once."""
+    """Outcome of all requests of clients; each request is counted once.
+
+    Attributes:
+        in_time: Requests that were answered within the latency objective.
+        late: Requests that were answered later, but within the deadline.
+        failed: Requests that were not answered within the deadline.
+        rejections: Rejections by gateways.
+        sends: Sends to replicas.
+        rejected_by_replica: Sends that a full replica did not run.
+        retry_times_s: Retry times that were assigned to clients.
+        longest_wait_s: Longest time for which a request was queued at a gateway.
+        by_priority: Number in time and total number of requests, by priority.
+    """
 
     in_time: int = 0
     late: int = 0
     failed: int = 0
-    refusals: int = 0
+    rejections: int = 0
     sends: int = 0
-    rejected_by_replica: int = 0  # sends that a full replica did not run
+    rejected_by_replica: int = 0
     retry_times_s: list[float] = field(default_factory=list)
     longest_wait_s: float = 0.0
     by_priority: dict[int, list[int]] = field(default_factory=dict)
 
     @property
     def in_time_share(self) -> float:
-        """Share answered within the objective from the first attempt."""
+        """Fraction that was answered within the objective, counted from the first arrival."""
         return self.in_time / max(1, self.in_time + self.late + self.failed)
 
 
@@ -89,7 +116,13 @@
 
 
 class PlainService:
-    """Plays a load; ``waits``: by the decision on waiting, else sent at once."""
+    """Simulates a load.
+
+    Args:
+        load: The load and the service.
+        seed: Seed of the random numbers.
+        waits: Whether the admission decision applies; otherwise requests are sent at once.
+    """
 
     def __init__(self, load: Load, seed: int, *, waits: bool) -> None:
         self._load, self._applies_decision = load, waits
@@ -104,14 +137,14 @@
         self._last_assigned_s = [0.0] * count
         self._retries = [0] * count
         self._requests = [0] * count
-        self._measured = [ResponseTimes().after(load.work_s * _MS) for _ in range(count)]
+        self._measured = [ResponseTimes().after(load.work_s * _MS_PER_S) for _ in range(count)]
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
         self.now_s = 0.0
         self.outcome = Outcome()
 
     def run(self) -> Outcome:
-        """Play until nothing is left to happen."""
+        """Run the simulation until no events are left."""
         self._at(self._random.expovariate(self._load.rate(0.0)), self._arrive)
         for gateway in range(self._load.gateways):
             first_s = self._random.random() * TOTALS_INTERVAL_S
@@ -121,8 +154,8 @@
             event()
         return self.outcome
 
-    def _at(self, moment_s: float, event: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (moment_s, next(self._numbers), event))
+    def _at(self, at_s: float, event: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at_s, next(self._numbers), event))
 
     def _update_totals(self, gateway: int) -> None:
         for number in range(len(self._replicas)):
@@ -132,7 +165,7 @@
         if self.now_s < self._load.until_s + self._load.deadline_s:
             self._at(self.now_s + TOTALS_INTERVAL_S, lambda: self._update_totals(gateway))
 
-    # ---- callers ----------------------------------------------------------
+    # ---- clients ----------------------------------------------------------
 
     def _arrive(self) -> None:
         request = _Request(
@@ -153,7 +186,7 @@
         request.tried.clear()
         request.sends = 0
         self._requests[request.gateway] += 1
-        self._consider(request)
+        self._admit(request)
 
     def _count_outcome(self, request: _Request, answered: bool) -> None:
         took_s = self.now_s - request.first_s
@@ -169,8 +202,8 @@
         counts[0] += in_time
         counts[1] += 1
 
-    def _refuse(self, request: _Request, after_s: float) -> None:
-        self.outcome.refusals += 1
+    def _reject(self, request: _Request, after_s: float) -> None:
+        self.outcome.rejections += 1
         self.outcome.retry_times_s.append(self.now_s + after_s)
         if request.attempts > 1:
             self._count_outcome(request, answered=False)
@@ -180,7 +213,7 @@
     # ---- at a gateway -----------------------------------------------------
 
     def _view(self, gateway: int, ahead: int, waiter: Waiter) -> AdmissionView:
-        places = [
+        replicas = [
             ReplicaSlots(
                 replica.slots,
                 self._own[gateway][number] + self._others[gateway][number],
@@ -191,9 +224,9 @@
         measured = self._measured[gateway]
         remaining_ms, budget_ms = waiter.remaining_and_budget_ms(self.now_s)
         gateways = self._load.gateways
-        return AdmissionView(places, True, gateways, measured, ahead, remaining_ms, budget_ms)
+        return AdmissionView(replicas, True, gateways, measured, ahead, remaining_ms, budget_ms)
 
-    def _consider(self, request: _Request) -> None:
+    def _admit(self, request: _Request) -> None:
         if not self._applies_decision:
             self._send(request)
             return
@@ -202,29 +235,33 @@
         in_time_until_s = request.arrived_s + budget_s
         waiter = Waiter(request.number, request.priority, in_time_until_s, budget_s)
         ahead = count_ahead(waiter, [other for other, _ in waiting.values()])
-        verdict = decide_admission(self._view(request.gateway, ahead, waiter))
-        if verdict.verdict is AdmissionVerdict.SEND:
+        decision = decide_admission(self._view(request.gateway, ahead, waiter))
+        if decision.verdict is AdmissionVerdict.SEND:
             self._send(request)
-        elif verdict.verdict is AdmissionVerdict.REJECT:
-            self._refuse(request, self._retry_after_s(request.gateway, verdict.expected_ms / _MS))
+        elif decision.verdict is AdmissionVerdict.REJECT:
+            self._reject(
+                request, self._retry_after_s(request.gateway, decision.expected_ms / _MS_PER_S)
+            )
         else:
             waiting[request.number] = (waiter, request)
-            last_s = self.now_s + verdict.last_start_ms / _MS
-            self._at(last_s, lambda: self._last_start(request))
+            last_s = self.now_s + decision.last_start_ms / _MS_PER_S
+            self._at(last_s, lambda: self._send_at_last_start(request))
 
     def _retry_after_s(self, gateway: int, free_in_s: float) -> float:
         answer_ms = self._measured[gateway].service_time_ms
-        turn_s = slot_interval_ms(sum(self._load.slots), answer_ms, self._load.gateways)
-        view = RetryAfterView(self.now_s, free_in_s, turn_s / _MS, self._last_assigned_s[gateway])
-        told = choose_retry_after(view)
-        self._last_assigned_s[gateway] = told.last_assigned_s
-        return told.after_s
+        interval_ms = slot_interval_ms(sum(self._load.slots), answer_ms, self._load.gateways)
+        view = RetryAfterView(
+            self.now_s, free_in_s, interval_ms / _MS_PER_S, self._last_assigned_s[gateway]
+        )
+        assigned = choose_retry_after(view)
+        self._last_assigned_s[gateway] = assigned.last_assigned_s
+        return assigned.after_s
 
-    def _last_start(self, request: _Request) -> None:
+    def _send_at_last_start(self, request: _Request) -> None:
         if self._queue[request.gateway].pop(request.number, None) is not None:
-            self._release(request)
+            self._end_wait(request)
 
-    def _release(self, request: _Request) -> None:
+    def _end_wait(self, request: _Request) -> None:
         waited_s = self.now_s - request.arrived_s
         self.outcome.longest_wait_s = max(self.outcome.longest_wait_s, waited_s)
         self._send(request)
@@ -241,27 +278,27 @@
             ):
                 return
             self._slots_given[gateway] += 1
-            self._release(waiting.pop(chosen.number)[1])
+            self._end_wait(waiting.pop(chosen.number)[1])
 
     def _send(self, request: _Request) -> None:
         gateway = request.gateway
         pool = [number for number in range(len(self._replicas)) if number not in request.tried]
-        sound = [number for number in pool if self._busy_s[gateway][number] <= self.now_s]
+        healthy = [number for number in pool if self._busy_s[gateway][number] <= self.now_s]
         if request.sends:
             allowed = self._load.retry_ratio * self._requests[gateway]
             allowed += self._load.retry_slack / self._load.gateways
             if (
                 not pool
-                or request.sends >= _SENDS
+                or request.sends >= _MAX_SENDS
                 or self._retries[gateway] + 1 > _RETRY_BUDGET_FRACTION * allowed
             ):
-                self._refuse(
+                self._reject(
                     request, self._retry_after_s(gateway, 0.1) if self._applies_decision else 0.3
                 )
                 return
             self._retries[gateway] += 1
         chosen = min(
-            sound or pool,
+            healthy or pool,
             key=lambda number: (
                 self._own[gateway][number] + self._others[gateway][number] + self._random.random()
             ),
@@ -296,12 +333,12 @@
             self._run(replica.waiting.pop(0), number)
         self._own[request.gateway][number] -= 1
         measured = self._measured[request.gateway]
-        self._measured[request.gateway] = measured.after((self.now_s - request.sent_s) * _MS)
+        self._measured[request.gateway] = measured.after((self.now_s - request.sent_s) * _MS_PER_S)
         self._count_outcome(request, answered=True)
         self._send_waiting(request.gateway)
 
     def _retry_rejected(self, request: _Request, number: int) -> None:
         self._own[request.gateway][number] -= 1
-        self._busy_s[request.gateway][number] = self.now_s + _BUSY_S
+        self._busy_s[request.gateway][number] = self.now_s + _BUSY_PERIOD_S
         request.tried.add(number)
         self._send(request)
--- a/tests/test_attempt_timeout.py
+++ b/tests/test_attempt_timeout.py
@@ -1,4 +1,4 @@
-"""How long a stream is waited for before it is sent again, over lost answers and slow services."""
+"""Tests of the timeout for the first event of a stream, with lost responses and slow services."""
 
 import random
 import unittest
@@ -9,18 +9,18 @@
     choose_attempt_timeout,
 )
 
-_OBJECTIVE_S, _DEADLINE_S = 1.219, 3.047  # eligibility notes of the users' sheets
-_BY_OBJECTIVE_S = 3 * _OBJECTIVE_S
+_OBJECTIVE_S, _DEADLINE_S = 1.219, 3.047  # a route whose objective is long beside its deadline
+_OBJECTIVE_TIMEOUT_S = 3 * _OBJECTIVE_S
 
 
-class LostAnswersTest(unittest.TestCase):
-    """A tenth of the answers never come; the rest take 0.1 to 0.4 s."""
+class LostResponsesTest(unittest.TestCase):
+    """A tenth of the responses are lost; the others take 0.1 to 0.4 s."""
 
     def _served(self, *, measured: bool, slower: float = 1.0) -> tuple[float, float]:
-        """Return the share served, and the share broken off while a replica was at work."""
+        """Return the fraction served in time and the fraction aborted while a replica worked."""
         source = random.Random(1)
         times = FirstEventQuantile()
-        served = broken = 0
+        served = aborted = 0
         count = 2_000
         for _ in range(count):
             waited_s = 0.0
@@ -30,7 +30,7 @@
                 timeout_s = (
                     choose_attempt_timeout(_OBJECTIVE_S, times).timeout_s
                     if measured
-                    else _BY_OBJECTIVE_S
+                    else _OBJECTIVE_TIMEOUT_S
                 )
                 if not lost and takes_s <= timeout_s:
                     times = times.after(takes_s)
@@ -38,32 +38,35 @@
                     break
                 times = times.after(timeout_s)
                 waited_s += timeout_s
-                broken += not lost
-        return served / count, broken / count
+                aborted += not lost
+        return served / count, aborted / count
 
-    def test_what_was_lost_is_sent_again_within_the_deadline(self) -> None:
-        """By the objective alone a tenth fails: the patience is longer than the deadline."""
-        by_objective, _ = self._served(measured=False)
-        measured, broken = self._served(measured=True)
-        self.assertLess(by_objective, 0.92)
+    def test_lost_attempts_are_retried_within_the_deadline(self) -> None:
+        """With the objective alone a tenth fails, because the timeout exceeds the deadline."""
+        objective_only, _ = self._served(measured=False)
+        measured, aborted = self._served(measured=True)
+        self.assertLess(objective_only, 0.92)
         self.assertGreater(measured, 0.97)
-        self.assertEqual(broken, 0.0)
+        self.assertEqual(aborted, 0.0)
 
-    def test_little_is_broken_off_where_all_are_slow(self) -> None:
-        _, broken = self._served(measured=True, slower=5.0)
-        self.assertLess(broken, 0.03)
+    def test_few_attempts_are_aborted_when_all_replicas_are_slow(self) -> None:
+        _, aborted = self._served(measured=True, slower=5.0)
+        self.assertLess(aborted, 0.03)
 
-    def test_it_is_never_longer_than_the_share_of_the_objective(self) -> None:
+    def test_the_objective_bounds_the_timeout(self) -> None:
         slow = FirstEventQuantile(9.0, 100)
-        self.assertEqual(choose_attempt_timeout(_OBJECTIVE_S, slow).timeout_s, _BY_OBJECTIVE_S)
+        self.assertEqual(choose_attempt_timeout(_OBJECTIVE_S, slow).timeout_s, _OBJECTIVE_TIMEOUT_S)
         self.assertEqual(
             choose_attempt_timeout(_OBJECTIVE_S, FirstEventQuantile()).basis, TimeoutBasis.OBJECTIVE
         )
         quick = choose_attempt_timeout(0.415, FirstEventQuantile(0.01, 100))
         self.assertEqual((quick.timeout_s, quick.basis), (1.0, TimeoutBasis.MEASURED))
 
-    def test_a_long_prompt_among_short_ones_is_not_given_up(self) -> None:
-        """18 sends were given up at 1 s, of an objective of 835 ms, at slow engines."""
+    def test_a_long_prompt_among_short_ones_does_not_time_out(self) -> None:
+        """Guards against aborting long prompts at 1 s with an objective of 835 ms.
+
+        With a minimum timeout of 1 s alone, that aborted 18 attempts at slow engines.
+        """
         short = FirstEventQuantile(0.12, 100)
         self.assertGreaterEqual(choose_attempt_timeout(0.835, short).timeout_s, 2 * 0.835)
 
--- a/tests/test_region_choice.py
+++ b/tests/test_region_choice.py
@@ -1,4 +1,4 @@
-"""Where requests go when replicas stand in several regions."""
+"""Tests of where requests go if there are replicas in several regions."""
 
 import random
 import unittest
@@ -19,24 +19,24 @@
 
 _REGIONS = {f"{region}-{zone}": region for region in ("n", "s") for zone in "abc"}
 _SERVICE = "s"
-_FAR_MS = 150.0
+_REMOTE_COST_MS = 150.0
 _SHARED = [PromptPart("/a", 6_300), PromptPart("/a/b", 2_890)]
 
 
 class _Fleet:
-    """Replicas in three zones of two regions each, seen from a gateway in one."""
+    """Replicas in two regions of three zones each, as a gateway in one zone sees them."""
 
-    def __init__(self, of_each_zone: int = 4) -> None:
+    def __init__(self, replicas_per_zone: int = 4) -> None:
         self.random = random.Random(1)
         self.replicas = [
             FleetReplica(
                 resources_pb2.Replica(id=f"{zone}-{number}", zone=zone), KeptParts(1_000_000)
             )
             for zone in _REGIONS
-            for number in range(of_each_zone)
+            for number in range(replicas_per_zone)
         ]
 
-    def of_region(self, region: str) -> list[FleetReplica]:
+    def replicas_in(self, region: str) -> list[FleetReplica]:
         return [one for one in self.replicas if _REGIONS[one.record.zone] == region]
 
     def place(
@@ -57,18 +57,22 @@
             cold_capacity_per_s=1.0 if cold else 0.0,
             cold_share=lambda *_: 0,
             shares_load=True,
-            remote_cost_ms=_FAR_MS,
+            remote_cost_ms=_REMOTE_COST_MS,
             may_spill=may_spill,
         )
         return place(view, profile, (), self.random)
 
-    def ways(self, profile: RequestProfile, tries: int = 200) -> Counter[RegionChoice]:
+    def region_choices(self, profile: RequestProfile, tries: int = 200) -> Counter[RegionChoice]:
         return Counter(self.place(profile).way for _ in range(tries))
 
 
-class OwnRegionTest(unittest.TestCase):
-    def test_a_calm_region_keeps_its_requests(self) -> None:
-        """About half of all requests went to the other region, at 24 ms and dear bytes."""
+class LocalRegionTest(unittest.TestCase):
+    def test_a_region_without_load_keeps_its_requests(self) -> None:
+        """Guards against spreading requests over regions regardless of the cost.
+
+        Without regard to regions, about half of all requests went to the remote region, with 24 ms
+        of latency and over a link whose traffic is expensive.
+        """
         fleet = _Fleet()
         for profile in (RequestProfile(_SERVICE), RequestProfile(_SERVICE, _SHARED, 9_190)):
             found = [fleet.place(profile) for _ in range(200)]
@@ -76,7 +80,7 @@
             self.assertEqual(regions, {"n"})
             self.assertEqual({one.way for one in found}, {RegionChoice.LOCAL})
 
-    def test_shared_parts_are_kept_once_in_each_region(self) -> None:
+    def test_shared_parts_are_cached_once_in_each_region(self) -> None:
         fleet = _Fleet()
         profile = RequestProfile(_SERVICE, _SHARED, 9_190)
         keepers = set()
@@ -88,60 +92,63 @@
                 keepers.add(placement.replica.name)
         self.assertEqual(sorted(name[0] for name in keepers), ["n", "s"])
 
-    def test_a_zone_of_no_known_region_is_taken_for_near(self) -> None:
+    def test_a_zone_of_unknown_region_counts_as_local(self) -> None:
         fleet = _Fleet(0)
         fleet.replicas = [FleetReplica(resources_pb2.Replica(id="r", zone="?"), KeptParts(0))]
         self.assertEqual(fleet.place(RequestProfile(_SERVICE)).way, RegionChoice.LOCAL)
 
 
 class SpillTest(unittest.TestCase):
-    def test_a_busy_region_spills_what_would_begin_sooner_elsewhere(self) -> None:
+    def test_a_busy_region_spills_requests_that_begin_sooner_elsewhere(self) -> None:
         fleet = _Fleet()
-        for replica in fleet.of_region("n"):
-            replica.others_in_flight = 7  # 210 ms of a plain service
+        for replica in fleet.replicas_in("n"):
+            replica.others_in_flight = 7  # 210 ms for plain requests
         self.assertEqual(
-            fleet.ways(RequestProfile(_SERVICE)), {RegionChoice.REMOTE_LOCAL_BUSY: 200}
+            fleet.region_choices(RequestProfile(_SERVICE)), {RegionChoice.REMOTE_LOCAL_BUSY: 200}
         )
 
     def test_a_region_as_busy_as_the_other_keeps_its_requests(self) -> None:
         fleet = _Fleet()
         for replica in fleet.replicas:
             replica.others_in_flight = 9
-        self.assertEqual(fleet.ways(RequestProfile(_SERVICE)), {RegionChoice.LOCAL: 200})
+        self.assertEqual(fleet.region_choices(RequestProfile(_SERVICE)), {RegionChoice.LOCAL: 200})
 
-    def test_past_the_bound_a_busy_region_keeps_its_requests(self) -> None:
+    def test_a_busy_region_keeps_requests_beyond_the_spillover_limit(self) -> None:
         fleet = _Fleet()
-        for replica in fleet.of_region("n"):
+        for replica in fleet.replicas_in("n"):
             replica.others_in_flight = 7
         placement = fleet.place(RequestProfile(_SERVICE), may_spill=False)
         assert placement.replica is not None
         self.assertEqual(placement.way, RegionChoice.LOCAL_SPILL_LIMIT)
         self.assertEqual(_REGIONS[placement.replica.record.zone], "n")
 
-    def test_an_evacuated_region_goes_elsewhere_whatever_the_bound(self) -> None:
+    def test_the_spillover_limit_does_not_apply_to_an_evacuated_region(self) -> None:
         zones = tuple(zone for zone, region in _REGIONS.items() if region == "n")
         placement = _Fleet().place(RequestProfile(_SERVICE), evacuated=zones, may_spill=False)
         self.assertEqual(placement.way, RegionChoice.REMOTE_NO_LOCAL)
 
-    def test_a_cold_region_goes_elsewhere(self) -> None:
+    def test_requests_leave_a_cold_region(self) -> None:
         fleet = _Fleet()
-        for replica in fleet.of_region("n"):
+        for replica in fleet.replicas_in("n"):
             replica.cold_until_s = 20.0
         placement = fleet.place(RequestProfile(_SERVICE), cold=True)
         self.assertEqual(placement.way, RegionChoice.REMOTE_NO_LOCAL)
 
-    def test_a_region_that_seems_lost_goes_elsewhere(self) -> None:
+    def test_requests_leave_a_region_of_suspects(self) -> None:
         fleet = _Fleet()
-        for replica in fleet.of_region("n"):
+        for replica in fleet.replicas_in("n"):
             replica.suspect_until_s = 20.0
         self.assertEqual(
             fleet.place(RequestProfile(_SERVICE)).way, RegionChoice.REMOTE_LOCAL_SUSPECT
         )
 
-    def test_past_the_bound_a_region_of_suspects_keeps_its_requests(self) -> None:
-        """All replicas here had no room for a moment: 50 of 50 sends crossed past the bound."""
+    def test_a_region_of_suspects_keeps_requests_beyond_the_spillover_limit(self) -> None:
+        """Guards against exceeding the spillover limit when all local replicas are busy.
+
+        All 50 requests went to the remote region, although the limit was reached.
+        """
         fleet = _Fleet()
-        for replica in fleet.of_region("n"):
+        for replica in fleet.replicas_in("n"):
             replica.suspect_until_s = 10.15
             replica.busy_until_s = 10.15
         found = [fleet.place(RequestProfile(_SERVICE), may_spill=False) for _ in range(50)]
@@ -149,10 +156,13 @@
         self.assertEqual({one.reason for one in found}, {PlacementReason.SUSPECT})
         self.assertTrue(all(one.replica and one.replica.record.zone[0] == "n" for one in found))
 
-    def test_a_region_where_nothing_listens_goes_elsewhere_whatever_the_bound(self) -> None:
-        """Its replicas had crashed; all but five requests a second were refused."""
+    def test_the_spillover_limit_does_not_apply_when_all_local_replicas_refuse(self) -> None:
+        """Guards against rejecting requests after all local replicas have crashed.
+
+        All requests beyond the spillover limit of five per second were rejected.
+        """
         fleet = _Fleet()
-        for replica in fleet.of_region("n"):
+        for replica in fleet.replicas_in("n"):
             replica.suspect_until_s = 20.0
             replica.refuses = True
         found = [fleet.place(RequestProfile(_SERVICE), may_spill=False) for _ in range(50)]
@@ -161,7 +171,7 @@
             replica.refuses = True
         self.assertIsNotNone(fleet.place(RequestProfile(_SERVICE)).replica)
 
-    def test_suspects_of_all_regions_are_compared_as_ever(self) -> None:
+    def test_suspects_are_compared_if_all_regions_have_only_suspects(self) -> None:
         fleet = _Fleet()
         for replica in fleet.replicas:
             replica.suspect_until_s = 20.0
@@ -170,16 +180,16 @@
             (placement.way, placement.reason), (RegionChoice.LOCAL, PlacementReason.SUSPECT)
         )
 
-    def test_homes_come_before_any_cost(self) -> None:
+    def test_allowed_regions_take_precedence_over_cost(self) -> None:
         fleet = _Fleet()
-        for replica in fleet.of_region("n"):
+        for replica in fleet.replicas_in("n"):
             replica.others_in_flight = 50
         profile = RequestProfile(_SERVICE, regions=frozenset({"n"}))
-        self.assertEqual(fleet.ways(profile), {RegionChoice.LOCAL: 200})
+        self.assertEqual(fleet.region_choices(profile), {RegionChoice.LOCAL: 200})
 
 
 class _Clock(Environment):
-    """A clock that the test moves."""
+    """Clock that the test advances."""
 
     now_s = 100.0
 
@@ -187,12 +197,12 @@
         return self.now_s
 
 
-class SpillBoundTest(unittest.TestCase):
-    def test_a_gateway_sends_as_many_elsewhere_in_a_second_as_may_go(self) -> None:
+class SpilloverLimitTest(unittest.TestCase):
+    def test_a_gateway_spills_as_many_requests_per_second_as_allowed(self) -> None:
         clock = _Clock(random=random.Random(1))
         configuration = ConfigurationStore("gateway")
         replicas = FleetReplicas(
-            Surroundings("n-a", _REGIONS, _FAR_MS, 3),
+            Surroundings("n-a", _REGIONS, _REMOTE_COST_MS, 3),
             ColdLimits("gateway", 1.5, 5, lambda: KnownGateways({"gateway"}, 1)),
             configuration,
             clock,
@@ -219,9 +229,10 @@
             replicas.ended(placement.replica)
             return placement.way
 
-        ways = [send() for _ in range(5)]
+        region_choices = [send() for _ in range(5)]
         self.assertEqual(
-            ways, [RegionChoice.REMOTE_LOCAL_BUSY] * 3 + [RegionChoice.LOCAL_SPILL_LIMIT] * 2
+            region_choices,
+            [RegionChoice.REMOTE_LOCAL_BUSY] * 3 + [RegionChoice.LOCAL_SPILL_LIMIT] * 2,
         )
         self.assertEqual(replicas.far_sends, 3)
         clock.now_s += 0.5
--- a/tests/test_rollout_gates.py
+++ b/tests/test_rollout_gates.py
@@ -1,4 +1,4 @@
-"""What a gateway sends to, and counts, of one service with a record: in virtual time."""
+"""Tests, in virtual time, of the gate and the evidence of a service with a rollout record."""
 
 import unittest
 from unittest.mock import Mock
@@ -49,7 +49,7 @@
         gate.choose_trial_replicas(now_s)
         return gate.is_trial_replica(replica)
 
-    def test_its_own_verdict_counts_while_it_hears_nothing(self) -> None:
+    def test_a_gateways_own_verdict_counts_only_while_disconnected(self) -> None:
         gate = self._gate(_MOVING)
         gate.stopped = "bad by chance"
         gate.update_connection(0.3, 9.0)
@@ -59,7 +59,7 @@
         self.assertFalse(gate.admits(self.new))
         self.assertTrue(gate.admits(self.old))
 
-    def test_a_trial_leaves_out_replicas_that_may_be_dead(self) -> None:
+    def test_a_trial_excludes_replicas_that_may_be_dead(self) -> None:
         others = [_replica(f"n{number}", "v2") for number in range(4)]
         gate = self._gate(_TRIAL)
         gate.update_replicas([self.old, *others])
@@ -73,22 +73,26 @@
         self.assertTrue(self._on_trial(gate, second, 6.0))
         for one in others:
             one.unreached = True
-        self.assertTrue(self._on_trial(gate, first, 6.0))  # none is sound: those of before
+        # No replica is healthy, so dead ones are chosen.
+        self.assertTrue(self._on_trial(gate, first, 6.0))
 
-    def test_a_send_that_was_not_run_spends_no_grant(self) -> None:
+    def test_a_send_that_was_not_run_uses_no_grant(self) -> None:
         gate = self._gate(_TRIAL)
         gate.update_connection(0.0, 0.0)
         gate.apply_grant(1, 0.0)
-        seen = AttemptObservation(gate, "v2", "r", 1.0, 0.0)
+        observation = AttemptObservation(gate, "v2", "r", 1.0, 0.0)
         gate.count_send(self.new, "r", 0.0)
         self.assertFalse(gate.is_trial_due("r", 0.1))
-        seen.not_run()
+        observation.not_run()
         self.assertEqual(gate.sent, 0)
         self.assertTrue(gate.is_trial_due("r", 0.1))
         self.assertEqual(gate.evidence.whole(of_target=True).answers, 0)
 
-    def test_cut_off_early_in_the_move_it_goes_back_to_what_is_admitted(self) -> None:
-        """No number runs out in the move: it sent on to a version of which it heard nothing."""
+    def test_a_gateway_disconnected_early_goes_back_to_the_admitted_version(self) -> None:
+        """Guards against sending on to the target while control cannot be heard.
+
+        While all requests go to the target there are no grants that could run out.
+        """
         gate = self._gate(_MOVING)
         gate.update_connection(0.1, 9.0)
         report = gate.report("app", 0, 9.0)
@@ -101,48 +105,51 @@
         assert report is not None
         self.assertFalse(report.clear)
 
-    def test_cut_off_when_old_replicas_may_be_gone_it_stays(self) -> None:
+    def test_a_gateway_disconnected_late_stays_at_the_target(self) -> None:
         gate = self._gate(_MOVING)
         gate.update_connection(1.2, 11.3)
         self.assertTrue(gate.admits(self.new))
         self.assertFalse(gate.admits(self.old))
 
-    def test_a_stream_that_is_cut_after_its_first_byte_counts_its_gap(self) -> None:
-        """A version whose streams were too slow to end showed no gap at all."""
+    def test_an_abandoned_stream_counts_its_gap(self) -> None:
+        """Guards against a version that shows no gaps because its streams are too slow to end."""
         gate = self._gate(_TRIAL)
-        seen = AttemptObservation(gate, "v2", "r", 1.0, 0.0)
-        seen.record_bytes(0.5, 1)
-        seen.record_bytes(1.5, 1)
-        seen.given_up(4.5)
+        observation = AttemptObservation(gate, "v2", "r", 1.0, 0.0)
+        observation.record_bytes(0.5, 1)
+        observation.record_bytes(1.5, 1)
+        observation.given_up(4.5)
         side = gate.evidence.side("r", of_target=True)
         self.assertEqual((side.answers, side.failed), (1, 0))
         self.assertEqual(dict(side.first), {step_of(0.5): 1})
-        self.assertEqual(dict(side.gap), {step_of(2.0): 1})  # two events, and one that did not come
+        self.assertEqual(dict(side.gap), {step_of(2.0): 1})  # two events and a missing one
 
-    def test_one_that_nobody_waited_for_in_time_counts_only_if_late(self) -> None:
+    def test_an_abandoned_response_counts_only_if_late(self) -> None:
         gate = self._gate(_TRIAL)
         AttemptObservation(gate, "v2", "r", 1.0, 0.0).given_up(0.9)
         self.assertEqual(gate.evidence.side("r", of_target=True).answers, 0)
         AttemptObservation(gate, "v2", "r", 1.0, 0.0).given_up(1.1)
         self.assertEqual(gate.evidence.side("r", of_target=True).answers, 1)
 
-    async def test_what_the_callers_side_broke_says_nothing_of_the_version(self) -> None:
+    async def test_a_broken_client_connection_is_no_evidence(self) -> None:
         gate = self._gate(_TRIAL)
-        seen = AttemptObservation(gate, "v2", "r", 1.0, 0.0)
-        seen.record_bytes(0.5, 1)
+        observation = AttemptObservation(gate, "v2", "r", 1.0, 0.0)
+        observation.record_bytes(0.5, 1)
 
         async def broken() -> None:
             raise ConnectionResetError
 
         with self.assertRaises(ConnectionResetError):
-            await _passed(broken(), seen)
-        seen.ended(0.6, failed=True)
+            await _passed(broken(), observation)
+        observation.ended(0.6, failed=True)
         self.assertEqual(gate.evidence.side("r", of_target=True).answers, 0)
 
 
-class FleetTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_request_counts_once_and_when_it_is_sent(self) -> None:
-        """Requests refused unsent raised what a bad version might get."""
+class HeartbeatReportTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_request_counts_once_at_its_first_send(self) -> None:
+        """Guards against counting requests that are rejected before they are sent.
+
+        They would raise the number of sends to a bad version.
+        """
         configuration = Mock(ConfigurationStore)
         configuration.rollouts.return_value = {"app": _record(_TRIAL)}
         configuration.fleet.return_value = None
--- a/tests/test_speed.py
+++ b/tests/test_speed.py
@@ -1,4 +1,7 @@
-"""Measured speed of replicas in the choice of one, in virtual time; the choice is the real one."""
+"""Tests of the measured speed of replicas in the choice of a replica.
+
+They run in virtual time with the production placement.
+"""
 
 import heapq
 import itertools
@@ -22,10 +25,10 @@
 
 _SERVICE = "model"
 _GATEWAYS = 10
-_SUMS_S = 0.3
+_TOTALS_INTERVAL_S = 0.3
 _OBJECTIVE_MS = 800.0
-_PROMPTS = ((6_300, 0.3), (1_800, 0.5), (540, 0.2))  # unread tokens, share of requests
-_RUN_S = 0.4  # after the first event
+_PROMPTS = ((6_300, 0.3), (1_800, 0.5), (540, 0.2))  # unprocessed tokens, fraction of requests
+_RUN_S = 0.4  # time from the first event to the end of a request
 
 
 class _Clock(Environment):
@@ -35,7 +38,7 @@
 
 @dataclass
 class _Replica:
-    """An engine that reads prompts one after the other."""
+    """An engine that processes prompts one after the other."""
 
     token_ms: float
     free_s: float = 0.0
@@ -52,7 +55,7 @@
 
 
 class _Fleet:
-    """Gateways that hear each other's sums, before replicas of different speed."""
+    """Gateways that know each other's load totals, and replicas of different speeds."""
 
     def __init__(self, token_ms: list[float], per_s: float, seed: int, *, measures: bool) -> None:
         self._per_s, self._measures = per_s, measures
@@ -75,29 +78,35 @@
         self.now_s = 100.0
 
     def late_share(self, length_s: float = 12.0) -> float:
-        """Play, and return the share of first events over the objective; the first 2 s are out."""
+        """Run the model and return the fraction of first events later than the objective.
+
+        Requests of the first 2 s are not counted.
+        """
         until_s = self.now_s + length_s
         self._at(self.now_s, lambda: self._arrive(until_s))
         for gateway in self._gateways:
-            self._at(self.now_s + self._random.random() * _SUMS_S, self._hearer(gateway, until_s))
+            self._at(
+                self.now_s + self._random.random() * _TOTALS_INTERVAL_S,
+                self._totals_update(gateway, until_s),
+            )
         while self._events:
             self.now_s, _, event = heapq.heappop(self._events)
             event()
         served = sum(replica.served for replica in self._replicas)
         return sum(replica.late for replica in self._replicas) / served
 
-    def _at(self, moment_s: float, event: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (moment_s, next(self._numbers), event))
+    def _at(self, at_s: float, event: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at_s, next(self._numbers), event))
 
-    def _hearer(self, gateway: _Gateway, until_s: float) -> Callable[[], None]:
-        def hear() -> None:
+    def _totals_update(self, gateway: _Gateway, until_s: float) -> Callable[[], None]:
+        def update_totals() -> None:
             for seen, replica in zip(gateway.replicas, self._replicas, strict=True):
                 seen.others_in_flight = replica.requests - seen.in_flight
                 seen.others_unread_tokens = replica.unread - seen.unread_tokens
             if self.now_s < until_s:
-                self._at(self.now_s + _SUMS_S, hear)
+                self._at(self.now_s + _TOTALS_INTERVAL_S, update_totals)
 
-        return hear
+        return update_totals
 
     def _arrive(self, until_s: float) -> None:
         tokens, _ = self._random.choices(_PROMPTS, [share for _, share in _PROMPTS])[0]
@@ -146,22 +155,22 @@
 
 
 class SlowThirdTest(unittest.TestCase):
-    """A third of the replicas read at a third of the others' speed."""
+    """A third of the replicas process prompts at a third of the others' speed."""
 
     def _late(self, *, measures: bool) -> float:
         speeds = [1 / 50 if number % 3 else 3 / 50 for number in range(12)]
         shares = [_Fleet(speeds, 125.0, seed, measures=measures).late_share() for seed in (1, 2, 3)]
         return sum(shares) / len(shares)
 
-    def test_fewer_first_events_are_late_than_by_constants(self) -> None:
-        """4.3 in 100 by constants, 1.9 by what was measured."""
+    def test_fewer_first_events_are_late_than_with_constants(self) -> None:
+        """With constants 4.3% of the first events are late, with the measured speed 1.9%."""
         constants, measured = self._late(measures=False), self._late(measures=True)
         self.assertGreater(constants, 0.035)
         self.assertLess(measured, 0.6 * constants)
 
 
 class SpeedTest(unittest.TestCase):
-    def _seen(self, token_ms: float, running_ms: float, streams: int) -> ServiceSpeedFit:
+    def _measured_fit(self, token_ms: float, running_ms: float, streams: int) -> ServiceSpeedFit:
         source = random.Random(1)
         measured = ServiceSpeedFit()
         for _ in range(streams):
@@ -170,34 +179,38 @@
             measured = measured.after(FirstEvent(tokens, running, took_ms))
         return measured
 
-    def test_engines_of_other_speeds_are_found_out(self) -> None:
-        """36 and 92 tokens a ms where the constant says 50."""
+    def test_the_fit_finds_the_speed_of_engines(self) -> None:
+        """Engines process 36 and 92 tokens per ms where the default is 50."""
         for per_ms, running_ms in ((36.1, 3.5), (92.1, 3.0)):
-            speed = self._seen(1 / per_ms, running_ms, 60).speed()
+            speed = self._measured_fit(1 / per_ms, running_ms, 60).speed()
             self.assertAlmostEqual(speed.token_ms * per_ms, 1.0, delta=0.15)
 
-    def test_the_constants_hold_until_something_was_measured(self) -> None:
+    def test_the_defaults_hold_until_streams_are_measured(self) -> None:
         self.assertEqual(ServiceSpeedFit().speed(), Speed())
-        once = self._seen(1.0, 0.0, 1).speed()
+        once = self._measured_fit(1.0, 0.0, 1).speed()
         self.assertLess(once.token_ms, 2 * Speed().token_ms)
 
-    def test_what_is_stuck_moves_no_figure_past_its_bound(self) -> None:
+    def test_hung_streams_keep_the_parameters_within_their_bounds(self) -> None:
         measured = ServiceSpeedFit()
         for _ in range(500):
             measured = measured.after(FirstEvent(2_000, 4, 60_000))
         self.assertLessEqual(measured.speed().token_ms, 4 * Speed().token_ms)
         self.assertLessEqual(measured.speed().running_ms, 4 * Speed().running_ms)
 
-    def test_a_slow_replica_is_given_another_chance(self) -> None:
-        pace = ReplicaSlowdown()
+    def test_the_slowdown_of_a_replica_decays(self) -> None:
+        slowdown = ReplicaSlowdown()
         for number in range(5):
-            pace = pace.after(FirstEvent(5_000, 2, 800), Speed(), 100.0 + number / 10)
-        self.assertGreater(pace.factor(100.5), 2.0)
-        self.assertLess(pace.factor(112.0), 1.3)
+            slowdown = slowdown.after(FirstEvent(5_000, 2, 800), Speed(), 100.0 + number / 10)
+        self.assertGreater(slowdown.factor(100.5), 2.0)
+        self.assertLess(slowdown.factor(112.0), 1.3)
         self.assertEqual(ReplicaSlowdown().factor(100.0), 1.0)
 
-    def test_a_full_link_of_the_gateway_tells_nothing_of_engines(self) -> None:
-        """A gateway with a full link passed keepers over: 1.6 times as much was read again."""
+    def test_first_events_over_a_saturated_link_are_ignored(self) -> None:
+        """Guards against attributing the delay of a saturated link to replicas.
+
+        The gateway would avoid replicas with cached prompt parts; the tokens that were processed
+        again rose to 1.6 times as many.
+        """
         cold = ColdLimits("g", 1.5, 5, lambda: KnownGateways({"g"}, 1))
         link_s = 0.5
         where = Surroundings("z", {}, measures_speed=True, link_s=lambda: link_s)
--- a/tests/test_version_gates.py
+++ b/tests/test_version_gates.py
@@ -1,4 +1,7 @@
-"""What a gateway sends to versions of a service: by grants, by what it hears, by what it sees."""
+"""Tests of what a gateway sends to the versions of a service during a rollout.
+
+The gate goes by grants, by the connection to control and by the gateway's own evidence.
+"""
 
 import unittest
 
@@ -47,46 +50,48 @@
                 now_s=10.0 + number,
             )
 
-    def test_a_trial_ends_with_its_grant(self) -> None:
+    def test_a_trial_sends_only_what_was_granted(self) -> None:
         self.assertFalse(self._send())
         self.gate.apply_grant(3, 1.0)
         self.assertEqual([self._send() for _ in range(5)], [True] * 3 + [False] * 2)
-        self.gate.apply_grant(2, 1.0)  # an older grant
+        self.gate.apply_grant(2, 1.0)  # an older grant is ignored
         self.assertFalse(self._send())
 
-    def test_without_a_word_of_control_nothing_goes_to_it(self) -> None:
+    def test_nothing_is_sent_to_the_trial_version_while_control_is_silent(self) -> None:
         self.gate.apply_grant(3, 1.0)
         self.gate.update_connection(1.1, 2.0)
         self.assertFalse(self._send())
         self.gate.update_connection(0.1, 2.0)
         self.assertTrue(self._send())
 
-    def test_few_replicas_get_the_share(self) -> None:
+    def test_few_replicas_receive_the_trial(self) -> None:
         chosen = [replica for replica in self.new if self.gate.is_trial_replica(replica)]
         self.assertEqual(len(chosen), 2)
         self.assertFalse(any(self.gate.is_trial_replica(replica) for replica in self.old))
 
-    def test_a_rare_route_is_seen_before_a_common_one_is_seen_again(self) -> None:
+    def test_a_rare_route_comes_before_a_common_one(self) -> None:
         self.gate.apply_grant(9, 1.0)
         self.assertTrue(self.gate.is_trial_due("rare", 1.0))
         self.assertTrue(self._send())
-        self.assertFalse(self.gate.is_trial_due("r", 1.1))  # the rare one waits for its turn
+        self.assertFalse(
+            self.gate.is_trial_due("r", 1.1)
+        )  # the grant is reserved for the rare route
         self.assertTrue(self.gate.is_trial_due("rare", 1.1))
-        self.assertTrue(self.gate.is_trial_due("r", 1.6))  # it did not come
+        self.assertTrue(self.gate.is_trial_due("r", 1.6))  # no request of the rare route arrived
 
-    def test_it_stops_by_what_it_sees_alone(self) -> None:
+    def test_a_gateway_stops_on_its_own_evidence(self) -> None:
         self.gate.apply_grant(99, 1.0)
         self._answers("v1", 60, failed=False)
         self._answers("v2", 5, failed=True)
         self.assertIn("failures", self.gate.stopped)
         self.assertFalse(self._send())
         self.gate.update_record(self._record(_MOVING))
-        self.gate.update_connection(1.1, 8.5)  # heard, control decides by the sums of all
+        self.gate.update_connection(1.1, 8.5)  # while connected, control decides
         self.assertTrue(self.gate.admits(self.old[0]))
         self.assertFalse(self.gate.admits(self.new[0]))
 
-    def test_one_that_is_clear_goes_back_alone_only_when_cut_off(self) -> None:
-        """It kept sending to a bad version for as long as it was cut off."""
+    def test_a_clear_gateway_goes_back_alone_only_while_disconnected(self) -> None:
+        """Guards against a disconnected gateway that keeps sending to a bad version."""
         self.gate.update_record(self._record(_MOVING))
         report = self.gate.report("app", 0, 2.0)
         assert report is not None
@@ -97,13 +102,13 @@
         self.assertFalse(self.gate.admits(self.new[0]))
         self.assertTrue(self.gate.admits(self.old[0]))
 
-    def test_it_is_clear_only_with_nothing_elsewhere(self) -> None:
+    def test_a_gateway_is_clear_only_with_nothing_in_flight_elsewhere(self) -> None:
         self.gate.update_record(self._record(_MOVING))
         report = self.gate.report("app", 1, 2.0)
         assert report is not None
         self.assertFalse(report.clear)
 
-    def test_phases_admit_what_they_say(self) -> None:
+    def test_each_phase_admits_its_versions(self) -> None:
         expected = {
             resources_pb2.ROLLOUT_PHASE_WAITING: ("v1",),
             _TRIAL: ("v1",),
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for a place at a plain service, turning away, and when to come back."""
+"""Tests of the admission of requests to a plain service, and of retry times after rejections."""
 
 import asyncio
 import unittest
@@ -31,7 +31,10 @@
 
 
 def _burst(factor: float, usual: float = 60.0) -> "Load":
-    """Five seconds of more, two of three replicas left, queues longer than can be in time."""
+    """Return a load with a burst of 5 s at a service with two of three replicas left.
+
+    The replicas queue more requests than they can answer in time.
+    """
     return Load(lambda now_s: factor * usual if 3.0 <= now_s < 8.0 else usual, [6, 6], queue=60)
 
 
@@ -53,24 +56,27 @@
 
 
 class BurstTest(unittest.TestCase):
-    """2.5 times the usual for 5 s at a service that lost a replica."""
+    """A burst of 5 s with 2.5 times the usual load, at a service that lost a replica."""
 
-    def test_more_are_in_time_than_if_all_are_sent_at_once(self) -> None:
-        """Sent at once, half are late: 0.51 in time; with the decision 0.82."""
+    def test_more_responses_are_in_time_than_without_admission(self) -> None:
+        """Without admission half of the responses are late: 0.51 are in time, with it 0.82."""
         at_once = _run_seeds(_burst(2.5), waits=False)
         decided = _run_seeds(_burst(2.5), waits=True)
         self.assertLess(at_once.in_time_share, 0.60)
         self.assertGreater(decided.in_time_share, 0.75)
 
-    def test_more_are_in_time_where_no_replica_is_lost(self) -> None:
-        """0.78 and 0.73; judged by the time that is left, 0.73 and 0.69; at once, 0.51 and 0.45."""
+    def test_more_responses_are_in_time_when_no_replica_is_lost(self) -> None:
+        """With admission by the time budget, 0.78 and 0.73 of the responses are in time.
+
+        By the remaining time it would be 0.73 and 0.69, and without admission 0.51 and 0.45.
+        """
         for usual, factor, least in ((60.0, 4.0, 0.75), (100.0, 2.5, 0.70)):
             load = _burst(factor, usual)
             load.slots, load.queue = [6, 6, 6], 24
             self.assertGreater(_run_seeds(load, waits=True).in_time_share, least)
 
-    def test_replicas_that_shed_are_not_asked_in_vain(self) -> None:
-        """A queue of two: 0.60 sends a request were turned away unrun, with the decision less."""
+    def test_fewer_sends_are_rejected_by_replicas_with_short_queues(self) -> None:
+        """With queues of two and no admission, replicas reject 0.60 sends per request."""
         load = _burst(2.5)
         load.queue = 2
         at_once = _run_seeds(load, waits=False)
@@ -78,14 +84,14 @@
         self.assertLess(decided.rejected_by_replica, at_once.rejected_by_replica)
         self.assertGreater(decided.in_time_share, at_once.in_time_share)
 
-    def test_in_calm_nothing_waits_and_nothing_is_turned_away(self) -> None:
+    def test_nothing_waits_and_nothing_is_rejected_without_overload(self) -> None:
         load = Load(lambda now_s: 60.0, [6, 6, 6], queue=60)
         decided = _run_seeds(load, waits=True)
         self.assertEqual(decided.longest_wait_s, 0.0)
         self.assertEqual(decided.failed, 0)
         self.assertEqual(decided.sends, decided.in_time + decided.late)
 
-    def test_no_rank_is_starved(self) -> None:
+    def test_no_priority_starves(self) -> None:
         load = _burst(2.5)
         load.priorities = (0, 1, 2)
         decided = _run_seeds(load, waits=True)
@@ -93,7 +99,7 @@
         self.assertGreater(min(shares), 0.5)
 
     def test_no_wait_lasts_three_quarters_of_the_objective(self) -> None:
-        """Held so long and not offered, a request costs all it is worth."""
+        """A request that is held longer and not sent loses all its value."""
         for factor in (2.5, 4.0):
             self.assertLess(_run_seeds(_burst(factor), waits=True).longest_wait_s, 0.75 * 0.415)
 
@@ -119,10 +125,13 @@
 
 
 class QueueTest(unittest.IsolatedAsyncioTestCase):
-    """The queue of a gateway, by the rule of the model."""
+    """The queue of a gateway, with the admission decision that the model uses."""
+
+    async def test_a_freed_slot_goes_to_the_waiting_request(self) -> None:
+        """Guards against keeping a request queued while a later one is sent.
 
-    async def test_a_place_that_comes_free_goes_to_the_one_that_waits(self) -> None:
-        """It stayed with 250 of 415 ms left, and one that came afterwards was sent."""
+        That happened to a request with 250 of 415 ms remaining.
+        """
         clock, taken = _Clock(), [18]
         queue = PlaceQueue(
             lambda profile: ([ReplicaSlots(6, taken[0])], True),
@@ -163,7 +172,7 @@
 
 
 class WaitingTest(unittest.TestCase):
-    def test_nothing_waits_where_places_are_not_known(self) -> None:
+    def test_nothing_waits_while_slots_are_unknown(self) -> None:
         full = ReplicaSlots(6, 30)
         for view in (
             _view(full, heard=False),
@@ -174,14 +183,14 @@
             self.assertEqual(decide_admission(view).reason, AdmissionReason.SLOTS_UNKNOWN)
             self.assertEqual(decide_admission(view).verdict, AdmissionVerdict.SEND)
 
-    def test_nothing_is_turned_away_while_places_are_free(self) -> None:
-        """Such a refusal costs half of what the request is worth."""
+    def test_nothing_is_rejected_while_slots_are_free(self) -> None:
+        """Such a rejection loses half of the value of the request."""
         for taken in range(6):
             for remaining_ms in (0.0, 50.0, 415.0):
                 view = _view(ReplicaSlots(6, taken), ReplicaSlots(6, 40), remaining_ms=remaining_ms)
                 self.assertEqual(decide_admission(view).verdict, AdmissionVerdict.SEND)
 
-    def test_a_full_service_is_waited_for_if_it_is_in_time(self) -> None:
+    def test_a_request_waits_for_a_full_service_if_it_can_be_in_time(self) -> None:
         full = ReplicaSlots(6, 18)
         decided = decide_admission(_view(full, full, full))
         self.assertEqual(
@@ -194,8 +203,11 @@
         )
         self.assertGreater(behind.expected_ms, decided.expected_ms)
 
-    def test_requests_whose_answers_are_lost_do_not_look_like_load(self) -> None:
-        """12 to 29 seemed under way at replicas whose answers took 0.13 s (gprb trouble-2)."""
+    def test_requests_with_lost_responses_do_not_count_as_load(self) -> None:
+        """Guards against mistaking requests with lost responses for load.
+
+        The load totals showed 12 to 29 requests in flight at replicas that answered within 0.13 s.
+        """
         decided = decide_admission(
             _view(ReplicaSlots(6, 29), ReplicaSlots(6, 29), measured=_ANSWER)
         )
@@ -204,8 +216,11 @@
             (AdmissionVerdict.SEND, AdmissionReason.RESPONSES_FAST),
         )
 
-    def test_a_full_link_of_the_gateway_does_not_look_like_a_full_service(self) -> None:
-        """Turned away at the one gateway whose link was full (grown locks, seed 906234049784)."""
+    def test_a_slow_link_of_the_gateway_does_not_count_as_a_full_service(self) -> None:
+        """Guards against rejecting requests at a gateway whose own link is saturated.
+
+        That happened at the only such gateway of a fleet under test (seed 906234049784).
+        """
         full = ReplicaSlots(6, 12)
         view = AdmissionView(
             [full] * 5, True, 26, ResponseTimes(195.0, 698.0), 0, 415.0, 415.0, 336.0
@@ -213,8 +228,11 @@
         self.assertEqual(decide_admission(view).reason, AdmissionReason.LINK_SLOW)
         self.assertEqual(decide_admission(view).verdict, AdmissionVerdict.SEND)
 
-    def test_one_that_waits_is_not_passed_by_one_that_arrives(self) -> None:
-        """With 200 of 415 ms left it found no room where one that arrived found some."""
+    def test_a_waiting_request_is_not_overtaken_by_a_new_one(self) -> None:
+        """Guards against finding no room for a waiting request where a new one finds some.
+
+        That happened to a request with 200 of 415 ms remaining.
+        """
         for taken in range(6, 20):
             places = (ReplicaSlots(6, taken), ReplicaSlots(6, taken))
             waits = decide_admission(_view(*places, remaining_ms=200.0, budget_ms=415.0))
@@ -223,11 +241,11 @@
             if arrives.verdict is AdmissionVerdict.SEND:
                 self.assertEqual(waits.verdict, AdmissionVerdict.SEND)
 
-    def test_one_that_came_back_is_not_put_behind(self) -> None:
+    def test_a_returning_request_is_served_before_a_new_one(self) -> None:
         new, back = Waiter(1, 1, 10.4, 0.4), Waiter(2, 1, 10.1, 0.4)
         self.assertEqual(next_waiter([new, back], 0), back)
 
-    def test_each_fourth_place_goes_to_the_one_that_waited_longest(self) -> None:
+    def test_every_fourth_slot_goes_to_the_oldest_request(self) -> None:
         first = Waiter(1, 9, 99.0, 0.4)
         more = [Waiter(number, 0, 10.0, 0.4) for number in range(2, 9)]
         chosen = [next_waiter([first, *more], given) for given in range(4)]
@@ -235,27 +253,27 @@
 
 
 class RetryAfterTest(unittest.TestCase):
-    """A crowd that is refused at the same moment."""
+    """Clients that are rejected simultaneously."""
 
-    def test_no_two_of_a_crowd_are_told_the_same_moment(self) -> None:
-        """Told 0.3 s each, all of them came back together."""
-        told: list[RetryAfter] = []
-        until_s = 0.0
+    def test_simultaneous_rejections_get_different_retry_times(self) -> None:
+        """Guards against simultaneous retries, which a constant delay of 0.3 s causes."""
+        assigned: list[RetryAfter] = []
+        last_assigned_s = 0.0
         for _ in range(40):
-            told.append(choose_retry_after(RetryAfterView(100.0, 0.2, 0.03, until_s)))
-            until_s = told[-1].last_assigned_s
-        moments = [round(one.after_s, 6) for one in told]
-        self.assertEqual(len(set(moments)), len(moments))
-        self.assertGreaterEqual(min(moments), 0.2)
-        self.assertLessEqual(max(moments), 1.5)
+            assigned.append(choose_retry_after(RetryAfterView(100.0, 0.2, 0.03, last_assigned_s)))
+            last_assigned_s = assigned[-1].last_assigned_s
+        delays_s = [round(one.after_s, 6) for one in assigned]
+        self.assertEqual(len(set(delays_s)), len(delays_s))
+        self.assertGreaterEqual(min(delays_s), 0.2)
+        self.assertLessEqual(max(delays_s), 1.5)
 
-    def test_a_later_crowd_does_not_wait_for_an_earlier_one(self) -> None:
-        told = choose_retry_after(RetryAfterView(200.0, 0.2, 0.03, 101.0))
-        self.assertAlmostEqual(told.after_s, 0.2)
+    def test_a_later_burst_is_not_delayed_by_an_earlier_one(self) -> None:
+        assigned = choose_retry_after(RetryAfterView(200.0, 0.2, 0.03, 101.0))
+        self.assertAlmostEqual(assigned.after_s, 0.2)
 
 
 class SocketsTest(unittest.IsolatedAsyncioTestCase):
-    """The real path: a gateway before one replica of one place that is slow."""
+    """A gateway with real sockets and one slow replica of one slot."""
 
     async def asyncSetUp(self) -> None:
         self.fleet = await start_fleet(configuration(1, route("/once/", kind="unsafe")))
@@ -264,7 +282,7 @@
         await self.fleet.stop()
 
     async def test_what_cannot_be_in_time_is_turned_away_at_once_and_never_runs(self) -> None:
-        """Sent at once, all 40 reached a replica of one place."""
+        """Guards against sending all 40 requests at once to a replica of one slot."""
 
         async def slow(replica: StandInReplica, received: Received) -> bytes:
             await asyncio.sleep(0.15)
@@ -276,7 +294,7 @@
         gateway = self.fleet.gateway.gateway
         assert gateway is not None
         gateway.places._waits = True  # as the setting wait_for_places does
-        # Its newest answers were slow, as in a burst that has begun.
+        # The recent responses were slow, as after the beginning of a burst.
         for _ in range(20):
             gateway.places.answered(replica.heartbeat()["service"], 0.6)
         loop = asyncio.get_running_loop()
