--- a/packages/heronladder-router/src/heronladder_router/decisions/cold_limit.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/cold_limit.py
@@ -22,15 +22,15 @@
 COLD_WINDOW_S = 1.05
 
 
-def cold_bound_per_s(cold_capacity_per_s: float, over: float, slack: float) -> float:
+def cold_bound_per_s(cold_capacity_per_s: float, capacity_factor: float, slack: float) -> float:
     """Return the upper bound on requests to a cold replica in any second.
 
     Args:
         cold_capacity_per_s: Requests per second that the replica can handle while it is cold.
-        over: Factor by which the capacity may be exceeded.
+        capacity_factor: Multiple of that capacity that is allowed.
         slack: Requests per second that are allowed in addition.
     """
-    return cold_capacity_per_s * over + slack
+    return cold_capacity_per_s * capacity_factor + slack
 
 
 def share_per_s(replica: str, gateway: str, known: KnownGateways, bound: float) -> int:
@@ -52,16 +52,21 @@
 
     Args:
         gateway: Name of the gateway.
-        over: Factor by which all gateways together may exceed the cold capacity of a replica.
-        slack: Requests per second that all gateways together may send in addition.
+        capacity_factor: Multiple of the cold capacity of a replica that all gateways together may
+            send.
+        slack: Requests per second that they may send in addition.
         gateways: Returns the current membership view.
     """
 
     def __init__(
-        self, gateway: str, over: float, slack: float, gateways: Callable[[], KnownGateways]
+        self,
+        gateway: str,
+        capacity_factor: float,
+        slack: float,
+        gateways: Callable[[], KnownGateways],
     ) -> None:
         self._gateway = gateway
-        self._over = over
+        self._capacity_factor = capacity_factor
         self._slack = slack
         self._gateways = gateways
         self._known = KnownGateways((), 0)
@@ -76,7 +81,7 @@
         key = (replica, cold_capacity_per_s)
         found = self._shares.get(key)
         if found is None:
-            bound = cold_bound_per_s(cold_capacity_per_s, self._over, self._slack)
+            bound = cold_bound_per_s(cold_capacity_per_s, self._capacity_factor, self._slack)
             found = share_per_s(replica, self._gateway, known, bound)
             self._shares[key] = found
         return found
--- a/packages/heronladder-router/src/heronladder_router/decisions/connection_share.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/connection_share.py
@@ -27,8 +27,8 @@
     if not accepted:
         return None
     gateways = max(1, gateways)
-    part = round(accepted * _ASSIGNED_FRACTION / gateways)
-    return max(1, min(part, accepted // gateways))
+    share = round(accepted * _ASSIGNED_FRACTION / gateways)
+    return max(1, min(share, accepted // gateways))
 
 
 def expected_wait_s(waiting: int, held_s: float, share: int) -> float:
--- a/packages/heronladder-router/src/heronladder_router/decisions/speed.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/speed.py
@@ -94,9 +94,9 @@
     running_ms: float = 0.0
     streams: int = 0
 
-    def after(self, seen: FirstEvent) -> "ServiceSpeedFit":
+    def after(self, sample: FirstEvent) -> "ServiceSpeedFit":
         """Return the fit after one more first event."""
-        tokens, running, ms = seen.tokens, seen.running, _engine_ms(seen, self.speed())
+        tokens, running, ms = sample.tokens, sample.running, _engine_ms(sample, self.speed())
         return ServiceSpeedFit(
             _DECAY_RATIO * self.tokens_tokens + tokens * tokens,
             _DECAY_RATIO * self.tokens_running + tokens * running,
@@ -110,14 +110,15 @@
         """Return the parameters that fit best, weighted with their defaults and bounded."""
         if not self.streams:
             return Speed()
-        first = self.tokens_tokens + _TOKEN_PRIOR_WEIGHT
-        second = self.running_running + _RUNNING_PRIOR_WEIGHT
-        both = self.tokens_running
-        first_ms = self.tokens_ms + _TOKEN_PRIOR_WEIGHT * _DEFAULT_TOKEN_MS
-        second_ms = self.running_ms + _RUNNING_PRIOR_WEIGHT * _DEFAULT_RUNNING_MS
-        scale = first * second - both * both  # positive, because the prior weights are
-        token_ms = (first_ms * second - second_ms * both) / scale
-        running_ms = (second_ms * first - first_ms * both) / scale
+        tokens_sq = self.tokens_tokens + _TOKEN_PRIOR_WEIGHT
+        running_sq = self.running_running + _RUNNING_PRIOR_WEIGHT
+        cross = self.tokens_running
+        tokens_sum = self.tokens_ms + _TOKEN_PRIOR_WEIGHT * _DEFAULT_TOKEN_MS
+        running_sum = self.running_ms + _RUNNING_PRIOR_WEIGHT * _DEFAULT_RUNNING_MS
+        # The determinant is positive, because the weights of the defaults are.
+        determinant = tokens_sq * running_sq - cross * cross
+        token_ms = (tokens_sum * running_sq - running_sum * cross) / determinant
+        running_ms = (running_sum * tokens_sq - tokens_sum * cross) / determinant
         return Speed(
             _bounded(token_ms, _DEFAULT_TOKEN_MS), _bounded(running_ms, _DEFAULT_RUNNING_MS)
         )
@@ -137,12 +138,12 @@
     expected_ms: float = 0.0
     seen_s: float = 0.0
 
-    def after(self, seen: FirstEvent, speed: Speed, now_s: float) -> "ReplicaSlowdown":
+    def after(self, sample: FirstEvent, speed: Speed, now_s: float) -> "ReplicaSlowdown":
         """Return the slowdown after one more first event."""
         keep = _REPLICA_DECAY_RATIO * self._decay(now_s)
         return ReplicaSlowdown(
-            keep * self.took_ms + _engine_ms(seen, speed),
-            keep * self.expected_ms + speed.first_event_ms(seen.tokens, seen.running),
+            keep * self.took_ms + _engine_ms(sample, speed),
+            keep * self.expected_ms + speed.first_event_ms(sample.tokens, sample.running),
             now_s,
         )
 
@@ -160,13 +161,13 @@
         return float(0.5 ** (max(0.0, now_s - self.seen_s) / _HALF_LIFE_S))
 
 
-def _engine_ms(seen: FirstEvent, speed: Speed) -> float:
+def _engine_ms(sample: FirstEvent, speed: Speed) -> float:
     """Return the part of a first event's time that the engine took, in ms, with an upper bound.
 
     The bound makes a stream that hung count no more than one that was slow.
     """
-    most_ms = _BOUND_FACTOR * speed.first_event_ms(seen.tokens, seen.running) + _FIRST_STEP_MS
-    return max(0.0, min(seen.took_ms - _FIRST_STEP_MS, most_ms))
+    most_ms = _BOUND_FACTOR * speed.first_event_ms(sample.tokens, sample.running) + _FIRST_STEP_MS
+    return max(0.0, min(sample.took_ms - _FIRST_STEP_MS, most_ms))
 
 
 def _bounded(value: float, constant: float) -> float:
--- a/packages/heronladder-router/src/heronladder_router/rollouts/service_gate.py
+++ b/packages/heronladder-router/src/heronladder_router/rollouts/service_gate.py
@@ -39,7 +39,7 @@
     Args:
         record: The rollout record.
         now_s: Time at which this gateway received it.
-        unread_routes: Routes whose prompts share parts.
+        shared_prompt_routes: Routes whose prompts share parts.
 
     Attributes:
         record: The rollout record.
@@ -56,7 +56,7 @@
     """
 
     def __init__(
-        self, record: resources_pb2.Rollout, now_s: float, unread_routes: Collection[str]
+        self, record: resources_pb2.Rollout, now_s: float, shared_prompt_routes: Collection[str]
     ) -> None:
         self.record = record
         self.ordered_revision = record.ordered_revision
@@ -68,7 +68,7 @@
         self.clear = False
         self.is_connected = True
         self._old_version_remains = False
-        self._watch = Watch(unread_routes)
+        self._watch = Watch(shared_prompt_routes)
         self._received_s = now_s
         self._checked_s = -math.inf
         self._sent_by_route: Counter[str] = Counter()
@@ -96,7 +96,7 @@
         """
         old = sum(1 for replica in replicas if replica.record.software in self.record.admitted)
         targets = [replica for replica in replicas if replica.record.software == self.trial_version]
-        self._targets = sorted(targets, key=lambda replica: _rendezvous_weight(replica.name))
+        self._targets = sorted(targets, key=lambda replica: _name_hash(replica.name))
         self._trial_replica_count = max(1, round(_TRIAL_REPLICA_RATIO * old))
         self.choose_trial_replicas(math.inf)
 
@@ -285,5 +285,5 @@
 _TRIAL_REPLICA_RATIO = 0.05
 
 
-def _rendezvous_weight(name: str) -> bytes:
+def _name_hash(name: str) -> bytes:
     return hashlib.blake2b(name.encode(), digest_size=8).digest()
--- a/packages/heronladder-router/src/heronladder_router/rollouts/version_gates.py
+++ b/packages/heronladder-router/src/heronladder_router/rollouts/version_gates.py
@@ -138,7 +138,9 @@
         for service, record in records.items():
             gate = self._gates.get(service)
             if gate is None or gate.ordered_revision != record.ordered_revision:
-                gate = ServiceGate(record, self._environment.monotonic(), self._unread_routes())
+                gate = ServiceGate(
+                    record, self._environment.monotonic(), self._shared_prompt_routes()
+                )
                 self._gates[service] = gate
                 self._stops_reported.discard(service)
                 self._log_record(service, record)
@@ -147,7 +149,7 @@
                 self._log_record(service, record)
             gate.update_replicas(replicas(service))
 
-    def _unread_routes(self) -> frozenset[str]:
+    def _shared_prompt_routes(self) -> frozenset[str]:
         fleet = self._configuration.fleet()
         routes = fleet.routes if fleet is not None else ()
         return frozenset(route.name for route in routes if route.affinity)
