--- a/packages/heronladder-router/src/heronladder_router/decisions/cold_limit.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/cold_limit.py
@@ -1,75 +1,87 @@
-"""How much one gateway may send to a cold replica, so that all together stay below its bound.
+"""Limits what each gateway sends to a cold replica, so that all together stay below a bound.
 
-Load pattern: a zone of replicas comes back, or was evacuated, and all its replicas stand idle
-and cold. Each gateway finds them the least loaded of all, and no gateway hears of the others'
-sends within a second.
+When the replicas of a zone return after an outage or an evacuation, all of them are idle and cold.
+Every gateway then estimates that they are the least loaded replicas, and no gateway learns within
+a second what the others send.
 
-Way chosen: the few senders of ``few_senders``, with equal whole shares a second. Two views of who
-the gateways are may name two groups of senders, so each group gets half of the bound.
+Therefore only a few gateways send to a cold replica, with equal integer shares per second. They
+are selected by ``sender_selection``. Two gateways with different membership views can select two
+different groups of senders, so each group gets half of the bound.
 """
 
 from collections.abc import Callable
 
-from heronladder_router.decisions.few_senders import VIEWS, GatewaysKnown, share_of_few
+from heronladder_router.decisions.sender_selection import (
+    MEMBERSHIP_VIEWS,
+    KnownGateways,
+    selected_sender_share,
+)
 
-# Sends are counted over a second and a bit: what one machine sends a second apart may be closer
-# together by another's clock.
-WINDOW_S = 1.05
+# Slightly longer than a second: requests that one machine sends a second apart can be closer
+# together by the clock of another machine.
+COLD_WINDOW_S = 1.05
 
 
-def bound_per_s(bears_per_s: float, over: float, slack: float) -> float:
-    """Return the most requests that a cold replica may get in any second.
+def cold_bound_per_s(cold_capacity_per_s: float, capacity_factor: float, slack: float) -> float:
+    """Return the upper bound on requests to a cold replica in any second.
 
     Args:
-        bears_per_s: Requests a second that it bears.
-        over: How many times that it may get.
-        slack: Requests that it may get besides.
+        cold_capacity_per_s: Requests per second that the replica can handle while it is cold.
+        capacity_factor: Multiple of that capacity that is allowed.
+        slack: Requests per second that are allowed in addition.
     """
-    return bears_per_s * over + slack
+    return cold_capacity_per_s * capacity_factor + slack
 
 
-def share_per_s(replica: str, gateway: str, known: GatewaysKnown, bound: float) -> int:
+def share_per_s(replica: str, gateway: str, known: KnownGateways, bound: float) -> int:
     """Return how many requests a gateway may send to a cold replica in any second.
 
     Args:
         replica: Identity of the replica.
         gateway: Name of the gateway.
-        known: All gateways.
-        bound: Most requests that the replica may get in any second, from all gateways.
+        known: Membership view of the gateway.
+        bound: Upper bound on requests to the replica in any second, over all gateways.
     """
-    return share_of_few(replica, gateway, known, int(bound / VIEWS))
+    return selected_sender_share(replica, gateway, known, int(bound / MEMBERSHIP_VIEWS))
 
 
 class ColdLimits:
-    """The shares of one gateway.
+    """Shares of one gateway in the bounds of cold replicas.
+
+    The shares are cached until the membership view changes.
 
     Args:
-        gateway: Its name.
-        over: What all gateways may send to a cold replica, in multiples of what it bears.
-        slack: Requests a second that they may send to it besides.
-        gateways: Tells what is known of all gateways.
+        gateway: Name of the gateway.
+        capacity_factor: Multiple of the cold capacity of a replica that all gateways together may
+            send.
+        slack: Requests per second that they may send in addition.
+        gateways: Returns the current membership view.
     """
 
     def __init__(
-        self, gateway: str, over: float, slack: float, gateways: Callable[[], GatewaysKnown]
+        self,
+        gateway: str,
+        capacity_factor: float,
+        slack: float,
+        gateways: Callable[[], KnownGateways],
     ) -> None:
         self._gateway = gateway
-        self._over = over
+        self._capacity_factor = capacity_factor
         self._slack = slack
         self._gateways = gateways
-        self._known = GatewaysKnown((), 0)
+        self._known = KnownGateways((), 0)
         self._shares: dict[tuple[str, float], int] = {}
 
-    def share(self, replica: str, bears_per_s: float) -> int:
+    def share(self, replica: str, cold_capacity_per_s: float) -> int:
         """Return how many requests the gateway may send to a cold replica in any second."""
         known = self._gateways()
         if known != self._known:
             self._known = known
             self._shares.clear()
-        key = (replica, bears_per_s)
+        key = (replica, cold_capacity_per_s)
         found = self._shares.get(key)
         if found is None:
-            bound = bound_per_s(bears_per_s, self._over, self._slack)
+            bound = cold_bound_per_s(cold_capacity_per_s, self._capacity_factor, self._slack)
             found = share_per_s(replica, self._gateway, known, bound)
             self._shares[key] = found
         return found
--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -12,25 +12,25 @@
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_router.decisions.availability import Availability
-from heronladder_router.decisions.cold_limit import WINDOW_S, ColdLimits
+from heronladder_router.decisions.cold_limit import COLD_WINDOW_S, ColdLimits
 from heronladder_router.decisions.connection_share import connection_share
 from heronladder_router.decisions.placement import (
     Placement,
+    PlacementReason,
     PlacementView,
-    Reason,
-    is_at_home,
     is_available,
+    is_in_allowed_region,
     is_within_limit,
     place,
 )
-from heronladder_router.decisions.waiting import ReplicaPlaces
+from heronladder_router.decisions.slot_admission import ReplicaSlots
 from heronladder_router.evacuated_zones import EvacuatedZones
 from heronladder_router.far_sends import FarSends
 from heronladder_router.kept_parts import KeptParts
 from heronladder_router.replica_availability import ReplicaAvailability
 from heronladder_router.replica_limits import ReplicaLimits
 from heronladder_router.replica_state import FleetReplica, RequestProfile
-from heronladder_router.rollouts.version_gates import Permits, VersionGates
+from heronladder_router.rollouts.version_gates import ReplicaFilter, VersionGates
 from heronladder_router.service_speeds import ServiceSpeeds
 from heronladder_router.shared_loads import SharedLoads
 from heronladder_router.surroundings import Surroundings
@@ -230,13 +230,15 @@
     def place(self, profile: RequestProfile, tried: Collection[str]) -> Placement:
         """Return the replica that would begin first, or why there is none."""
         usable = self.usable(profile.service)
-        for permits in self.versions.choices(profile.service, profile.route, tried, usable):
+        for permits in self.versions.candidate_filters(
+            profile.service, profile.route, tried, usable
+        ):
             view = self._view(profile.service, permits)
             placement = place(view, profile, tried, self._environment.random)
             if placement.replica is not None:
                 break
-        if placement.reason is Reason.NONE_KNOWN and self._all_leave(profile.service):
-            return Placement(None, Reason.LEAVING)
+        if placement.reason is PlacementReason.NONE_KNOWN and self._all_leave(profile.service):
+            return Placement(None, PlacementReason.LEAVING)
         return placement
 
     def _all_leave(self, service: str) -> bool:
@@ -247,17 +249,17 @@
             if replica.record.service == service and not replica.record.gone
         )
 
-    def _view(self, service: str, permits: Permits) -> PlacementView:
+    def _view(self, service: str, permits: ReplicaFilter) -> PlacementView:
         return PlacementView(
             replicas=self.usable(service),
             now_s=self._environment.monotonic(),
             zone=self._where.zone,
             zone_regions=self._where.zone_regions,
             evacuated=self.evacuated,
-            bears_per_s=self._bears_per_s(service),
+            cold_capacity_per_s=self._bears_per_s(service),
             cold_share=self._cold.share,
             shares_load=self.loads.known,
-            far_cost_ms=self._where.far_cost_ms,
+            remote_cost_ms=self._where.remote_cost_ms,
             may_spill=self.far_sends < self._where.far_sends_per_s,
             speed=self.speeds.speed(service),
             permits=permits,
@@ -272,21 +274,21 @@
         """Requests that spilled to other regions in the last second."""
         return self._far_sends.count
 
-    def places_of(self, profile: RequestProfile) -> tuple[list[ReplicaPlaces], bool]:
+    def places_of(self, profile: RequestProfile) -> tuple[list[ReplicaSlots], bool]:
         """Return the places of the replicas that a request may go to, and if sums are heard."""
         usable = self.usable(profile.service)
-        view = self._view(profile.service, self.versions.admitted(profile.service, usable))
+        view = self._view(profile.service, self.versions.admitted_filter(profile.service, usable))
         allowed = [
             replica
             for replica in view.replicas
             if replica.record.zone not in view.evacuated
-            and is_at_home(view, profile, replica)
+            and is_in_allowed_region(view, profile, replica)
             and view.permits(replica)
             and is_available(view, replica)
         ]
         trusted = [replica for replica in allowed if not replica.failures]
         places = [
-            ReplicaPlaces(
+            ReplicaSlots(
                 replica.record.slots,
                 replica.in_flight + replica.others_in_flight,
                 replica.busy_until_s > view.now_s or not is_within_limit(view, replica),
@@ -339,7 +341,7 @@
         """Count all sends of the last second: the replica may be known for cold only then."""
         now_s = self._environment.monotonic()
         sends = replica.cold_sends_s
-        while sends and sends[0] <= now_s - WINDOW_S:
+        while sends and sends[0] <= now_s - COLD_WINDOW_S:
             sends.popleft()
         sends.append(now_s)
 
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -16,7 +16,7 @@
 from heronladder_router.crash_reports import CrashReports
 from heronladder_router.crashing_requests import CrashingRequests
 from heronladder_router.decisions.cold_limit import ColdLimits
-from heronladder_router.decisions.few_senders import GatewaysKnown
+from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.gateway_dispatch import GatewayDispatcher, GatewayParts
 from heronladder_router.gateway_names import GatewayNames
@@ -59,7 +59,7 @@
         cold_over: What all gateways may send to a cold replica, in multiples of what it bears.
         cold_slack: Requests a second that they may send to it besides.
         group: Its control group; empty: named like the region.
-        far_cost_ms: What a send to another region costs, in ms: the way, and its bytes.
+        remote_cost_ms: What a send to another region costs, in ms: the way, and its bytes.
         far_sends_per_s: Requests a second that may go there while there are replicas here.
         wait_for_places: Whether requests for plain services wait here or are turned away.
         behind_after_ms: Not ready while link or loop are later than that, in ms; 0: never.
@@ -83,7 +83,7 @@
     cold_over: float = 1.5
     cold_slack: int = 5
     group: str = ""
-    far_cost_ms: float = 150.0
+    remote_cost_ms: float = 150.0
     far_sends_per_s: int = 5
     wait_for_places: bool = False
     behind_after_ms: float = 0.0
@@ -134,9 +134,9 @@
         )
         handlers.replica_loads = self._loads_told
         self._join_limits(handlers)
-        self.replicas.versions.heard_s = lambda: self.link.standing.last_contact_s
+        self.replicas.versions.last_control_contact_s = lambda: self.link.standing.last_contact_s
         self.replicas.versions.count = lambda version: self.metrics.add("rollout_sends", version)
-        handlers.rollout_grants = self.replicas.versions.granted
+        handlers.rollout_grants = self.replicas.versions.apply_grants
         handlers.promises_noted = self.tokens.held.confirmed
         handlers.recall_prepaid = self.tokens.held.recall
         handlers.control_regained = self.tokens.held.control_regained
@@ -198,8 +198,8 @@
         self.metrics.gauge("replicas_backing_off", lambda: self.replicas.availability.backing_off)
         self.metrics.gauge("replicas_limited", lambda: limits.count)
 
-    def _gateways_known(self) -> GatewaysKnown:
-        return GatewaysKnown(self.tokens.lenders.names, self.link.routers)
+    def _gateways_known(self) -> KnownGateways:
+        return KnownGateways(self.tokens.lenders.names, self.link.routers)
 
     def _make_replicas(self) -> FleetReplicas:
         options = self.options
@@ -208,7 +208,7 @@
             Surroundings(
                 options.zone,
                 options.zone_regions,
-                options.far_cost_ms,
+                options.remote_cost_ms,
                 options.far_sends_per_s,
                 options.measured_speed,
                 options.measured_patience,
--- a/packages/heronladder-router/src/heronladder_router/tokens/lenders.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/lenders.py
@@ -12,7 +12,7 @@
 import xxhash
 from heronladder_schema.v1 import control_pb2
 
-from heronladder_router.decisions.distance import is_far
+from heronladder_router.decisions.region_choice import is_remote
 
 # Holders of a tenant in a single region: as many as one request asks. With five holders, of which
 # a request asks three, 0.82 of the tokens requested during a partition are granted; with three it
@@ -123,7 +123,7 @@
 
     def is_remote(self, lender: Lender) -> bool:
         """Return whether a gateway is in another region than this one."""
-        return is_far(self._zone, lender.zone, self._regions)
+        return is_remote(self._zone, lender.zone, self._regions)
 
     def lender_candidates(self, tenant: str) -> list[Lender]:
         """Return the other holders of a tenant: this zone first, then this region, then others."""
