--- a/packages/heronladder-daemon/src/heronladder_daemon/compose_gateway.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/compose_gateway.py
@@ -2,7 +2,7 @@
 
 import grpc.aio
 from aiohttp import web
-from heronladder_router.gateway_names import GatewayNames
+from heronladder_router.gateway_header_names import GatewayNames
 from heronladder_router.gateway_role import GatewayOptions, GatewayRole
 from heronladder_runtime.clock import Environment, seconds
 from heronladder_runtime.errors import HeronladderError
--- a/packages/heronladder-daemon/src/heronladder_daemon/daemon.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/daemon.py
@@ -7,7 +7,7 @@
 
 import grpc.aio
 from aiohttp import web
-from heronladder_router.gateway_names import GatewayNames
+from heronladder_router.gateway_header_names import GatewayNames
 from heronladder_runtime.clock import Environment, seconds
 from heronladder_runtime.errors import HeronladderError
 from heronladder_runtime.logs import EventLog
--- a/packages/heronladder-router/src/heronladder_router/answer_signals.py
+++ b/packages/heronladder-router/src/heronladder_router/answer_signals.py
@@ -10,7 +10,7 @@
 
 from multidict import CIMultiDictProxy
 
-from heronladder_router.gateway_names import GatewayNames
+from heronladder_router.gateway_header_names import GatewayNames
 
 _RETRY_AFTER = "Retry-After"
 _DATE = "Date"
--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -11,6 +11,7 @@
 from heronladder_runtime.replica_starts import is_earlier_start
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
+from heronladder_router.cached_prompt_parts import KeptParts
 from heronladder_router.decisions.availability import Availability
 from heronladder_router.decisions.cold_limit import WINDOW_S, ColdLimits
 from heronladder_router.decisions.connection_share import connection_share
@@ -26,14 +27,13 @@
 from heronladder_router.decisions.waiting import ReplicaPlaces
 from heronladder_router.evacuated_zones import EvacuatedZones
 from heronladder_router.far_sends import FarSends
-from heronladder_router.kept_parts import KeptParts
+from heronladder_router.placement_settings import Surroundings
 from heronladder_router.replica_availability import ReplicaAvailability
 from heronladder_router.replica_limits import ReplicaLimits
 from heronladder_router.replica_state import FleetReplica, RequestProfile
 from heronladder_router.rollouts.version_gates import Permits, VersionGates
 from heronladder_router.service_speeds import ServiceSpeeds
 from heronladder_router.shared_loads import SharedLoads
-from heronladder_router.surroundings import Surroundings
 
 _FIRST_SUSPICION_S = 0.4
 _LONGEST_SUSPICION_S = 4.0
--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -24,7 +24,7 @@
 from heronladder_router.crashing_requests import CrashingRequests
 from heronladder_router.decisions.distance import Way
 from heronladder_router.decisions.placement import Placement, Reason
-from heronladder_router.dispatch_reports import report_end, report_send
+from heronladder_router.dispatch_logging import report_end, report_send
 from heronladder_router.errors import (
     BehindError,
     CrashesReplicasError,
@@ -35,11 +35,11 @@
 from heronladder_router.gateway_refusals import GatewayRefusals
 from heronladder_router.gateway_request import AnswerSink, GatewayRequest
 from heronladder_router.host_routes import HostRouteTable
-from heronladder_router.place_queue import PlaceQueue
 from heronladder_router.replica_attempt import ReplicaAttempts
+from heronladder_router.replica_slot_queue import PlaceQueue
 from heronladder_router.replica_state import FleetReplica
 from heronladder_router.request_tokens import RequestTokens
-from heronladder_router.sliding_allowance import SlidingAllowance
+from heronladder_router.sliding_retry_budget import SlidingAllowance
 from heronladder_router.tokens.access import TokenAccess
 from heronladder_router.unreached_replicas import UnreachedReplicas
 
--- a/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
@@ -17,7 +17,7 @@
 )
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.gateway_request import GatewayRequest
-from heronladder_router.place_queue import PlaceQueue
+from heronladder_router.replica_slot_queue import PlaceQueue
 
 _NOT_SENT: dict[Reason, type[CallerError]] = {
     Reason.EVACUATED: EvacuatedError,
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -19,17 +19,17 @@
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.gateway_dispatch import GatewayDispatcher, GatewayParts
-from heronladder_router.gateway_names import GatewayNames
+from heronladder_router.gateway_header_names import GatewayNames
 from heronladder_router.gateway_readiness import GatewayReadiness
 from heronladder_router.gateway_server import GatewayServer
 from heronladder_router.host_routes import HostRouteTable
 from heronladder_router.leave_reports import LeaveReports
-from heronladder_router.place_queue import PlaceQueue
+from heronladder_router.placement_settings import Surroundings
 from heronladder_router.replica_attempt import ReplicaAttempts
 from heronladder_router.replica_client import ReplicaClient
 from heronladder_router.replica_connections import ReplicaConnections
-from heronladder_router.sliding_allowance import SlidingAllowance
-from heronladder_router.surroundings import Surroundings
+from heronladder_router.replica_slot_queue import PlaceQueue
+from heronladder_router.sliding_retry_budget import SlidingAllowance
 from heronladder_router.tokens.access import LendingOptions, TokenAccess
 from heronladder_router.unreached_replicas import UnreachedReplicas
 
--- a/packages/heronladder-router/src/heronladder_router/gateway_server.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_server.py
@@ -10,7 +10,8 @@
 from heronladder_runtime.metrics import Metrics
 from heronladder_schema.v1 import ledger_pb2
 
-from heronladder_router.error_answer import OUTCOME_HEADER, error_document
+from heronladder_router.cached_prompt_parts import parse_parts
+from heronladder_router.error_response import OUTCOME_HEADER, error_document
 from heronladder_router.errors import (
     OUTCOME_WORDS,
     BehindError,
@@ -22,16 +23,15 @@
     UnconfirmedError,
 )
 from heronladder_router.gateway_dispatch import GatewayDispatcher, StreamBrokenError
-from heronladder_router.gateway_names import GatewayNames
+from heronladder_router.gateway_header_names import GatewayNames
 from heronladder_router.gateway_request import (
     GatewayRequest,
     ReplicaAnswer,
     TokenBounds,
     parse_bounds,
 )
-from heronladder_router.hop_headers import is_hop_header
+from heronladder_router.hop_by_hop_headers import is_hop_header
 from heronladder_router.host_routes import HostRouteTable, MatchedRoute
-from heronladder_router.kept_parts import parse_parts
 from heronladder_router.replica_state import RequestProfile
 
 _DEFAULT_BODY_BYTES = 4 * 1024 * 1024
--- a/packages/heronladder-router/src/heronladder_router/replica_attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_attempt.py
@@ -20,9 +20,9 @@
 from heronladder_router.decisions.availability import Availability
 from heronladder_router.decisions.patience import patience
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.gateway_names import GatewayNames
+from heronladder_router.gateway_header_names import GatewayNames
 from heronladder_router.gateway_request import AnswerSink, GatewayRequest, ReplicaAnswer
-from heronladder_router.hop_headers import passed_headers
+from heronladder_router.hop_by_hop_headers import passed_headers
 from heronladder_router.replica_client import (
     ReplicaClient,
     ReplicaLostError,
--- a/packages/heronladder-router/src/heronladder_router/replica_state.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_state.py
@@ -6,8 +6,8 @@
 from heronladder_runtime.replica_limit import Incarnation
 from heronladder_schema.v1 import resources_pb2
 
+from heronladder_router.cached_prompt_parts import KeptParts, PromptPart
 from heronladder_router.decisions.speed import ReplicaPace
-from heronladder_router.kept_parts import KeptParts, PromptPart
 
 
 @dataclass
--- a/packages/heronladder-router/src/heronladder_router/server.py
+++ b/packages/heronladder-router/src/heronladder_router/server.py
@@ -13,7 +13,7 @@
 from heronladder_schema.v1 import ledger_pb2
 
 from heronladder_router.caller_answer import CallerAnswer
-from heronladder_router.error_answer import OUTCOME_HEADER, error_document
+from heronladder_router.error_response import OUTCOME_HEADER, error_document
 from heronladder_router.errors import (
     OUTCOME_WORDS,
     BodyTooLargeError,
--- a/tests/back_off_run.py
+++ b/tests/back_off_run.py
@@ -13,9 +13,9 @@
 from itertools import count
 
 from heronladder_router.answer_signals import AnswerSignals
+from heronladder_router.cached_prompt_parts import KeptParts
 from heronladder_router.decisions.availability import Availability
 from heronladder_router.decisions.placement import PlacementView, place
-from heronladder_router.kept_parts import KeptParts
 from heronladder_router.replica_availability import ReplicaAvailability
 from heronladder_router.replica_state import FleetReplica, RequestProfile
 from heronladder_runtime.clock import Environment
--- a/tests/limit_run.py
+++ b/tests/limit_run.py
@@ -11,9 +11,9 @@
 
 from heronladder_control.daemon_session import DaemonSession
 from heronladder_control.replica_limits import SharedReplicaLimits
+from heronladder_router.cached_prompt_parts import KeptParts
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.replica_limit import LimitVerdict
-from heronladder_router.kept_parts import KeptParts
 from heronladder_router.replica_limits import ReplicaLimits
 from heronladder_router.replica_state import FleetReplica
 from heronladder_runtime.clock import Environment
--- a/tests/test_answer_signals.py
+++ b/tests/test_answer_signals.py
@@ -6,9 +6,9 @@
 from email.utils import format_datetime
 
 from heronladder_router.answer_signals import AnswerSignals, read_signals
+from heronladder_router.cached_prompt_parts import KeptParts
 from heronladder_router.decisions.availability import Availability, AvailabilityView, judge
-from heronladder_router.gateway_names import GatewayNames
-from heronladder_router.kept_parts import KeptParts
+from heronladder_router.gateway_header_names import GatewayNames
 from heronladder_router.replica_availability import ReplicaAvailability
 from heronladder_router.replica_state import FleetReplica
 from heronladder_runtime.clock import Environment
--- a/tests/test_cold_replicas.py
+++ b/tests/test_cold_replicas.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 from heronladder_control.cold_reports import ColdReports
+from heronladder_router.cached_prompt_parts import KeptParts
 from heronladder_router.decisions.cold_limit import (
     WINDOW_S,
     ColdLimits,
@@ -14,7 +15,6 @@
 )
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.placement import PlacementView, Reason, place
-from heronladder_router.kept_parts import KeptParts
 from heronladder_router.replica_state import FleetReplica, RequestProfile
 from heronladder_runtime.clock import Environment
 from heronladder_schema.v1 import resources_pb2
--- a/tests/test_distance.py
+++ b/tests/test_distance.py
@@ -4,14 +4,14 @@
 import unittest
 from collections import Counter
 
+from heronladder_router.cached_prompt_parts import KeptParts, PromptPart
 from heronladder_router.decisions.cold_limit import ColdLimits
 from heronladder_router.decisions.distance import Way
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.placement import Placement, PlacementView, Reason, place
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.kept_parts import KeptParts, PromptPart
+from heronladder_router.placement_settings import Surroundings
 from heronladder_router.replica_state import FleetReplica, RequestProfile
-from heronladder_router.surroundings import Surroundings
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import REPLICA_KIND, ConfigurationStore
 from heronladder_runtime.logs import EventLog
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -4,12 +4,12 @@
 import unittest
 
 from heronladder_control.replica_loads import ReplicaLoads
+from heronladder_router.cached_prompt_parts import parse_parts
 from heronladder_router.decisions.cold_limit import ColdLimits
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.kept_parts import parse_parts
+from heronladder_router.placement_settings import Surroundings
 from heronladder_router.replica_state import RequestProfile
-from heronladder_router.surroundings import Surroundings
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import REPLICA_KIND, ConfigurationStore
 from heronladder_runtime.logs import EventLog
--- a/tests/test_gateway_readiness.py
+++ b/tests/test_gateway_readiness.py
@@ -11,8 +11,8 @@
 from heronladder_router.decisions.readiness import ReadinessView, Standing, judge_readiness
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.gateway_readiness import GatewayReadiness
+from heronladder_router.placement_settings import Surroundings
 from heronladder_router.replica_state import RequestProfile
-from heronladder_router.surroundings import Surroundings
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import REPLICA_KIND, ConfigurationStore
 from heronladder_runtime.logs import EventLog
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -5,8 +5,8 @@
 
 from decided_draws import DecidedPrepaidTable
 from heronladder_control.prepaid_watch import PrepaidWatch
+from heronladder_router.cached_prompt_parts import KeptParts, parse_parts
 from heronladder_router.event_stream import EventCutter
-from heronladder_router.kept_parts import KeptParts, parse_parts
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.errors import RefusedByInvariantError
 from heronladder_runtime.invariants import BOOK
--- a/tests/test_rollout_gates.py
+++ b/tests/test_rollout_gates.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest.mock import Mock
 
-from heronladder_router.kept_parts import KeptParts
+from heronladder_router.cached_prompt_parts import KeptParts
 from heronladder_router.replica_attempt import _passed
 from heronladder_router.replica_state import FleetReplica
 from heronladder_router.rollouts.service_gate import ServiceGate
--- a/tests/test_speed.py
+++ b/tests/test_speed.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from heronladder_router.cached_prompt_parts import KeptParts
 from heronladder_router.decisions.cold_limit import ColdLimits
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.placement import PlacementView, place
 from heronladder_router.decisions.speed import FirstEvent, MeasuredSpeed, ReplicaPace, Speed
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.kept_parts import KeptParts
+from heronladder_router.placement_settings import Surroundings
 from heronladder_router.replica_state import FleetReplica, RequestProfile
-from heronladder_router.surroundings import Surroundings
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import ConfigurationStore
 from heronladder_runtime.logs import EventLog
--- a/tests/test_version_gates.py
+++ b/tests/test_version_gates.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from heronladder_router.kept_parts import KeptParts
+from heronladder_router.cached_prompt_parts import KeptParts
 from heronladder_router.replica_state import FleetReplica
 from heronladder_router.rollouts.service_gate import ServiceGate
 from heronladder_schema.v1 import resources_pb2
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -17,7 +17,7 @@
     next_waiter,
 )
 from heronladder_router.gateway_request import GatewayRequest
-from heronladder_router.place_queue import PlaceQueue
+from heronladder_router.replica_slot_queue import PlaceQueue
 from heronladder_router.replica_state import RequestProfile
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
