--- a/packages/heronladder-daemon/src/heronladder_daemon/compose_gateway.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/compose_gateway.py
@@ -2,7 +2,7 @@
 
 import grpc.aio
 from aiohttp import web
-from heronladder_router.gateway_header_names import GatewayNames
+from heronladder_router.gateway_header_names import GatewayHeaderNames
 from heronladder_router.gateway_role import GatewayOptions, GatewayRole
 from heronladder_runtime.clock import Environment, seconds
 from heronladder_runtime.errors import HeronladderError
@@ -16,7 +16,10 @@
 
 
 def compose_gateway(
-    settings: DaemonSettings, stubs: StubFactory, environment: Environment, names: GatewayNames
+    settings: DaemonSettings,
+    stubs: StubFactory,
+    environment: Environment,
+    names: GatewayHeaderNames,
 ) -> GatewayRole:
     """Return a gateway that is not started yet.
 
--- a/packages/heronladder-daemon/src/heronladder_daemon/daemon.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/daemon.py
@@ -7,7 +7,7 @@
 
 import grpc.aio
 from aiohttp import web
-from heronladder_router.gateway_header_names import GatewayNames
+from heronladder_router.gateway_header_names import GatewayHeaderNames
 from heronladder_runtime.clock import Environment, seconds
 from heronladder_runtime.errors import HeronladderError
 from heronladder_runtime.logs import EventLog
@@ -46,7 +46,7 @@
         self,
         settings: DaemonSettings,
         environment: Environment | None = None,
-        gateway_names: GatewayNames | None = None,
+        gateway_names: GatewayHeaderNames | None = None,
     ) -> None:
         self.settings = settings
         self._environment = environment or Environment()
@@ -62,7 +62,7 @@
         self.agent: AgentRole | None = None
         self.gateway: GatewayRole | None = None
         self._gateway_listener: HttpListener | None = None
-        self._gateway_names = gateway_names or GatewayNames()
+        self._gateway_names = gateway_names or GatewayHeaderNames()
         self.admin_address = ""
         self.failed: asyncio.Future[HeronladderError] | None = None
 
--- a/packages/heronladder-router/src/heronladder_router/answer_signals.py
+++ b/packages/heronladder-router/src/heronladder_router/answer_signals.py
@@ -10,7 +10,7 @@
 
 from multidict import CIMultiDictProxy
 
-from heronladder_router.gateway_header_names import GatewayNames
+from heronladder_router.gateway_header_names import GatewayHeaderNames
 
 _RETRY_AFTER = "Retry-After"
 _DATE = "Date"
@@ -43,7 +43,7 @@
 
 
 def read_signals(
-    status: int, headers: CIMultiDictProxy[str], names: GatewayNames, wall_s: float
+    status: int, headers: CIMultiDictProxy[str], names: GatewayHeaderNames, wall_s: float
 ) -> AnswerSignals:
     """Return the signals of an answer.
 
--- a/packages/heronladder-router/src/heronladder_router/attempt_outcomes.py
+++ b/packages/heronladder-router/src/heronladder_router/attempt_outcomes.py
@@ -5,7 +5,7 @@
 from heronladder_runtime.errors import HeronladderError
 
 from heronladder_router.decisions.placement import Reason
-from heronladder_router.event_stream import EventCutter
+from heronladder_router.event_stream import EventStreamBuffer
 from heronladder_router.gateway_request import ReplicaAnswer
 
 
@@ -81,7 +81,7 @@
         longest_pause_s: Longest time between two events passed on.
     """
 
-    cutter: EventCutter = field(default_factory=EventCutter)
+    cutter: EventStreamBuffer = field(default_factory=EventStreamBuffer)
     ran: bool = False
     finished: bool = False
     handed_out: bool = False
--- a/packages/heronladder-router/src/heronladder_router/cached_prompt_parts.py
+++ b/packages/heronladder-router/src/heronladder_router/cached_prompt_parts.py
@@ -27,7 +27,7 @@
     return parts
 
 
-class KeptParts:
+class CachedPromptParts:
     """Parts that a replica was sent, the newest used last, within its memory.
 
     Args:
--- a/packages/heronladder-router/src/heronladder_router/event_stream.py
+++ b/packages/heronladder-router/src/heronladder_router/event_stream.py
@@ -4,7 +4,7 @@
 _ID_FIELD = b"id:"
 
 
-class EventCutter:
+class EventStreamBuffer:
     """Takes chunks of a stream and gives whole events; a rest without an end is kept.
 
     Attributes:
--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -11,7 +11,7 @@
 from heronladder_runtime.replica_starts import is_earlier_start
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
-from heronladder_router.cached_prompt_parts import KeptParts
+from heronladder_router.cached_prompt_parts import CachedPromptParts
 from heronladder_router.decisions.availability import Availability
 from heronladder_router.decisions.cold_limit import WINDOW_S, ColdLimits
 from heronladder_router.decisions.connection_share import connection_share
@@ -27,7 +27,7 @@
 from heronladder_router.decisions.waiting import ReplicaPlaces
 from heronladder_router.evacuated_zones import EvacuatedZones
 from heronladder_router.far_sends import FarSends
-from heronladder_router.placement_settings import Surroundings
+from heronladder_router.placement_settings import PlacementSettings
 from heronladder_router.replica_availability import ReplicaAvailability
 from heronladder_router.replica_limits import ReplicaLimits
 from heronladder_router.replica_state import FleetReplica, RequestProfile
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        where: Surroundings,
+        where: PlacementSettings,
         cold: ColdLimits,
         configuration: ConfigurationStore,
         environment: Environment,
@@ -98,7 +98,7 @@
             # A later start holds and knows nothing of before, nor what was held against it.
             new = replica is None or is_earlier_start(replica.record, record)
             if replica is None or new:
-                replica = FleetReplica(record, KeptParts(self._memory(record.service)))
+                replica = FleetReplica(record, CachedPromptParts(self._memory(record.service)))
             self._report(replica, record, new=new)
             if record.cold_ms and (new or record.cold_revision != replica.record.cold_revision):
                 self._note_cold(replica, record.cold_ms / MILLISECONDS_PER_SECOND, "told")
--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -36,10 +36,10 @@
 from heronladder_router.gateway_request import AnswerSink, GatewayRequest
 from heronladder_router.host_routes import HostRouteTable
 from heronladder_router.replica_attempt import ReplicaAttempts
-from heronladder_router.replica_slot_queue import PlaceQueue
+from heronladder_router.replica_slot_queue import ReplicaSlotQueue
 from heronladder_router.replica_state import FleetReplica
 from heronladder_router.request_tokens import RequestTokens
-from heronladder_router.sliding_retry_budget import SlidingAllowance
+from heronladder_router.sliding_retry_budget import SlidingRetryBudget
 from heronladder_router.tokens.access import TokenAccess
 from heronladder_router.unreached_replicas import UnreachedReplicas
 
@@ -54,7 +54,7 @@
 
 
 @dataclass
-class GatewayParts:
+class DispatchContext:
     """What dispatching works with."""
 
     link: ControlLink
@@ -62,8 +62,8 @@
     replicas: FleetReplicas
     tokens: TokenAccess
     attempts: ReplicaAttempts
-    allowance: SlidingAllowance
-    places: PlaceQueue
+    allowance: SlidingRetryBudget
+    places: ReplicaSlotQueue
     crashing: CrashingRequests
     crash_reports: CrashReports
     unreached: UnreachedReplicas
@@ -79,7 +79,7 @@
         parts: What it works with.
     """
 
-    def __init__(self, parts: GatewayParts) -> None:
+    def __init__(self, parts: DispatchContext) -> None:
         self._parts = parts
         self._tokens = RequestTokens(
             parts.link, parts.routes, parts.tokens, parts.environment, parts.log
--- a/packages/heronladder-router/src/heronladder_router/gateway_header_names.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_header_names.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True)
-class GatewayNames:
+class GatewayHeaderNames:
     """Header names, and what stands in them.
 
     Attributes:
--- a/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
@@ -17,7 +17,7 @@
 )
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.gateway_request import GatewayRequest
-from heronladder_router.replica_slot_queue import PlaceQueue
+from heronladder_router.replica_slot_queue import ReplicaSlotQueue
 
 _NOT_SENT: dict[Reason, type[CallerError]] = {
     Reason.EVACUATED: EvacuatedError,
@@ -38,7 +38,7 @@
         places: What waits for places of plain services.
     """
 
-    def __init__(self, replicas: FleetReplicas, places: PlaceQueue) -> None:
+    def __init__(self, replicas: FleetReplicas, places: ReplicaSlotQueue) -> None:
         self._replicas = replicas
         self._places = places
 
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -18,18 +18,18 @@
 from heronladder_router.decisions.cold_limit import ColdLimits
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.gateway_dispatch import GatewayDispatcher, GatewayParts
-from heronladder_router.gateway_header_names import GatewayNames
+from heronladder_router.gateway_dispatch import DispatchContext, GatewayDispatcher
+from heronladder_router.gateway_header_names import GatewayHeaderNames
 from heronladder_router.gateway_readiness import GatewayReadiness
 from heronladder_router.gateway_server import GatewayServer
 from heronladder_router.host_routes import HostRouteTable
 from heronladder_router.leave_reports import LeaveReports
-from heronladder_router.placement_settings import Surroundings
+from heronladder_router.placement_settings import PlacementSettings
 from heronladder_router.replica_attempt import ReplicaAttempts
 from heronladder_router.replica_client import ReplicaClient
 from heronladder_router.replica_connections import ReplicaConnections
-from heronladder_router.replica_slot_queue import PlaceQueue
-from heronladder_router.sliding_retry_budget import SlidingAllowance
+from heronladder_router.replica_slot_queue import ReplicaSlotQueue
+from heronladder_router.sliding_retry_budget import SlidingRetryBudget
 from heronladder_router.tokens.access import LendingOptions, TokenAccess
 from heronladder_router.unreached_replicas import UnreachedReplicas
 
@@ -76,7 +76,7 @@
     retry_slack: int = 50
     retry_window_s: float = 10.0
     stale_limit_s: float = 120.0
-    names: GatewayNames = field(default_factory=GatewayNames)
+    names: GatewayHeaderNames = field(default_factory=GatewayHeaderNames)
     lending_address: str = ""
     lending_key_file: str = ""
     zone_regions: dict[str, str] = field(default_factory=dict)
@@ -205,7 +205,7 @@
         options = self.options
         cold = ColdLimits(options.name, options.cold_over, options.cold_slack, self._gateways_known)
         return FleetReplicas(
-            Surroundings(
+            PlacementSettings(
                 options.zone,
                 options.zone_regions,
                 options.far_cost_ms,
@@ -221,8 +221,8 @@
             self.metrics,
         )
 
-    def _make_places(self) -> PlaceQueue:
-        return PlaceQueue(
+    def _make_places(self) -> ReplicaSlotQueue:
+        return ReplicaSlotQueue(
             self.replicas.places_of,
             lambda: self.link.routers,
             lambda: self.link.round_trip_s,
@@ -243,7 +243,7 @@
 
     def _make_server(self) -> GatewayServer:
         options = self.options
-        parts = GatewayParts(
+        parts = DispatchContext(
             link=self.link,
             routes=self.routes,
             replicas=self.replicas,
@@ -251,7 +251,7 @@
             attempts=ReplicaAttempts(
                 self._client, self._connections, self.replicas, options.names, self._environment
             ),
-            allowance=SlidingAllowance(
+            allowance=SlidingRetryBudget(
                 self._environment,
                 options.retry_ratio,
                 options.retry_slack,
--- a/packages/heronladder-router/src/heronladder_router/gateway_server.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_server.py
@@ -23,7 +23,7 @@
     UnconfirmedError,
 )
 from heronladder_router.gateway_dispatch import GatewayDispatcher, StreamBrokenError
-from heronladder_router.gateway_header_names import GatewayNames
+from heronladder_router.gateway_header_names import GatewayHeaderNames
 from heronladder_router.gateway_request import (
     GatewayRequest,
     ReplicaAnswer,
@@ -103,7 +103,7 @@
         dispatcher: GatewayDispatcher,
         routes: HostRouteTable,
         link: ControlLink,
-        names: GatewayNames,
+        names: GatewayHeaderNames,
         environment: Environment,
         metrics: Metrics,
         log: EventLog,
--- a/packages/heronladder-router/src/heronladder_router/placement_settings.py
+++ b/packages/heronladder-router/src/heronladder_router/placement_settings.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True)
-class Surroundings:
+class PlacementSettings:
     """Where a gateway is.
 
     Attributes:
--- a/packages/heronladder-router/src/heronladder_router/replica_attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_attempt.py
@@ -20,7 +20,7 @@
 from heronladder_router.decisions.availability import Availability
 from heronladder_router.decisions.patience import patience
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.gateway_header_names import GatewayNames
+from heronladder_router.gateway_header_names import GatewayHeaderNames
 from heronladder_router.gateway_request import AnswerSink, GatewayRequest, ReplicaAnswer
 from heronladder_router.hop_by_hop_headers import passed_headers
 from heronladder_router.replica_client import (
@@ -59,7 +59,7 @@
         client: ReplicaClient,
         connections: ReplicaConnections,
         replicas: FleetReplicas,
-        names: GatewayNames,
+        names: GatewayHeaderNames,
         environment: Environment,
     ) -> None:
         self._client = client
--- a/packages/heronladder-router/src/heronladder_router/replica_slot_queue.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_slot_queue.py
@@ -32,7 +32,7 @@
 
 _LEAST_WAIT_S = 0.001
 #: Replicas that a request may be sent to, and whether the others' load is known.
-PlacesOf = Callable[[RequestProfile], tuple[list[ReplicaPlaces], bool]]
+SlotsLookup = Callable[[RequestProfile], tuple[list[ReplicaPlaces], bool]]
 
 
 @dataclass
@@ -48,7 +48,7 @@
     places: int = 0
 
 
-class PlaceQueue:
+class ReplicaSlotQueue:
     """Waits for places and turns away.
 
     Args:
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        places_of: PlacesOf,
+        places_of: SlotsLookup,
         gateways: Callable[[], int],
         link_s: Callable[[], float],
         environment: Environment,
--- a/packages/heronladder-router/src/heronladder_router/replica_state.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_state.py
@@ -6,7 +6,7 @@
 from heronladder_runtime.replica_limit import Incarnation
 from heronladder_schema.v1 import resources_pb2
 
-from heronladder_router.cached_prompt_parts import KeptParts, PromptPart
+from heronladder_router.cached_prompt_parts import CachedPromptParts, PromptPart
 from heronladder_router.decisions.speed import ReplicaPace
 
 
@@ -33,7 +33,7 @@
     """
 
     record: resources_pb2.Replica
-    parts: KeptParts
+    parts: CachedPromptParts
     in_flight: int = 0
     unread_tokens: int = 0
     failures: int = 0
--- a/packages/heronladder-router/src/heronladder_router/sliding_retry_budget.py
+++ b/packages/heronladder-router/src/heronladder_router/sliding_retry_budget.py
@@ -7,7 +7,7 @@
 _SAFETY = 0.75  # of what is allowed: windows of gateways and judges do not align
 
 
-class SlidingAllowance:
+class SlidingRetryBudget:
     """Counts requests and repeated sends of each service.
 
     Args:
--- a/tests/back_off_run.py
+++ b/tests/back_off_run.py
@@ -13,7 +13,7 @@
 from itertools import count
 
 from heronladder_router.answer_signals import AnswerSignals
-from heronladder_router.cached_prompt_parts import KeptParts
+from heronladder_router.cached_prompt_parts import CachedPromptParts
 from heronladder_router.decisions.availability import Availability
 from heronladder_router.decisions.placement import PlacementView, place
 from heronladder_router.replica_availability import ReplicaAvailability
@@ -122,7 +122,7 @@
             resources_pb2.Replica(id=one, service=SERVICE, zone="z", slots=self.slots)
             for one in self.all
         )
-        replicas = {record.id: FleetReplica(record, KeptParts(0)) for record in records}
+        replicas = {record.id: FleetReplica(record, CachedPromptParts(0)) for record in records}
         return _Gateway(name, availability, replicas)
 
     @property
--- a/tests/limit_run.py
+++ b/tests/limit_run.py
@@ -11,7 +11,7 @@
 
 from heronladder_control.daemon_session import DaemonSession
 from heronladder_control.replica_limits import SharedReplicaLimits
-from heronladder_router.cached_prompt_parts import KeptParts
+from heronladder_router.cached_prompt_parts import CachedPromptParts
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.replica_limit import LimitVerdict
 from heronladder_router.replica_limits import ReplicaLimits
@@ -100,7 +100,9 @@
 
     def _add_gateway(self, number: int) -> None:
         replicas = {
-            name: FleetReplica(resources_pb2.Replica(id=name, service=SERVICE), KeptParts(0))
+            name: FleetReplica(
+                resources_pb2.Replica(id=name, service=SERVICE), CachedPromptParts(0)
+            )
             for name in self.limit_now
         }
         limits = ReplicaLimits(
--- a/tests/test_answer_signals.py
+++ b/tests/test_answer_signals.py
@@ -6,9 +6,9 @@
 from email.utils import format_datetime
 
 from heronladder_router.answer_signals import AnswerSignals, read_signals
-from heronladder_router.cached_prompt_parts import KeptParts
+from heronladder_router.cached_prompt_parts import CachedPromptParts
 from heronladder_router.decisions.availability import Availability, AvailabilityView, judge
-from heronladder_router.gateway_header_names import GatewayNames
+from heronladder_router.gateway_header_names import GatewayHeaderNames
 from heronladder_router.replica_availability import ReplicaAvailability
 from heronladder_router.replica_state import FleetReplica
 from heronladder_runtime.clock import Environment
@@ -17,7 +17,7 @@
 from heronladder_schema.v1 import resources_pb2
 from multidict import CIMultiDict, CIMultiDictProxy
 
-_NAMES = GatewayNames(not_run="Not-Run", leaving="Leaving", replica_limit="Limit")
+_NAMES = GatewayHeaderNames(not_run="Not-Run", leaving="Leaving", replica_limit="Limit")
 _WALL_S = 1_764_000_000.0
 
 
@@ -88,7 +88,7 @@
 
 def _replica(name: str, start_ms: int = 0, slots: int = 4) -> FleetReplica:
     record = resources_pb2.Replica(id=name, start_ms=start_ms, service="app", slots=slots)
-    return FleetReplica(record, KeptParts(0))
+    return FleetReplica(record, CachedPromptParts(0))
 
 
 class AvailabilityTest(unittest.TestCase):
--- a/tests/test_cold_replicas.py
+++ b/tests/test_cold_replicas.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from heronladder_control.cold_reports import ColdReports
-from heronladder_router.cached_prompt_parts import KeptParts
+from heronladder_router.cached_prompt_parts import CachedPromptParts
 from heronladder_router.decisions.cold_limit import (
     WINDOW_S,
     ColdLimits,
@@ -82,7 +82,7 @@
         self.replicas = [
             FleetReplica(
                 resources_pb2.Replica(id=f"r{number}", service=SERVICE, zone=f"z{number % _ZONES}"),
-                KeptParts(0),
+                CachedPromptParts(0),
                 others_in_flight=0 if number % _ZONES == 0 else 20,
                 cold_until_s=200.0 if number % _ZONES == 0 else 0.0,
             )
@@ -153,7 +153,7 @@
 class RegionTest(unittest.TestCase):
     def _place(self, regions: frozenset[str] | None) -> str | None:
         replicas = [
-            FleetReplica(resources_pb2.Replica(id=f"in-{zone}", zone=zone), KeptParts(0))
+            FleetReplica(resources_pb2.Replica(id=f"in-{zone}", zone=zone), CachedPromptParts(0))
             for zone in ("north-1", "south-1", "unknown")
         ]
         view = PlacementView(
--- a/tests/test_distance.py
+++ b/tests/test_distance.py
@@ -4,13 +4,13 @@
 import unittest
 from collections import Counter
 
-from heronladder_router.cached_prompt_parts import KeptParts, PromptPart
+from heronladder_router.cached_prompt_parts import CachedPromptParts, PromptPart
 from heronladder_router.decisions.cold_limit import ColdLimits
 from heronladder_router.decisions.distance import Way
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.placement import Placement, PlacementView, Reason, place
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.placement_settings import Surroundings
+from heronladder_router.placement_settings import PlacementSettings
 from heronladder_router.replica_state import FleetReplica, RequestProfile
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import REPLICA_KIND, ConfigurationStore
@@ -30,7 +30,8 @@
         self.random = random.Random(1)
         self.replicas = [
             FleetReplica(
-                resources_pb2.Replica(id=f"{zone}-{number}", zone=zone), KeptParts(1_000_000)
+                resources_pb2.Replica(id=f"{zone}-{number}", zone=zone),
+                CachedPromptParts(1_000_000),
             )
             for zone in _REGIONS
             for number in range(of_each_zone)
@@ -90,7 +91,9 @@
 
     def test_a_zone_of_no_known_region_is_taken_for_near(self) -> None:
         fleet = _Fleet(0)
-        fleet.replicas = [FleetReplica(resources_pb2.Replica(id="r", zone="?"), KeptParts(0))]
+        fleet.replicas = [
+            FleetReplica(resources_pb2.Replica(id="r", zone="?"), CachedPromptParts(0))
+        ]
         self.assertEqual(fleet.place(RequestProfile(_SERVICE)).way, Way.NEAR)
 
 
@@ -186,7 +189,7 @@
         clock = _Clock(random=random.Random(1))
         configuration = ConfigurationStore("gateway")
         replicas = FleetReplicas(
-            Surroundings("n-a", _REGIONS, _FAR_MS, 3),
+            PlacementSettings("n-a", _REGIONS, _FAR_MS, 3),
             ColdLimits("gateway", 1.5, 5, lambda: GatewaysKnown({"gateway"}, 1)),
             configuration,
             clock,
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -8,7 +8,7 @@
 from heronladder_router.decisions.cold_limit import ColdLimits
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.placement_settings import Surroundings
+from heronladder_router.placement_settings import PlacementSettings
 from heronladder_router.replica_state import RequestProfile
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import REPLICA_KIND, ConfigurationStore
@@ -30,7 +30,7 @@
     configuration = ConfigurationStore("gateway")
     environment = _Clock(random=random.Random(seed))
     cold = ColdLimits("gateway", 1.5, 5, lambda: GatewaysKnown({"gateway"}, 1))
-    where = Surroundings(zone, {})
+    where = PlacementSettings(zone, {})
     replicas = FleetReplicas(where, cold, configuration, environment, EventLog("test", "gateway"))
     update = control_pb2.ConfigUpdate(revision=1, snapshot=True)
     service = resources_pb2.ReplicatedService(name=_SERVICE)
--- a/tests/test_gateway_readiness.py
+++ b/tests/test_gateway_readiness.py
@@ -11,7 +11,7 @@
 from heronladder_router.decisions.readiness import ReadinessView, Standing, judge_readiness
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.gateway_readiness import GatewayReadiness
-from heronladder_router.placement_settings import Surroundings
+from heronladder_router.placement_settings import PlacementSettings
 from heronladder_router.replica_state import RequestProfile
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import REPLICA_KIND, ConfigurationStore
@@ -201,7 +201,7 @@
     def _gateway(self, names: list[str]) -> FleetReplicas:
         store = ConfigurationStore("g")
         replicas = FleetReplicas(
-            Surroundings("z", {}),
+            PlacementSettings("z", {}),
             ColdLimits("g", 1.5, 5, lambda: GatewaysKnown({"g"}, 1)),
             store,
             _Clock(),
--- a/tests/test_gateway_refusals.py
+++ b/tests/test_gateway_refusals.py
@@ -6,7 +6,7 @@
 from typing import Any, cast
 
 from heronladder_router.errors import PrepaidUnavailableError
-from heronladder_router.gateway_dispatch import GatewayDispatcher, GatewayParts
+from heronladder_router.gateway_dispatch import DispatchContext, GatewayDispatcher
 from heronladder_router.gateway_request import AnswerSink, GatewayRequest, TokenBounds
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
@@ -70,7 +70,7 @@
                     version=1,
                 ),
             )
-            dispatcher = GatewayDispatcher(cast(GatewayParts, parts))
+            dispatcher = GatewayDispatcher(cast(DispatchContext, parts))
             with self.assertRaises(PrepaidUnavailableError):
                 await dispatcher.serve(cast(GatewayRequest, request), cast(AnswerSink, None))
             self.assertLess(tokens.waited_s, objective_ms / 1000 / _PART_OF_OBJECTIVE)
--- a/tests/test_replica_limit_reports.py
+++ b/tests/test_replica_limit_reports.py
@@ -4,7 +4,7 @@
 
 from heronladder_control.daemon_session import DaemonSession
 from heronladder_control.replica_limits import SharedReplicaLimits
-from heronladder_router.cached_prompt_parts import KeptParts
+from heronladder_router.cached_prompt_parts import CachedPromptParts
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.replica_limit import (
     SPAN_S,
@@ -68,7 +68,9 @@
     def __init__(self, replicas: int = 2) -> None:
         self.clock = _Clock()
         self.replicas = {
-            name: FleetReplica(resources_pb2.Replica(id=name, service=_SERVICE), KeptParts(0))
+            name: FleetReplica(
+                resources_pb2.Replica(id=name, service=_SERVICE), CachedPromptParts(0)
+            )
             for name in (f"r{number}" for number in range(replicas))
         }
         self.first = self.replicas["r0"]
--- a/tests/test_rollout_gates.py
+++ b/tests/test_rollout_gates.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest.mock import Mock
 
-from heronladder_router.cached_prompt_parts import KeptParts
+from heronladder_router.cached_prompt_parts import CachedPromptParts
 from heronladder_router.replica_attempt import _passed
 from heronladder_router.replica_state import FleetReplica
 from heronladder_router.rollouts.service_gate import ServiceGate
@@ -31,7 +31,7 @@
 
 def _replica(name: str, version: str) -> FleetReplica:
     record = resources_pb2.Replica(id=name, service="app", software=version)
-    return FleetReplica(record, KeptParts(0))
+    return FleetReplica(record, CachedPromptParts(0))
 
 
 class GateTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_speed.py
+++ b/tests/test_speed.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from heronladder_router.cached_prompt_parts import KeptParts
+from heronladder_router.cached_prompt_parts import CachedPromptParts
 from heronladder_router.decisions.cold_limit import ColdLimits
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.decisions.placement import PlacementView, place
 from heronladder_router.decisions.speed import FirstEvent, MeasuredSpeed, ReplicaPace, Speed
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.placement_settings import Surroundings
+from heronladder_router.placement_settings import PlacementSettings
 from heronladder_router.replica_state import FleetReplica, RequestProfile
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import ConfigurationStore
@@ -63,7 +63,7 @@
                 [
                     FleetReplica(
                         resources_pb2.Replica(id=f"r{number}", service=_SERVICE, zone="z"),
-                        KeptParts(0),
+                        CachedPromptParts(0),
                     )
                     for number in range(len(token_ms))
                 ]
@@ -200,10 +200,12 @@
         """A gateway with a full link passed keepers over: 1.6 times as much was read again."""
         cold = ColdLimits("g", 1.5, 5, lambda: GatewaysKnown({"g"}, 1))
         link_s = 0.5
-        where = Surroundings("z", {}, measures_speed=True, link_s=lambda: link_s)
+        where = PlacementSettings("z", {}, measures_speed=True, link_s=lambda: link_s)
         store = ConfigurationStore("g")
         replicas = FleetReplicas(where, cold, store, _Clock(), EventLog("test", "g"))
-        replica = FleetReplica(resources_pb2.Replica(id="r", service=_SERVICE), KeptParts(0))
+        replica = FleetReplica(
+            resources_pb2.Replica(id="r", service=_SERVICE), CachedPromptParts(0)
+        )
         for _ in range(20):
             replicas.speeds.first_event(replica, FirstEvent(500, 2, 1_300))
         self.assertEqual(replicas.speeds.speed(_SERVICE), Speed())
--- a/tests/test_version_gates.py
+++ b/tests/test_version_gates.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from heronladder_router.cached_prompt_parts import KeptParts
+from heronladder_router.cached_prompt_parts import CachedPromptParts
 from heronladder_router.replica_state import FleetReplica
 from heronladder_router.rollouts.service_gate import ServiceGate
 from heronladder_schema.v1 import resources_pb2
@@ -13,7 +13,7 @@
 
 def _replica(name: str, version: str) -> FleetReplica:
     record = resources_pb2.Replica(id=name, service="app", software=version)
-    return FleetReplica(record, KeptParts(0))
+    return FleetReplica(record, CachedPromptParts(0))
 
 
 class GateTest(unittest.TestCase):
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -17,7 +17,7 @@
     next_waiter,
 )
 from heronladder_router.gateway_request import GatewayRequest
-from heronladder_router.replica_slot_queue import PlaceQueue
+from heronladder_router.replica_slot_queue import ReplicaSlotQueue
 from heronladder_router.replica_state import RequestProfile
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
@@ -124,7 +124,7 @@
     async def test_a_place_that_comes_free_goes_to_the_one_that_waits(self) -> None:
         """It stayed with 250 of 415 ms left, and one that came afterwards was sent."""
         clock, taken = _Clock(), [18]
-        queue = PlaceQueue(
+        queue = ReplicaSlotQueue(
             lambda profile: ([ReplicaPlaces(6, taken[0])], True),
             lambda: 1,
             lambda: 0.0,
