--- a/packages/heronladder-router/src/heronladder_router/attempt_outcomes.py
+++ b/packages/heronladder-router/src/heronladder_router/attempt_outcomes.py
@@ -6,7 +6,7 @@
 
 from heronladder_router.decisions.placement import Reason
 from heronladder_router.event_stream import EventStreamBuffer
-from heronladder_router.gateway_request import ReplicaAnswer
+from heronladder_router.gateway_request import ReplicaResponse
 
 
 class NotRunError(HeronladderError):
@@ -36,7 +36,7 @@
 class RunFailedError(HeronladderError):
     """The replica ran the request and failed; ``answer`` says how."""
 
-    def __init__(self, answer: ReplicaAnswer, *, step: str, peer: str) -> None:
+    def __init__(self, answer: ReplicaResponse, *, step: str, peer: str) -> None:
         super().__init__(f"status {answer.status}", step=step, peer=peer)
         self.answer = answer
 
@@ -49,7 +49,7 @@
     rejected: int = 0
     unreached: int = 0  # of those that were rejected: no connection to the replica came about
     runs: int = 0
-    failure: ReplicaAnswer | None = None
+    failure: ReplicaResponse | None = None
     lacking: Reason = Reason.NONE_KNOWN  # why no replica was left
 
     @property
--- a/packages/heronladder-router/src/heronladder_router/cached_prompt_parts.py
+++ b/packages/heronladder-router/src/heronladder_router/cached_prompt_parts.py
@@ -14,7 +14,7 @@
     tokens: int
 
 
-def parse_parts(text: str) -> list[PromptPart]:
+def parse_prompt_parts(text: str) -> list[PromptPart]:
     """Return the parts of "ID:TOKENS,ID:TOKENS"; none if the text is malformed."""
     parts = []
     chain = ""
--- a/packages/heronladder-router/src/heronladder_router/crash_reports.py
+++ b/packages/heronladder-router/src/heronladder_router/crash_reports.py
@@ -70,7 +70,7 @@
         self._open: dict[_Incarnation, _Loss] = {}
         self._untold = control_pb2.ReportCrashes()
         self._telling = False
-        requests.cleared = self._clear
+        requests.on_cleared = self._clear
         link.configuration.listen(self._look_at_open)
 
     async def stop(self) -> None:
--- a/packages/heronladder-router/src/heronladder_router/crashing_requests.py
+++ b/packages/heronladder-router/src/heronladder_router/crashing_requests.py
@@ -31,7 +31,7 @@
         self._refused: frozenset[str] = frozenset()
         self._suspects: frozenset[str] = frozenset()
         self._served_s: OrderedDict[str, float] = OrderedDict()
-        self.cleared: Callable[[str], None] = lambda fingerprint: None
+        self.on_cleared: Callable[[str], None] = lambda fingerprint: None
         configuration.listen(self._rebuild)
 
     def _rebuild(self) -> None:
@@ -51,7 +51,7 @@
         )
         for fingerprint in sorted(new):
             if self.was_served(fingerprint):
-                self.cleared(fingerprint)
+                self.on_cleared(fingerprint)
 
     @property
     def refused_count(self) -> int:
@@ -73,7 +73,7 @@
         if len(self._served_s) > _SERVED_KEPT:
             self._served_s.popitem(last=False)
         if fingerprint in self._suspects:
-            self.cleared(fingerprint)
+            self.on_cleared(fingerprint)
 
     def was_served(self, fingerprint: str) -> bool:
         """Whether a replica has run a request to the end lately, as far as this gateway knows."""
--- a/packages/heronladder-router/src/heronladder_router/dispatch_logging.py
+++ b/packages/heronladder-router/src/heronladder_router/dispatch_logging.py
@@ -6,7 +6,7 @@
 from heronladder_router.attempt_outcomes import AnswerProgress
 from heronladder_router.decisions.placement import Placement
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.gateway_request import AnswerSink, GatewayRequest
+from heronladder_router.gateway_request import GatewayRequest, ResponseSink
 from heronladder_router.replica_state import FleetReplica
 from heronladder_router.tokens.access import Reservation
 
@@ -16,7 +16,7 @@
     return None if moment_s is None else int((moment_s - start_s) * MILLISECONDS_PER_SECOND)
 
 
-def report_send(
+def log_attempt(
     log: EventLog,
     replicas: FleetReplicas,
     request: GatewayRequest,
@@ -71,10 +71,10 @@
     )
 
 
-def report_end(
+def log_request_end(
     log: EventLog,
     request: GatewayRequest,
-    sink: AnswerSink,
+    sink: ResponseSink,
     progress: AnswerProgress,
     reservation: Reservation | None,
     used: int,
--- a/packages/heronladder-router/src/heronladder_router/error_response.py
+++ b/packages/heronladder-router/src/heronladder_router/error_response.py
@@ -5,7 +5,7 @@
 OUTCOME_HEADER = "Heronladder-Outcome"
 
 
-def error_document(message: str, code: str) -> bytes:
+def error_response_body(message: str, code: str) -> bytes:
     """Return the body of an error, in the form OpenAI clients know."""
     error = {"message": message, "type": code, "param": None, "code": code}
     return json.dumps({"error": error}).encode()
--- a/packages/heronladder-router/src/heronladder_router/event_stream.py
+++ b/packages/heronladder-router/src/heronladder_router/event_stream.py
@@ -38,10 +38,10 @@
                 self.last_id = line[len(_ID_FIELD) :].strip().decode("latin-1")
 
     @property
-    def clean(self) -> bool:
+    def at_event_boundary(self) -> bool:
         """Whether the stream so far ends with a whole event."""
         return not self._rest
 
-    def drop_rest(self) -> None:
+    def discard_partial_event(self) -> None:
         """Forget the begun event: its stream broke off."""
         self._rest.clear()
--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -24,7 +24,7 @@
 from heronladder_router.crashing_requests import CrashingRequests
 from heronladder_router.decisions.distance import Way
 from heronladder_router.decisions.placement import Placement, Reason
-from heronladder_router.dispatch_logging import report_end, report_send
+from heronladder_router.dispatch_logging import log_attempt, log_request_end
 from heronladder_router.errors import (
     BehindError,
     CrashesReplicasError,
@@ -33,7 +33,7 @@
 )
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.gateway_refusals import GatewayRefusals
-from heronladder_router.gateway_request import AnswerSink, GatewayRequest
+from heronladder_router.gateway_request import GatewayRequest, ResponseSink
 from heronladder_router.host_routes import HostRouteTable
 from heronladder_router.replica_attempt import ReplicaAttempts
 from heronladder_router.replica_slot_queue import ReplicaSlotQueue
@@ -86,7 +86,7 @@
         )
         self._refusals = GatewayRefusals(parts.replicas, parts.places)
 
-    async def serve(self, request: GatewayRequest, sink: AnswerSink) -> None:
+    async def serve(self, request: GatewayRequest, sink: ResponseSink) -> None:
         """Pass the answer to a request on to its caller.
 
         Raises:
@@ -116,7 +116,7 @@
             if reservation is not None:
                 reservation.settle(used)
             now_s = self._parts.environment.monotonic()
-            report_end(self._parts.log, request, sink, progress, reservation, used, now_s)
+            log_request_end(self._parts.log, request, sink, progress, reservation, used, now_s)
 
     def _refuse_unplaceable(self, request: GatewayRequest) -> None:
         """Refuse a request before it waits for tokens or places that it has no use for.
@@ -133,7 +133,7 @@
     # ---- sends ------------------------------------------------------------
 
     async def _send_until_answered(
-        self, request: GatewayRequest, sink: AnswerSink, progress: AnswerProgress
+        self, request: GatewayRequest, sink: ResponseSink, progress: AnswerProgress
     ) -> None:
         sends = Sends()
         while True:
@@ -176,7 +176,7 @@
         self,
         request: GatewayRequest,
         replica: FleetReplica,
-        sink: AnswerSink,
+        sink: ResponseSink,
         progress: AnswerProgress,
     ) -> None:
         """Send once; what waits for a place hears of its end."""
@@ -209,7 +209,7 @@
         # lost each 2 s: 76 refusals in a traced run; 12 to 25 in each of ten without).
         if placement.replica is None or not sends.may_have_arrived:
             return placement
-        if not self._parts.allowance.try_repeat(request.profile.service):
+        if not self._parts.allowance.try_spend(request.profile.service):
             self._parts.metrics.add("repeats_not_allowed", request.profile.service)
             return Placement(None, Reason.TRIED)
         return placement
@@ -263,7 +263,7 @@
         progress.replica = replica.name
         if progress.sent_s is None:
             progress.sent_s = self._parts.environment.monotonic()
-        report_send(
+        log_attempt(
             self._parts.log,
             self._parts.replicas,
             request,
@@ -313,7 +313,7 @@
     async def _give_up(
         self,
         request: GatewayRequest,
-        sink: AnswerSink,
+        sink: ResponseSink,
         progress: AnswerProgress,
         sends: Sends,
     ) -> None:
@@ -329,7 +329,7 @@
 
     @staticmethod
     def _time_ran_out(
-        request: GatewayRequest, sink: AnswerSink, progress: AnswerProgress
+        request: GatewayRequest, sink: ResponseSink, progress: AnswerProgress
     ) -> HeronladderError:
         if sink.started:
             return StreamBrokenError(
--- a/packages/heronladder-router/src/heronladder_router/gateway_header_names.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_header_names.py
@@ -43,4 +43,4 @@
     replica_limit: str = "Heronladder-Replica-Limit"
     leaving: str = "Heronladder-Leaving"
     key_scheme: str = "Bearer "
-    engine_orders: tuple[str, ...] = ()
+    engine_control_headers: tuple[str, ...] = ()
--- a/packages/heronladder-router/src/heronladder_router/gateway_request.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_request.py
@@ -6,7 +6,7 @@
 
 from heronladder_router.host_routes import MatchedRoute
 from heronladder_router.replica_state import RequestProfile
-from heronladder_router.request_fingerprint import fingerprint_of
+from heronladder_router.request_fingerprint import compute_fingerprint
 
 Headers = list[tuple[str, str]]
 
@@ -16,20 +16,20 @@
     """Tokens of a prompt, and the most that may come out."""
 
     prompt: int
-    most_out: int
+    max_output: int
 
     @property
     def total(self) -> int:
         """Most tokens the request can cost."""
-        return self.prompt + self.most_out
+        return self.prompt + self.max_output
 
 
-def parse_bounds(text: str) -> TokenBounds | None:
+def parse_token_bounds(text: str) -> TokenBounds | None:
     """Return the bounds of "PROMPT,OUT", or None if the text is malformed."""
-    prompt, comma, most_out = text.partition(",")
-    if not (comma and prompt.strip().isdigit() and most_out.strip().isdigit()):
+    prompt, comma, max_output = text.partition(",")
+    if not (comma and prompt.strip().isdigit() and max_output.strip().isdigit()):
         return None
-    return TokenBounds(int(prompt), int(most_out))
+    return TokenBounds(int(prompt), int(max_output))
 
 
 @dataclass
@@ -67,11 +67,11 @@
         """What all tries of this request have in common."""
         tenant = self.matched.tenant
         name = tenant.name if tenant is not None else ""
-        return fingerprint_of(name, self.method, self.target, self.body)
+        return compute_fingerprint(name, self.method, self.target, self.body)
 
 
 @dataclass
-class ReplicaAnswer:
+class ReplicaResponse:
     """A whole answer of a replica, or the head of a stream."""
 
     status: int
@@ -79,15 +79,15 @@
     body: bytes = b""
 
 
-class AnswerSink(Protocol):
+class ResponseSink(Protocol):
     """Where an answer goes: the caller's connection."""
 
     started: bool
 
-    async def whole(self, answer: ReplicaAnswer) -> None:
+    async def whole(self, answer: ReplicaResponse) -> None:
         """Send a whole answer."""
 
-    async def start(self, answer: ReplicaAnswer) -> None:
+    async def start(self, answer: ReplicaResponse) -> None:
         """Send the head of a stream."""
 
     async def write(self, data: bytes) -> None:
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -234,7 +234,7 @@
 
     def _loads_told(self, loads: Mapping[str, control_pb2.ReplicaLoad]) -> None:
         self.replicas.loads.update_others(loads)
-        self.places.loads_told()
+        self.places.on_loads_updated()
         self._look_at_load()
 
     def _look_at_load(self) -> None:
--- a/packages/heronladder-router/src/heronladder_router/gateway_server.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_server.py
@@ -10,8 +10,8 @@
 from heronladder_runtime.metrics import Metrics
 from heronladder_schema.v1 import ledger_pb2
 
-from heronladder_router.cached_prompt_parts import parse_parts
-from heronladder_router.error_response import OUTCOME_HEADER, error_document
+from heronladder_router.cached_prompt_parts import parse_prompt_parts
+from heronladder_router.error_response import OUTCOME_HEADER, error_response_body
 from heronladder_router.errors import (
     OUTCOME_WORDS,
     BehindError,
@@ -26,11 +26,11 @@
 from heronladder_router.gateway_header_names import GatewayHeaderNames
 from heronladder_router.gateway_request import (
     GatewayRequest,
-    ReplicaAnswer,
+    ReplicaResponse,
     TokenBounds,
-    parse_bounds,
+    parse_token_bounds,
 )
-from heronladder_router.hop_by_hop_headers import is_hop_header
+from heronladder_router.hop_by_hop_headers import is_hop_by_hop_header
 from heronladder_router.host_routes import HostRouteTable, MatchedRoute
 from heronladder_router.replica_state import RequestProfile
 
@@ -39,7 +39,7 @@
 _STEP = "intake"
 
 
-class _CallerSink:
+class _CallerResponseSink:
     """Sends an answer on a caller's connection."""
 
     def __init__(self, request: web.BaseRequest, closing: bool) -> None:
@@ -49,7 +49,7 @@
         self.started = False
         self.status = 0
 
-    def _head(self, answer: ReplicaAnswer, response: web.StreamResponse) -> None:
+    def _head(self, answer: ReplicaResponse, response: web.StreamResponse) -> None:
         self.started = True
         self.status = answer.status
         for name, value in answer.headers:
@@ -58,14 +58,14 @@
             response.force_close()
         self._response = response
 
-    async def whole(self, answer: ReplicaAnswer) -> None:
+    async def whole(self, answer: ReplicaResponse) -> None:
         response = web.Response(status=answer.status, body=answer.body)
         response.headers.clear()
         self._head(answer, response)
         await response.prepare(self._request)
         await response.write_eof()
 
-    async def start(self, answer: ReplicaAnswer) -> None:
+    async def start(self, answer: ReplicaResponse) -> None:
         response = web.StreamResponse(status=answer.status)
         self._head(answer, response)
         await response.prepare(self._request)
@@ -126,7 +126,7 @@
             names.tenant,
             names.priority,
             names.last_event_id,
-            *names.engine_orders,
+            *names.engine_control_headers,
             "Authorization",
             "Expect",
         )
@@ -134,7 +134,7 @@
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve one request."""
-        sink = _CallerSink(request, self.closing or self.moving)
+        sink = _CallerResponseSink(request, self.closing or self.moving)
         arrived_s = self._environment.monotonic()
         self.in_flight += 1
         try:
@@ -173,7 +173,9 @@
 
     # ---- intake -----------------------------------------------------------
 
-    async def _serve(self, request: web.BaseRequest, sink: _CallerSink, arrived_s: float) -> None:
+    async def _serve(
+        self, request: web.BaseRequest, sink: _CallerResponseSink, arrived_s: float
+    ) -> None:
         if self.refusing:
             raise StoppingError("this gateway is stopping", step=_STEP)
         if not self.ready:
@@ -209,7 +211,7 @@
         arrived_s: float,
     ) -> GatewayRequest:
         headers = request.headers
-        bounds = parse_bounds(headers.get(self._names.token_bounds, ""))
+        bounds = parse_token_bounds(headers.get(self._names.token_bounds, ""))
         service = self._routes.choose_service(matched.route, self._environment.random)
         return GatewayRequest(
             request_id=headers.get(self._names.request_id, ""),
@@ -234,7 +236,9 @@
         route = matched.route.name
         if bounds is None:
             return RequestProfile(service, regions=matched.regions, route=route)
-        return RequestProfile(service, parse_parts(parts), bounds.prompt, matched.regions, route)
+        return RequestProfile(
+            service, parse_prompt_parts(parts), bounds.prompt, matched.regions, route
+        )
 
     def _deadline_s(
         self, request: web.BaseRequest, matched: MatchedRoute, arrived_s: float
@@ -255,7 +259,7 @@
         passed = []
         for name, value in request.headers.items():
             lower = name.lower()
-            if lower in self._own_headers or lower in named or is_hop_header(lower):
+            if lower in self._own_headers or lower in named or is_hop_by_hop_header(lower):
                 continue
             passed.append((name, value))
         if matched.tenant is not None:
@@ -299,7 +303,7 @@
         )
         response = web.Response(
             status=error.status,
-            body=error_document(error.message, error.code),
+            body=error_response_body(error.message, error.code),
             content_type="application/json",
         )
         response.headers[OUTCOME_HEADER] = OUTCOME_WORDS[error.outcome]
--- a/packages/heronladder-router/src/heronladder_router/hop_by_hop_headers.py
+++ b/packages/heronladder-router/src/heronladder_router/hop_by_hop_headers.py
@@ -18,16 +18,16 @@
 )
 
 
-def is_hop_header(name: str) -> bool:
+def is_hop_by_hop_header(name: str) -> bool:
     """Whether a header concerns one connection only."""
     return name.lower() in _HOP_HEADERS
 
 
-def passed_headers(response: aiohttp.ClientResponse) -> list[tuple[str, str]]:
+def forwarded_headers(response: aiohttp.ClientResponse) -> list[tuple[str, str]]:
     """Return the headers of an answer that go on to the caller."""
     dropped = {name.strip().lower() for name in response.headers.get("Connection", "").split(",")}
     return [
         (name, value)
         for name, value in response.headers.items()
-        if not is_hop_header(name) and name.lower() not in dropped
+        if not is_hop_by_hop_header(name) and name.lower() not in dropped
     ]
--- a/packages/heronladder-router/src/heronladder_router/replica_attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_attempt.py
@@ -21,8 +21,8 @@
 from heronladder_router.decisions.patience import patience
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.gateway_header_names import GatewayHeaderNames
-from heronladder_router.gateway_request import AnswerSink, GatewayRequest, ReplicaAnswer
-from heronladder_router.hop_by_hop_headers import passed_headers
+from heronladder_router.gateway_request import GatewayRequest, ReplicaResponse, ResponseSink
+from heronladder_router.hop_by_hop_headers import forwarded_headers
 from heronladder_router.replica_client import (
     ReplicaClient,
     ReplicaLostError,
@@ -72,7 +72,7 @@
         self,
         request: GatewayRequest,
         replica: FleetReplica,
-        sink: AnswerSink,
+        sink: ResponseSink,
         progress: AnswerProgress,
     ) -> None:
         """Send the request and pass the answer on.
@@ -101,7 +101,7 @@
         self,
         request: GatewayRequest,
         replica: FleetReplica,
-        sink: AnswerSink,
+        sink: ResponseSink,
         progress: AnswerProgress,
     ) -> None:
         unread = self._replicas.sent(replica, request.profile)
@@ -202,7 +202,7 @@
         request: GatewayRequest,
         replica: FleetReplica,
         response: aiohttp.ClientResponse,
-        sink: AnswerSink,
+        sink: ResponseSink,
         progress: AnswerProgress,
         reading: UnreadPrompt,
         seen: AnswerSeen | None,
@@ -244,7 +244,9 @@
             return
         if seen is not None:
             seen.came(self._environment.monotonic())
-        answer = ReplicaAnswer(response.status, passed_headers(response), await response.read())
+        answer = ReplicaResponse(
+            response.status, forwarded_headers(response), await response.read()
+        )
         if sink.started:
             raise RunLostError("the stream did not go on", step="resume", peer=replica.name)
         if answer.status >= _FIRST_SERVER_ERROR:
@@ -257,13 +259,13 @@
         self,
         request: GatewayRequest,
         response: aiohttp.ClientResponse,
-        sink: AnswerSink,
+        sink: ResponseSink,
         progress: AnswerProgress,
         reading: UnreadPrompt,
         seen: AnswerSeen | None,
     ) -> None:
         cutter = progress.cutter
-        cutter.drop_rest()
+        cutter.discard_partial_event()
         content = response.content
         while True:
             patience_s = _LONGEST_GAP_S if cutter.events else self._patience_s(request)
@@ -287,19 +289,19 @@
                     seen.came(self._environment.monotonic(), cutter.events - events)
                 progress.passed_on(self._environment.monotonic())
                 await _passed(self._write(response, sink, whole), seen)
-        if not cutter.clean:
+        if not cutter.at_event_boundary:
             raise ConnectionEndedError("the stream ended within an event", step="read_stream")
         if not sink.started:
-            head = ReplicaAnswer(response.status, passed_headers(response))
+            head = ReplicaResponse(response.status, forwarded_headers(response))
             await _passed(sink.start(head), seen)
         progress.finished = True
         progress.handed_out = True
         await _passed(sink.finish(), seen)
 
     @staticmethod
-    async def _write(response: aiohttp.ClientResponse, sink: AnswerSink, whole: bytes) -> None:
+    async def _write(response: aiohttp.ClientResponse, sink: ResponseSink, whole: bytes) -> None:
         if not sink.started:
-            await sink.start(ReplicaAnswer(response.status, passed_headers(response)))
+            await sink.start(ReplicaResponse(response.status, forwarded_headers(response)))
         await sink.write(whole)
 
 
--- a/packages/heronladder-router/src/heronladder_router/replica_slot_queue.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_slot_queue.py
@@ -183,7 +183,7 @@
             if not room.done():
                 room.set_result(None)
 
-    def loads_told(self) -> None:
+    def on_loads_updated(self) -> None:
         """Look again at all services: the sums of load are new."""
         for service, queue in self._services.items():
             if queue.waiting:
--- a/packages/heronladder-router/src/heronladder_router/request_fingerprint.py
+++ b/packages/heronladder-router/src/heronladder_router/request_fingerprint.py
@@ -5,7 +5,7 @@
 _DIGEST_BYTES = 8
 
 
-def fingerprint_of(tenant: str, method: str, target: str, body: bytes) -> str:
+def compute_fingerprint(tenant: str, method: str, target: str, body: bytes) -> str:
     """Return a fingerprint of a request, 16 hexadecimal digits.
 
     Headers do not count: a caller's next try has another request id and deadline.
--- a/packages/heronladder-router/src/heronladder_router/request_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/request_tokens.py
@@ -103,4 +103,4 @@
         out = progress.cutter.events * per_event
         if not progress.finished:
             out += _LATE_TOKENS
-        return bounds.prompt + min(bounds.most_out, out)
+        return bounds.prompt + min(bounds.max_output, out)
--- a/packages/heronladder-router/src/heronladder_router/server.py
+++ b/packages/heronladder-router/src/heronladder_router/server.py
@@ -13,7 +13,7 @@
 from heronladder_schema.v1 import ledger_pb2
 
 from heronladder_router.caller_answer import CallerAnswer
-from heronladder_router.error_response import OUTCOME_HEADER, error_document
+from heronladder_router.error_response import OUTCOME_HEADER, error_response_body
 from heronladder_router.errors import (
     OUTCOME_WORDS,
     BodyTooLargeError,
@@ -232,7 +232,7 @@
         }
         if error.retry_after_s is not None:
             headers["Retry-After"] = str(error.retry_after_s)
-        body = error_document(error.message, error.code)
+        body = error_response_body(error.message, error.code)
         return web.Response(status=error.status, body=body, headers=headers)
 
     # ---- small calls ------------------------------------------------------
--- a/packages/heronladder-router/src/heronladder_router/sliding_retry_budget.py
+++ b/packages/heronladder-router/src/heronladder_router/sliding_retry_budget.py
@@ -30,7 +30,7 @@
         """Count a request of a caller."""
         self._counted(self._requests, service).append(self._environment.monotonic())
 
-    def try_repeat(self, service: str) -> bool:
+    def try_spend(self, service: str) -> bool:
         """Count a repeated send if one is allowed now."""
         repeats = self._counted(self._repeats, service)
         requests = self._counted(self._requests, service)
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -4,7 +4,7 @@
 import unittest
 
 from heronladder_control.replica_loads import ReplicaLoads
-from heronladder_router.cached_prompt_parts import parse_parts
+from heronladder_router.cached_prompt_parts import parse_prompt_parts
 from heronladder_router.decisions.cold_limit import ColdLimits
 from heronladder_router.decisions.few_senders import GatewaysKnown
 from heronladder_router.fleet_replicas import FleetReplicas
@@ -47,7 +47,7 @@
 
 
 def _plan(subject: int, request: int, subject_tokens: int = 4_870) -> RequestProfile:
-    parts = parse_parts(f"menu:512,{subject:x}:{subject_tokens},own{request}:6000")
+    parts = parse_prompt_parts(f"menu:512,{subject:x}:{subject_tokens},own{request}:6000")
     return RequestProfile(_SERVICE, parts, 6_512 + subject_tokens)
 
 
@@ -128,7 +128,7 @@
         self.gateway.loads.update_others(told)
 
     def test_a_replica_that_others_keep_busy_is_passed_over(self) -> None:
-        profile = RequestProfile(_SERVICE, parse_parts("own1:600"), 600)
+        profile = RequestProfile(_SERVICE, parse_prompt_parts("own1:600"), 600)
         busy = {f"replica_{number}": 40_000 for number in range(8)}
         self._told(**busy)
         chosen = [_send(self.gateway, profile) for _ in range(200)]
@@ -150,10 +150,10 @@
 
     def test_a_gateway_tells_what_it_has_under_way(self) -> None:
         replica = self.gateway.place(
-            RequestProfile(_SERVICE, parse_parts("own1:600"), 600), ()
+            RequestProfile(_SERVICE, parse_prompt_parts("own1:600"), 600), ()
         ).replica
         assert replica is not None
-        self.gateway.sent(replica, RequestProfile(_SERVICE, parse_parts("own1:600"), 600))
+        self.gateway.sent(replica, RequestProfile(_SERVICE, parse_prompt_parts("own1:600"), 600))
         heartbeat = control_pb2.Heartbeat()
         self.gateway.fill_heartbeat(heartbeat)
         self.assertEqual(list(heartbeat.replica_loads), [replica.name])
--- a/tests/test_gateway_refusals.py
+++ b/tests/test_gateway_refusals.py
@@ -7,7 +7,7 @@
 
 from heronladder_router.errors import PrepaidUnavailableError
 from heronladder_router.gateway_dispatch import DispatchContext, GatewayDispatcher
-from heronladder_router.gateway_request import AnswerSink, GatewayRequest, TokenBounds
+from heronladder_router.gateway_request import GatewayRequest, ResponseSink, TokenBounds
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
 from heronladder_schema.v1 import resources_pb2
@@ -72,7 +72,7 @@
             )
             dispatcher = GatewayDispatcher(cast(DispatchContext, parts))
             with self.assertRaises(PrepaidUnavailableError):
-                await dispatcher.serve(cast(GatewayRequest, request), cast(AnswerSink, None))
+                await dispatcher.serve(cast(GatewayRequest, request), cast(ResponseSink, None))
             self.assertLess(tokens.waited_s, objective_ms / 1000 / _PART_OF_OBJECTIVE)
             waited[objective_ms, round_trip_s] = tokens.waited_s
         for objective_ms in (800, 1500):
--- a/tests/test_suspension_held.py
+++ b/tests/test_suspension_held.py
@@ -111,11 +111,11 @@
             gateway = fleet.gateway.gateway
             assert gateway is not None
             allowance = gateway.server._dispatcher._parts.allowance
-            while allowance.try_repeat(SERVICE):
+            while allowance.try_spend(SERVICE):
                 pass
 
         def may_repeat(gateway: GatewayRole) -> bool:
-            return gateway.server._dispatcher._parts.allowance.try_repeat(SERVICE)
+            return gateway.server._dispatcher._parts.allowance.try_spend(SERVICE)
 
         self.assertEqual(self._before_and_after(use_up, may_repeat), (False, True))
 
--- a/tests/test_unreached_replicas.py
+++ b/tests/test_unreached_replicas.py
@@ -60,7 +60,7 @@
         The repeats that a gateway may make were used up, by tries at replicas that had crashed.
         """
         allowance = self.role.server._dispatcher._parts.allowance
-        while allowance.try_repeat(SERVICE):
+        while allowance.try_spend(SERVICE):
             pass
         dead, live = self.replicas[:3], self.replicas[3:]
         for replica in dead:
