--- a/packages/heronladder-router/src/heronladder_router/cached_prompt_parts.py
+++ b/packages/heronladder-router/src/heronladder_router/cached_prompt_parts.py
@@ -39,7 +39,7 @@
         self._parts: OrderedDict[str, int] = OrderedDict()
         self._tokens = 0
 
-    def kept_tokens(self, parts: list[PromptPart]) -> int:
+    def cached_prefix_tokens(self, parts: list[PromptPart]) -> int:
         """Return how many tokens at the head of a prompt need not be read again."""
         kept = 0
         for part in parts:
@@ -48,7 +48,7 @@
             kept += part.tokens
         return kept
 
-    def note(self, parts: list[PromptPart]) -> None:
+    def record_prompt(self, parts: list[PromptPart]) -> None:
         """Note that a prompt was sent; the last of its parts is dropped first."""
         for part in reversed(parts):
             known = self._parts.pop(part.identity, 0)
--- a/packages/heronladder-router/src/heronladder_router/crash_reports.py
+++ b/packages/heronladder-router/src/heronladder_router/crash_reports.py
@@ -79,7 +79,7 @@
 
     # ---- what was seen ----------------------------------------------------
 
-    def lost(self, replica: FleetReplica, request: GatewayRequest) -> None:
+    def record_connection_loss(self, replica: FleetReplica, request: GatewayRequest) -> None:
         """Note that a connection ended in the middle of an answer."""
         record = replica.record
         if record.draining or record.gone or self._requests.was_served(request.fingerprint):
--- a/packages/heronladder-router/src/heronladder_router/crashing_requests.py
+++ b/packages/heronladder-router/src/heronladder_router/crashing_requests.py
@@ -66,7 +66,7 @@
         """Whether a request was there when replicas crashed, and may be to blame."""
         return fingerprint in self._suspects
 
-    def served(self, fingerprint: str) -> None:
+    def record_served(self, fingerprint: str) -> None:
         """Note that a replica has run a request to the end."""
         self._served_s[fingerprint] = self._environment.monotonic()
         self._served_s.move_to_end(fingerprint)
--- a/packages/heronladder-router/src/heronladder_router/decisions/placement.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/placement.py
@@ -305,7 +305,7 @@
 
 def _kept_tokens(replica: FleetReplica, profile: RequestProfile, keeper: str) -> int:
     """Return the tokens of a prompt that a replica is expected to keep."""
-    kept = replica.parts.kept_tokens(profile.parts)
+    kept = replica.parts.cached_prefix_tokens(profile.parts)
     return max(kept, profile.shared_tokens) if replica.name == keeper else kept
 
 
@@ -330,7 +330,7 @@
 def _keeps(replica: FleetReplica, profile: RequestProfile) -> bool:
     """Whether a replica is known to keep all shared parts of a prompt, and there are some."""
     shared = profile.shared_tokens
-    return shared > 0 and replica.parts.kept_tokens(profile.parts[:-1]) == shared
+    return shared > 0 and replica.parts.cached_prefix_tokens(profile.parts[:-1]) == shared
 
 
 def _rank(subject: bytes, name: str) -> bytes:
--- a/packages/heronladder-router/src/heronladder_router/dispatch_logging.py
+++ b/packages/heronladder-router/src/heronladder_router/dispatch_logging.py
@@ -52,7 +52,7 @@
         others_in_flight=replica.others_in_flight,
         others_unread_tokens=replica.others_unread_tokens,
         load_age_s=replicas.loads.age_s,
-        kept_tokens=replica.parts.kept_tokens(request.profile.parts),
+        kept_tokens=replica.parts.cached_prefix_tokens(request.profile.parts),
         suspect=replica.failures,
         reason=placement.reason.value,
         cost_ms=placement.cost_ms,
--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -323,10 +323,10 @@
         Returns:
             Tokens that it has to read, to be given to ``began``.
         """
-        unread = max(0, profile.prompt_tokens - replica.parts.kept_tokens(profile.parts))
+        unread = max(0, profile.prompt_tokens - replica.parts.cached_prefix_tokens(profile.parts))
         replica.in_flight += 1
         replica.unread_tokens += unread
-        replica.parts.note(profile.parts)
+        replica.parts.record_prompt(profile.parts)
         self._count_cold_send(replica)
         self.limits.sent(replica)
         return unread
--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -62,8 +62,8 @@
     replicas: FleetReplicas
     tokens: TokenAccess
     attempts: ReplicaAttempts
-    allowance: SlidingRetryBudget
-    places: ReplicaSlotQueue
+    retry_budget: SlidingRetryBudget
+    slot_queue: ReplicaSlotQueue
     crashing: CrashingRequests
     crash_reports: CrashReports
     unreached: UnreachedReplicas
@@ -80,11 +80,11 @@
     """
 
     def __init__(self, parts: DispatchContext) -> None:
-        self._parts = parts
+        self._context = parts
         self._tokens = RequestTokens(
             parts.link, parts.routes, parts.tokens, parts.environment, parts.log
         )
-        self._refusals = GatewayRefusals(parts.replicas, parts.places)
+        self._refusals = GatewayRefusals(parts.replicas, parts.slot_queue)
 
     async def serve(self, request: GatewayRequest, sink: ResponseSink) -> None:
         """Pass the answer to a request on to its caller.
@@ -93,21 +93,21 @@
             CallerError: If there is none; nothing was sent to the caller.
             StreamBrokenError: If a stream that had begun cannot go on.
         """
-        if self._parts.crashing.is_refused(request.fingerprint):
+        if self._context.crashing.is_refused(request.fingerprint):
             raise CrashesReplicasError(
                 f"replicas crashed under request {request.fingerprint}",
                 step="serve",
                 peer=request.profile.service,
             )
-        self._parts.allowance.gateways = self._parts.link.routers
-        self._parts.allowance.request(request.profile.service)
-        self._parts.replicas.limits.requested(request.profile.service)
+        self._context.retry_budget.gateways = self._context.link.routers
+        self._context.retry_budget.request(request.profile.service)
+        self._context.replicas.limits.requested(request.profile.service)
         self._refuse_unplaceable(request)
         reservation = await self._tokens.reserve(request)
         progress = AnswerProgress()
         try:
             async with asyncio.timeout_at(request.deadline_s):
-                await self._parts.places.admit(request)
+                await self._context.slot_queue.admit(request)
                 await self._send_until_answered(request, sink, progress)
         except TimeoutError as error:
             raise self._time_ran_out(request, sink, progress) from error
@@ -115,8 +115,8 @@
             used = self._tokens.used(request, progress)
             if reservation is not None:
                 reservation.settle(used)
-            now_s = self._parts.environment.monotonic()
-            log_request_end(self._parts.log, request, sink, progress, reservation, used, now_s)
+            now_s = self._context.environment.monotonic()
+            log_request_end(self._context.log, request, sink, progress, reservation, used, now_s)
 
     def _refuse_unplaceable(self, request: GatewayRequest) -> None:
         """Refuse a request before it waits for tokens or places that it has no use for.
@@ -124,11 +124,11 @@
         Raises:
             CallerError: If only replicas that back off or leave are left for it.
         """
-        if not self._parts.replicas.availability.any_unavailable:
+        if not self._context.replicas.availability.any_unavailable:
             return
         reason = self._place(request, Sends()).reason
         if reason in (Reason.BACKING_OFF, Reason.LEAVING):
-            raise self._refusals.no_answer(request, Sends(lacking=reason))
+            raise self._refusals.unanswered_error(request, Sends(lacking=reason))
 
     # ---- sends ------------------------------------------------------------
 
@@ -145,7 +145,7 @@
             self._log_send(request, replica, placement, sends, progress)
             try:
                 await self._make_attempt(request, replica, sink, progress)
-                self._parts.crashing.served(request.fingerprint)
+                self._context.crashing.record_served(request.fingerprint)
                 return
             except HeldBackError as error:
                 self._note_held_back(request, replica, error)
@@ -159,14 +159,14 @@
             except RunFailedError as error:
                 sends.runs += 1
                 sends.failure = error.answer
-                self._parts.crashing.served(request.fingerprint)  # it did not crash
+                self._context.crashing.record_served(request.fingerprint)  # it did not crash
                 self._note_failure(request, replica, error)
             except RunLostError as error:
                 sends.runs += 1
                 sends.failure = None
                 self._note_failure(request, replica, error)
                 if isinstance(error, ConnectionEndedError):
-                    self._parts.crash_reports.lost(replica, request)
+                    self._context.crash_reports.record_connection_loss(replica, request)
             sends.tried.add(replica.name)
             if sends.runs and not self._may_run_again(request, sends):
                 break
@@ -181,18 +181,20 @@
     ) -> None:
         """Send once; what waits for a place hears of its end."""
         if request.bounds is not None:
-            await self._parts.attempts.make(request, replica, sink, progress)
+            await self._context.attempts.make(request, replica, sink, progress)
             return
         service = request.profile.service
-        sent_s = self._parts.environment.monotonic()
+        sent_s = self._context.environment.monotonic()
         try:
-            await self._parts.attempts.make(request, replica, sink, progress)
-            self._parts.places.answered(service, self._parts.environment.monotonic() - sent_s)
+            await self._context.attempts.make(request, replica, sink, progress)
+            self._context.slot_queue.record_response_time(
+                service, self._context.environment.monotonic() - sent_s
+            )
         finally:
-            self._parts.places.room(service)
+            self._context.slot_queue.grant_free_slots(service)
 
     def _may_run_again(self, request: GatewayRequest, sends: Sends) -> bool:
-        crashing = self._parts.crashing
+        crashing = self._context.crashing
         if crashing.is_suspect(request.fingerprint) or crashing.is_refused(request.fingerprint):
             return False  # each send may cost a replica
         route = request.matched.route
@@ -209,14 +211,14 @@
         # lost each 2 s: 76 refusals in a traced run; 12 to 25 in each of ten without).
         if placement.replica is None or not sends.may_have_arrived:
             return placement
-        if not self._parts.allowance.try_spend(request.profile.service):
-            self._parts.metrics.add("repeats_not_allowed", request.profile.service)
+        if not self._context.retry_budget.try_spend(request.profile.service):
+            self._context.metrics.add("repeats_not_allowed", request.profile.service)
             return Placement(None, Reason.TRIED)
         return placement
 
     async def _passes(self, reason: Reason, request: GatewayRequest) -> bool:
         """Wait a moment for what keeps a request from being sent; return whether it may be over."""
-        replicas = self._parts.replicas
+        replicas = self._context.replicas
         if reason is Reason.LIMITED:
             return await replicas.limits.wait_for_grant(request.profile.service)
         if reason in _MAY_PASS:
@@ -226,9 +228,9 @@
 
     def _place(self, request: GatewayRequest, sends: Sends) -> Placement:
         profile = request.profile
-        if self._parts.crashing.is_suspect(request.fingerprint):
+        if self._context.crashing.is_suspect(request.fingerprint):
             profile = replace(profile, alone=request.fingerprint)
-        return self._parts.replicas.place(profile, sends.tried)
+        return self._context.replicas.place(profile, sends.tried)
 
     async def _wait_until_it_may_send(self, sends: Sends) -> None:
         """Send by no list of replicas that is known to be superseded.
@@ -236,7 +238,7 @@
         Raises:
             BehindError: If nothing was sent yet: other gateways can serve it.
         """
-        standing = self._parts.link.standing
+        standing = self._context.link.standing
         if not standing.must_hold:
             return
         if not sends.count:
@@ -252,39 +254,39 @@
         progress: AnswerProgress,
     ) -> None:
         if placement.way.is_far:
-            self._parts.metrics.add("requests_across", placement.way.value)
-            self._parts.metrics.add("body_bytes_across", amount=len(request.body))
+            self._context.metrics.add("requests_across", placement.way.value)
+            self._context.metrics.add("body_bytes_across", amount=len(request.body))
             if placement.way.is_spill:
-                self._parts.replicas.spilled()
+                self._context.replicas.spilled()
         elif placement.way is Way.NEAR_SPILL_BOUND:
-            self._parts.metrics.add("spills_held_back")
-        progress.suspected = self._parts.crashing.is_suspect(request.fingerprint)
+            self._context.metrics.add("spills_held_back")
+        progress.suspected = self._context.crashing.is_suspect(request.fingerprint)
         progress.sends += 1
         progress.replica = replica.name
         if progress.sent_s is None:
-            progress.sent_s = self._parts.environment.monotonic()
+            progress.sent_s = self._context.environment.monotonic()
         log_attempt(
-            self._parts.log,
-            self._parts.replicas,
+            self._context.log,
+            self._context.replicas,
             request,
             replica,
             placement,
             sends.count,
-            self._parts.environment.monotonic(),
+            self._context.environment.monotonic(),
         )
 
     def _note_failure(
         self, request: GatewayRequest, replica: FleetReplica, error: HeronladderError
     ) -> None:
         if error.step == "rejected":
-            self._parts.replicas.busy(replica)
+            self._context.replicas.busy(replica)
         elif not (error.step == "misdirected" or isinstance(error, NoConnectionError)):
             unreached = isinstance(error, NotReachedError)
-            self._parts.replicas.failed(replica, error.message, unreached=unreached)
+            self._context.replicas.failed(replica, error.message, unreached=unreached)
             if unreached:
-                self._parts.unreached.watch(replica)
-        self._parts.metrics.add("sends_failed", type(error).__name__)
-        self._parts.log.info(
+                self._context.unreached.watch(replica)
+        self._context.metrics.add("sends_failed", type(error).__name__)
+        self._context.log.info(
             "send_failed",
             step=error.step,
             peer=replica.name,
@@ -299,8 +301,8 @@
     def _note_held_back(
         self, request: GatewayRequest, replica: FleetReplica, error: HeldBackError
     ) -> None:
-        self._parts.metrics.add("sends_held_back", error.message)
-        self._parts.log.info(
+        self._context.metrics.add("sends_held_back", error.message)
+        self._context.log.info(
             "send_held_back",
             step=error.step,
             peer=replica.name,
@@ -323,9 +325,9 @@
             )
         if sends.failure is not None:
             progress.finished = True
-            await sink.whole(sends.failure)
+            await sink.send_complete(sends.failure)
             return
-        raise self._refusals.no_answer(request, sends)
+        raise self._refusals.unanswered_error(request, sends)
 
     @staticmethod
     def _time_ran_out(
--- a/packages/heronladder-router/src/heronladder_router/gateway_readiness.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_readiness.py
@@ -50,7 +50,7 @@
         """Whether this gateway is behind."""
         return self._behind_since_s is not None
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Decide anew.
 
         Called with each answer of control to a heartbeat, and by whoever asks while this gateway
--- a/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
@@ -42,7 +42,7 @@
         self._replicas = replicas
         self._places = places
 
-    def no_answer(self, request: GatewayRequest, sends: Sends) -> CallerError:
+    def unanswered_error(self, request: GatewayRequest, sends: Sends) -> CallerError:
         """Return what to tell the caller, and when it may come back."""
         service = request.profile.service
         if sends.runs:
--- a/packages/heronladder-router/src/heronladder_router/gateway_request.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_request.py
@@ -84,7 +84,7 @@
 
     started: bool
 
-    async def whole(self, answer: ReplicaResponse) -> None:
+    async def send_complete(self, answer: ReplicaResponse) -> None:
         """Send a whole answer."""
 
     async def start(self, answer: ReplicaResponse) -> None:
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -123,7 +123,7 @@
         self.replicas = self._make_replicas()
         handlers.session_began = self.tokens.held.session_began
         handlers.fill_heartbeat = self._fill_heartbeat
-        self.places = self._make_places()
+        self.slot_queue = self._make_places()
         self.readiness = GatewayReadiness(
             options.behind_after_ms,
             self.link,
@@ -155,7 +155,7 @@
         self.metrics.gauge("configuration_revision", lambda: self.link.configuration.revision)
         self.metrics.gauge("replicas_cold", lambda: self.replicas.cold_count)
         self.metrics.gauge("far_sends", lambda: self.replicas.far_sends)
-        self.metrics.gauge("requests_waiting_for_places", lambda: self.places.waiting_count)
+        self.metrics.gauge("requests_waiting_for_places", lambda: self.slot_queue.waiting_count)
         self.metrics.gauge("zones_evacuated", lambda: len(self.replicas.evacuated))
         self.metrics.gauge("crashing_requests_refused", lambda: self.crashing.refused_count)
         self.metrics.gauge("requests_waiting_for_connections", lambda: self._connections.waiting)
@@ -234,12 +234,12 @@
 
     def _loads_told(self, loads: Mapping[str, control_pb2.ReplicaLoad]) -> None:
         self.replicas.loads.update_others(loads)
-        self.places.on_loads_updated()
+        self.slot_queue.on_loads_updated()
         self._look_at_load()
 
     def _look_at_load(self) -> None:
-        self.readiness.look()
-        self.server.moving = self.readiness.behind
+        self.readiness.update()
+        self.server.shedding_connections = self.readiness.behind
 
     def _make_server(self) -> GatewayServer:
         options = self.options
@@ -251,13 +251,13 @@
             attempts=ReplicaAttempts(
                 self._client, self._connections, self.replicas, options.names, self._environment
             ),
-            allowance=SlidingRetryBudget(
+            retry_budget=SlidingRetryBudget(
                 self._environment,
                 options.retry_ratio,
                 options.retry_slack,
                 options.retry_window_s,
             ),
-            places=self.places,
+            slot_queue=self.slot_queue,
             crashing=self.crashing,
             crash_reports=self.crash_reports,
             unreached=self.unreached,
@@ -311,7 +311,7 @@
             self.server.ready
             and heard
             and not held
-            and not (self.server.closing or self.server.moving)
+            and not (self.server.draining or self.server.shedding_connections)
         )
 
     async def drain(
@@ -325,10 +325,10 @@
             stop_accepting: Closes the listener; requests on open connections are refused.
         """
         began_s = self._environment.monotonic()
-        self.server.closing = True
+        self.server.draining = True
         await asyncio.sleep(notice_s)
         # From now on, busy callers on kept connections must not hold this up.
-        self.server.refusing = True
+        self.server.rejecting_requests = True
         self.tokens.lend_no_more()
         await stop_accepting()
         while self.server.in_flight and self._environment.monotonic() - began_s < grace_s:
--- a/packages/heronladder-router/src/heronladder_router/gateway_server.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_server.py
@@ -42,9 +42,9 @@
 class _CallerResponseSink:
     """Sends an answer on a caller's connection."""
 
-    def __init__(self, request: web.BaseRequest, closing: bool) -> None:
+    def __init__(self, request: web.BaseRequest, draining: bool) -> None:
         self._request = request
-        self._closing = closing
+        self._closing = draining
         self._response: web.StreamResponse | None = None
         self.started = False
         self.status = 0
@@ -58,7 +58,7 @@
             response.force_close()
         self._response = response
 
-    async def whole(self, answer: ReplicaResponse) -> None:
+    async def send_complete(self, answer: ReplicaResponse) -> None:
         response = web.Response(status=answer.status, body=answer.body)
         response.headers.clear()
         self._head(answer, response)
@@ -116,9 +116,11 @@
         self._metrics = metrics
         self._log = log
         self.in_flight = 0
-        self.closing = False  # answers ask callers to connect anew
-        self.moving = False  # callers are asked to connect anew: this gateway is behind
-        self.refusing = False  # requests are refused: this gateway is about to end
+        self.draining = False  # answers ask callers to connect anew
+        self.shedding_connections = (
+            False  # callers are asked to connect anew: this gateway is behind
+        )
+        self.rejecting_requests = False  # requests are refused: this gateway is about to end
         self.ready = False  # a configuration was confirmed by control
         own = (
             names.deadline_ms,
@@ -134,7 +136,7 @@
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve one request."""
-        sink = _CallerResponseSink(request, self.closing or self.moving)
+        sink = _CallerResponseSink(request, self.draining or self.shedding_connections)
         arrived_s = self._environment.monotonic()
         self.in_flight += 1
         try:
@@ -176,7 +178,7 @@
     async def _serve(
         self, request: web.BaseRequest, sink: _CallerResponseSink, arrived_s: float
     ) -> None:
-        if self.refusing:
+        if self.rejecting_requests:
             raise StoppingError("this gateway is stopping", step=_STEP)
         if not self.ready:
             raise NotReadyError("no configuration is known yet", step=_STEP)
@@ -312,6 +314,6 @@
         not_run = error.outcome == ledger_pb2.OUTCOME_NOT_RUN
         if error.retry_after_s is not None and not_run:
             response.headers["Retry-After"] = f"{error.retry_after_s:g}"
-        if self.closing or self.moving:
+        if self.draining or self.shedding_connections:
             response.force_close()
         return response
--- a/packages/heronladder-router/src/heronladder_router/replica_attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_attempt.py
@@ -253,7 +253,7 @@
             raise RunFailedError(answer, step="send", peer=replica.name)
         progress.finished = True
         progress.handed_out = success
-        await _passed(sink.whole(answer), seen)
+        await _passed(sink.send_complete(answer), seen)
 
     async def _pass_stream(
         self,
--- a/packages/heronladder-router/src/heronladder_router/replica_slot_queue.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_slot_queue.py
@@ -141,13 +141,13 @@
     async def _wait(
         self, request: GatewayRequest, queue: _ServiceQueue, waiter: Waiter, wait_ms: float
     ) -> None:
-        room: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        queue.waiting[waiter.number] = (waiter, room, request.profile)
+        slot_granted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        queue.waiting[waiter.number] = (waiter, slot_granted, request.profile)
         began_s = self._environment.monotonic()
         wait_s = max(_LEAST_WAIT_S, wait_ms / MILLISECONDS_PER_SECOND)
         try:
             async with asyncio.timeout(wait_s):
-                await room
+                await slot_granted
             outcome = "room"
         except TimeoutError:
             outcome = "last_start"
@@ -164,7 +164,7 @@
             outcome=outcome,
         )
 
-    def room(self, service: str) -> None:
+    def grant_free_slots(self, service: str) -> None:
         """Send what waits as far as replicas have room; called when that may have changed."""
         queue = self._services.get(service)
         if queue is None:
@@ -172,7 +172,7 @@
         granted = 0
         while queue.waiting:
             chosen = next_waiter([waiter for waiter, _, _ in queue.waiting.values()], queue.given)
-            _, room, profile = queue.waiting[chosen.number]
+            _, slot_granted, profile = queue.waiting[chosen.number]
             # What was granted just now is not under way yet.
             decided = self._decide(queue, profile, granted, chosen)
             if decided.verdict is not Verdict.SEND:
@@ -180,16 +180,16 @@
             granted += 1
             queue.given += 1
             del queue.waiting[chosen.number]
-            if not room.done():
-                room.set_result(None)
+            if not slot_granted.done():
+                slot_granted.set_result(None)
 
     def on_loads_updated(self) -> None:
         """Look again at all services: the sums of load are new."""
         for service, queue in self._services.items():
             if queue.waiting:
-                self.room(service)
+                self.grant_free_slots(service)
 
-    def answered(self, service: str, took_s: float) -> None:
+    def record_response_time(self, service: str, took_s: float) -> None:
         """Take in how long a whole answer of a replica took."""
         queue = self._services.setdefault(service, _ServiceQueue())
         queue.measured = queue.measured.after(took_s * MILLISECONDS_PER_SECOND)
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -80,7 +80,9 @@
         _send(gateway, profile)
         for start_ms, is_kept in ((5, True), (6, False)):  # with 6 all have started again
             _learn_starts(gateway, start_ms)
-            kept = [one.parts.kept_tokens(profile.parts) for one in gateway._replicas.values()]
+            kept = [
+                one.parts.cached_prefix_tokens(profile.parts) for one in gateway._replicas.values()
+            ]
             self.assertEqual(any(kept), is_kept)
 
 
--- a/tests/test_gateway_readiness.py
+++ b/tests/test_gateway_readiness.py
@@ -247,10 +247,10 @@
             Metrics(),
             EventLog("test", "gateway"),
         )
-        taking.look()
+        taking.update()
         self.assertFalse(taking.behind)
         clock.now_s += 0.5
-        taking.look()
+        taking.update()
         self.assertTrue(taking.behind)
 
 
@@ -268,11 +268,11 @@
             Metrics(),
             EventLog("test", "gateway"),
         )
-        taking.look()
+        taking.update()
         self.assertTrue(taking.behind)
         loads.under_way = lambda: (100, None)
         clock.now_s += 4.1
-        taking.look()
+        taking.update()
         self.assertFalse(taking.behind)
 
 
@@ -338,7 +338,7 @@
             await asyncio.sleep(0.2)
         gateway.link.round_trip_s = 0.9
         gateway.readiness._behind_since_s = gateway._environment.monotonic()
-        gateway.server.moving = True
+        gateway.server.shedding_connections = True
         self.assertFalse(await self._ready(self.busy))
         gateway.readiness._behind_since_s -= 4.1
         self.assertTrue(await self._ready(self.busy))
--- a/tests/test_gateway_refusals.py
+++ b/tests/test_gateway_refusals.py
@@ -44,12 +44,12 @@
         parts = SimpleNamespace(
             link=link,
             routes=None,
-            allowance=SimpleNamespace(gateways=1, request=lambda service: None),
+            retry_budget=SimpleNamespace(gateways=1, request=lambda service: None),
             replicas=SimpleNamespace(
                 availability=SimpleNamespace(any_unavailable=False),
                 limits=SimpleNamespace(requested=lambda service: None),
             ),
-            places=None,
+            slot_queue=None,
             tokens=tokens,
             crashing=SimpleNamespace(is_refused=lambda fingerprint: False),
             environment=_Clock(),
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -272,19 +272,19 @@
 class PartsTest(unittest.TestCase):
     def test_a_part_is_kept_only_behind_all_before_it(self) -> None:
         kept = CachedPromptParts(1000)
-        kept.note(parse_prompt_parts("a:100,b:50,c:25"))
-        self.assertEqual(kept.kept_tokens(parse_prompt_parts("a:100,b:50,x:5")), 150)
-        self.assertEqual(kept.kept_tokens(parse_prompt_parts("z:1,b:50")), 0)
+        kept.record_prompt(parse_prompt_parts("a:100,b:50,c:25"))
+        self.assertEqual(kept.cached_prefix_tokens(parse_prompt_parts("a:100,b:50,x:5")), 150)
+        self.assertEqual(kept.cached_prefix_tokens(parse_prompt_parts("z:1,b:50")), 0)
         self.assertEqual(parse_prompt_parts("a:100,b"), [])
 
     def test_the_least_used_parts_give_way(self) -> None:
         kept = CachedPromptParts(1000)  # 600 tokens are kept
-        kept.note(parse_prompt_parts("a:300"))
-        kept.note(parse_prompt_parts("b:300"))
-        kept.note(parse_prompt_parts("a:300"))
-        kept.note(parse_prompt_parts("c:300"))
-        self.assertEqual(kept.kept_tokens(parse_prompt_parts("a:300")), 300)
-        self.assertEqual(kept.kept_tokens(parse_prompt_parts("b:300")), 0)
+        kept.record_prompt(parse_prompt_parts("a:300"))
+        kept.record_prompt(parse_prompt_parts("b:300"))
+        kept.record_prompt(parse_prompt_parts("a:300"))
+        kept.record_prompt(parse_prompt_parts("c:300"))
+        self.assertEqual(kept.cached_prefix_tokens(parse_prompt_parts("a:300")), 300)
+        self.assertEqual(kept.cached_prefix_tokens(parse_prompt_parts("b:300")), 0)
 
     def test_events_are_cut_at_their_ends_wherever_chunks_end(self) -> None:
         stream = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"
--- a/tests/test_suspension_held.py
+++ b/tests/test_suspension_held.py
@@ -110,12 +110,12 @@
         async def use_up(fleet: Fleet) -> None:
             gateway = fleet.gateway.gateway
             assert gateway is not None
-            allowance = gateway.server._dispatcher._parts.allowance
-            while allowance.try_spend(SERVICE):
+            retry_budget = gateway.server._dispatcher._context.retry_budget
+            while retry_budget.try_spend(SERVICE):
                 pass
 
         def may_repeat(gateway: GatewayRole) -> bool:
-            return gateway.server._dispatcher._parts.allowance.try_spend(SERVICE)
+            return gateway.server._dispatcher._context.retry_budget.try_spend(SERVICE)
 
         self.assertEqual(self._before_and_after(use_up, may_repeat), (False, True))
 
--- a/tests/test_unreached_replicas.py
+++ b/tests/test_unreached_replicas.py
@@ -59,8 +59,8 @@
 
         The repeats that a gateway may make were used up, by tries at replicas that had crashed.
         """
-        allowance = self.role.server._dispatcher._parts.allowance
-        while allowance.try_spend(SERVICE):
+        retry_budget = self.role.server._dispatcher._context.retry_budget
+        while retry_budget.try_spend(SERVICE):
             pass
         dead, live = self.replicas[:3], self.replicas[3:]
         for replica in dead:
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -133,9 +133,9 @@
             EventLog("test", "g"),
             waits=True,
         )
-        queue.answered("s", 0.09)
+        queue.record_response_time("s", 0.09)
         for _ in range(2):
-            queue.answered("s", 0.4)
+            queue.record_response_time("s", 0.4)
 
         def request(number: int) -> GatewayRequest:
             route = SimpleNamespace(objective_ms=415, name="r")
@@ -157,7 +157,7 @@
         self.assertEqual(queue.waiting_count, 1)
         clock.now_s += 0.165
         taken[0] = 10
-        queue.room("s")
+        queue.grant_free_slots("s")
         self.assertEqual(queue.waiting_count, 0)
         await waits
 
@@ -264,10 +264,10 @@
             await self.fleet.request("/once/", Request_Id=f"w{number}")
         gateway = self.fleet.gateway.gateway
         assert gateway is not None
-        gateway.places._waits = True  # as the setting wait_for_places does
+        gateway.slot_queue._waits = True  # as the setting wait_for_places does
         # Its newest answers were slow, as in a burst that has begun.
         for _ in range(20):
-            gateway.places.answered(replica.heartbeat()["service"], 0.6)
+            gateway.slot_queue.record_response_time(replica.heartbeat()["service"], 0.6)
         loop = asyncio.get_running_loop()
 
         async def one(number: int) -> tuple[int, float, float, str]:
