--- a/packages/heronladder-router/src/heronladder_router/__init__.py
+++ b/packages/heronladder-router/src/heronladder_router/__init__.py
@@ -1,1 +1,1 @@
-"""Router role: callers, admission, balancing, forwarding."""
+"""Router and gateway roles: admission, load balancing and forwarding of callers' requests."""
--- a/packages/heronladder-router/src/heronladder_router/cached_prompt_parts.py
+++ b/packages/heronladder-router/src/heronladder_router/cached_prompt_parts.py
@@ -1,64 +1,70 @@
-"""What a gateway takes a replica to keep of earlier prompts."""
+"""A gateway's estimate of which prompt parts a replica holds in its prefix cache."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
 
-_KEPT_SHARE = 0.6  # of the replica's memory; the rest is for requests that run
+# Fraction of a replica's memory that holds cached parts; the rest is for running requests.
+_CACHE_FRACTION = 0.6
 
 
 @dataclass(frozen=True)
 class PromptPart:
-    """A part of a prompt: its identity over all parts before it, and its tokens."""
+    """A part of a prompt.
+
+    Attributes:
+        identity: Identifies the part together with all parts before it.
+        tokens: Length of the part, in tokens.
+    """
 
     identity: str
     tokens: int
 
 
 def parse_prompt_parts(text: str) -> list[PromptPart]:
-    """Return the parts of "ID:TOKENS,ID:TOKENS"; none if the text is malformed."""
+    """Parse "ID:TOKENS,ID:TOKENS"; return an empty list if the text is malformed."""
     parts = []
-    chain = ""
+    prefix = ""
     for piece in filter(None, text.split(",")):
         name, colon, tokens = piece.strip().rpartition(":")
         if not colon or not tokens.isdigit():
             return []
-        chain = f"{chain}/{name}"
-        parts.append(PromptPart(chain, int(tokens)))
+        prefix = f"{prefix}/{name}"
+        parts.append(PromptPart(prefix, int(tokens)))
     return parts
 
 
 class CachedPromptParts:
-    """Parts that a replica was sent, the newest used last, within its memory.
+    """Prompt parts that a replica was sent, in LRU order and limited by its memory.
 
     Args:
         capacity_tokens: Memory of the replica, in tokens.
     """
 
     def __init__(self, capacity_tokens: int) -> None:
-        self._capacity = int(capacity_tokens * _KEPT_SHARE)
+        self._capacity_tokens = int(capacity_tokens * _CACHE_FRACTION)
         self._parts: OrderedDict[str, int] = OrderedDict()
         self._tokens = 0
 
     def cached_prefix_tokens(self, parts: list[PromptPart]) -> int:
-        """Return how many tokens at the head of a prompt need not be read again."""
-        kept = 0
+        """Return how many tokens at the start of a prompt are expected in the cache."""
+        cached = 0
         for part in parts:
             if part.identity not in self._parts:
                 break
-            kept += part.tokens
-        return kept
+            cached += part.tokens
+        return cached
 
     def record_prompt(self, parts: list[PromptPart]) -> None:
-        """Note that a prompt was sent; the last of its parts is dropped first."""
+        """Record that a prompt was sent; its last part is the first to be evicted."""
         for part in reversed(parts):
             known = self._parts.pop(part.identity, 0)
             self._parts[part.identity] = part.tokens
             self._tokens += part.tokens - known
-        while self._tokens > self._capacity and self._parts:
+        while self._tokens > self._capacity_tokens and self._parts:
             _, tokens = self._parts.popitem(last=False)
             self._tokens -= tokens
 
     def clear(self) -> None:
-        """Forget all: the replica may have started anew."""
+        """Drop all parts, because the replica may have restarted."""
         self._parts.clear()
         self._tokens = 0
--- a/packages/heronladder-router/src/heronladder_router/crash_reports.py
+++ b/packages/heronladder-router/src/heronladder_router/crash_reports.py
@@ -1,8 +1,8 @@
-"""Tells control which requests ran at replicas when they crashed.
+"""Reports to control which requests were running at a replica when it crashed.
 
-A connection that ends in the middle of an answer may mean a crash, a reset, or a broken answer.
-It was a crash if nothing accepts connections at the replica's address any more, or another start
-is registered in its place.
+A connection that ends in the middle of a response may mean a crash, a reset or a malformed
+response. It counts as a crash if nothing accepts connections at the replica's address any more,
+or if a later incarnation is registered in its place.
 """
 
 import asyncio
@@ -22,20 +22,32 @@
 from heronladder_router.replica_connect import Listens, listens
 from heronladder_router.replica_state import FleetReplica
 
-# Connections of a replica that ends are noticed to end within the first of these pauses; on a busy
-# machine, or where a connection is cut off, after the others.
-_LOOKS_AFTER_S = (0.05, 0.2, 0.5)
-_OPEN_S = 10.0  # a replica that crashed is registered anew within seconds
-_GATHER_S = 0.05  # a zone that is lost is one report, not one for each replica
-_TELL_S = 30.0  # without control for longer, others have told it, or the callers are gone
-_MOST_OPEN = 64  # replicas; the oldest goes first
-_MOST_TARGET = 80  # characters of a path that operators are shown
+# Delays before each check of a replica whose connection ended. When a replica ends, its other
+# connections usually close within the first delay; on a loaded machine, or when the network is
+# interrupted, they close within the later ones.
+_CHECK_DELAYS_S = (0.05, 0.2, 0.5)
+# A crashed replica registers again within seconds, so older losses are not crashes.
+_LOSS_RETENTION_S = 10.0
+# Collects crashes before they are reported, so that the loss of a zone is one report and not one
+# for each replica.
+_BATCH_DELAY_S = 0.05
+# After a longer time without control, other gateways have reported the crash or the callers have
+# given up.
+_REPORT_TIMEOUT_S = 30.0
+_MAX_LOSSES = 64  # replicas; the oldest is dropped first
+_MAX_TARGET_CHARS = 80  # length of the path that is shown to operators
 _Incarnation = tuple[str, int]
 
 
 @dataclass
 class _Loss:
-    """Connections to one start of a replica that ended in the middle of answers."""
+    """Connections to one incarnation of a replica that ended in the middle of a response.
+
+    Attributes:
+        record: Registration of the incarnation.
+        since_s: When the first connection ended, in seconds on the event loop's clock.
+        runs: Requests that were running on the connections, by fingerprint.
+    """
 
     record: resources_pb2.Replica
     since_s: float
@@ -43,14 +55,14 @@
 
 
 class CrashReports:
-    """Follows lost connections to replicas until it is known whether the replica crashed.
+    """Tracks lost connections to replicas until it is known whether the replica crashed.
 
     Args:
-        link: To control.
-        requests: What is known of requests that crash replicas.
-        environment: Time.
-        metrics: Where it counts.
-        log: Where crashes are reported.
+        link: Link to control.
+        requests: Known crashing requests.
+        environment: Source of time.
+        metrics: Counts crashes.
+        log: Logs crashes.
     """
 
     def __init__(
@@ -67,101 +79,106 @@
         self._metrics = metrics
         self._log = log
         self._tasks = TaskGroupOwner(log)
-        self._open: dict[_Incarnation, _Loss] = {}
-        self._untold = control_pb2.ReportCrashes()
-        self._telling = False
-        requests.on_cleared = self._clear
-        link.configuration.listen(self._look_at_open)
+        self._losses: dict[_Incarnation, _Loss] = {}
+        self._pending_report = control_pb2.ReportCrashes()
+        self._report_scheduled = False
+        requests.on_cleared = self._record_cleared
+        link.configuration.listen(self._check_replaced)
 
     async def stop(self) -> None:
         """End all tasks."""
         await self._tasks.stop()
 
-    # ---- what was seen ----------------------------------------------------
+    # ---- detection --------------------------------------------------------
 
     def record_connection_loss(self, replica: FleetReplica, request: GatewayRequest) -> None:
-        """Note that a connection ended in the middle of an answer."""
+        """Record that a replica's connection ended in the middle of the response to a request.
+
+        Ignored if the replica is leaving or if the request is known not to crash replicas.
+        """
         record = replica.record
         if record.draining or record.gone or self._requests.was_served(request.fingerprint):
             return
         key = (record.id, record.start_ms)
-        loss = self._open.get(key)
+        loss = self._losses.get(key)
         if loss is None:
-            loss = self._open[key] = _Loss(record, self._environment.monotonic())
-            self._forget_old()
-            self._tasks.start(f"crash-{record.id}", self._judge(key, loss, replica))
+            loss = self._losses[key] = _Loss(record, self._environment.monotonic())
+            self._drop_expired()
+            self._tasks.start(f"crash-{record.id}", self._check_listening(key, loss, replica))
         tenant = request.matched.tenant
         loss.runs[request.fingerprint] = control_pb2.CrashedRun(
             fingerprint=request.fingerprint,
             tenant=tenant.name if tenant is not None else "",
             service=request.profile.service,
-            target=request.target[:_MOST_TARGET],
+            target=request.target[:_MAX_TARGET_CHARS],
         )
 
-    def _forget_old(self) -> None:
-        oldest_s = self._environment.monotonic() - _OPEN_S
-        for key, loss in list(self._open.items()):
-            if loss.since_s < oldest_s or len(self._open) > _MOST_OPEN:
-                del self._open[key]
+    def _drop_expired(self) -> None:
+        oldest_s = self._environment.monotonic() - _LOSS_RETENTION_S
+        for key, loss in list(self._losses.items()):
+            if loss.since_s < oldest_s or len(self._losses) > _MAX_LOSSES:
+                del self._losses[key]
 
-    async def _judge(self, key: _Incarnation, loss: _Loss, replica: FleetReplica) -> None:
-        for pause_s in _LOOKS_AFTER_S:
-            await asyncio.sleep(pause_s)
+    async def _check_listening(self, key: _Incarnation, loss: _Loss, replica: FleetReplica) -> None:
+        for delay_s in _CHECK_DELAYS_S:
+            await asyncio.sleep(delay_s)
             if replica.in_flight:
-                continue  # what else it holds goes on
+                continue  # other requests on the replica are still running
             if await listens(loss.record.address) is Listens.REFUSES:
-                self._crashed(key, "refused")
+                self._record_crash(key, "refused")
             return
 
-    def _look_at_open(self) -> None:
-        """Learn from the configuration which replicas have a start in their place."""
-        if not self._open:
+    def _check_replaced(self) -> None:
+        """Record crashes of replicas that have been replaced by a later incarnation."""
+        if not self._losses:
             return
         records = {record.id: record for record in self._link.configuration.replicas()}
-        for key, loss in list(self._open.items()):
-            now = records.get(loss.record.id)
-            if now is not None and (now.replaced or is_earlier_start(loss.record, now)):
-                self._crashed(key, "replaced")
-        self._forget_old()
+        for key, loss in list(self._losses.items()):
+            current = records.get(loss.record.id)
+            if current is not None and (current.replaced or is_earlier_start(loss.record, current)):
+                self._record_crash(key, "replaced")
+        self._drop_expired()
 
-    # ---- what control is told ---------------------------------------------
+    # ---- reporting --------------------------------------------------------
 
-    def _crashed(self, key: _Incarnation, how: str) -> None:
-        loss = self._open.pop(key, None)
+    def _record_crash(self, key: _Incarnation, evidence: str) -> None:
+        loss = self._losses.pop(key, None)
         if loss is None:
             return
-        self._metrics.add("replica_crashes", how)
+        self._metrics.add("replica_crashes", evidence)
         self._log.info(
             "replica_crashed",
             step="crash",
             peer=loss.record.id,
             start_ms=loss.record.start_ms,
-            how=how,
+            how=evidence,
             runs=len(loss.runs),
             fingerprints=",".join(sorted(loss.runs)),
             after_s=self._environment.monotonic() - loss.since_s,
         )
-        told = self._untold.replicas.add(replica=loss.record.id, start_ms=loss.record.start_ms)
-        told.runs.extend(loss.runs[name] for name in sorted(loss.runs))
-        self._tell()
+        crashed = self._pending_report.replicas.add(
+            replica=loss.record.id, start_ms=loss.record.start_ms
+        )
+        crashed.runs.extend(loss.runs[fingerprint] for fingerprint in sorted(loss.runs))
+        self._schedule_report()
 
-    def _clear(self, fingerprint: str) -> None:
-        self._untold.served.append(fingerprint)
-        self._tell()
+    def _record_cleared(self, fingerprint: str) -> None:
+        self._pending_report.served.append(fingerprint)
+        self._schedule_report()
 
-    def _tell(self) -> None:
-        if not self._telling:
-            self._telling = True
-            self._tasks.start("crash_report", self._tell_control())
+    def _schedule_report(self) -> None:
+        if not self._report_scheduled:
+            self._report_scheduled = True
+            self._tasks.start("crash_report", self._send_report())
 
-    async def _tell_control(self) -> None:
-        await asyncio.sleep(_GATHER_S)
+    async def _send_report(self) -> None:
+        await asyncio.sleep(_BATCH_DELAY_S)
         command = control_pb2.Command()
-        command.report_crashes.CopyFrom(self._untold)
-        self._untold.Clear()
-        self._telling = False
+        command.report_crashes.CopyFrom(self._pending_report)
+        self._pending_report.Clear()
+        self._report_scheduled = False
         try:
-            await self._link.call(command, _TELL_S)
+            await self._link.call(command, _REPORT_TIMEOUT_S)
         except HeronladderError as error:
             self._metrics.add("crash_reports_failed")
             self._log.warning(
--- a/packages/heronladder-router/src/heronladder_router/crashing_requests.py
+++ b/packages/heronladder-router/src/heronladder_router/crashing_requests.py
@@ -1,4 +1,8 @@
-"""Which requests crash the replicas that run them, as control tells, and which surely do not."""
+"""Requests that crash the replicas that run them, and requests that are known not to.
+
+Control publishes the former with the configuration. The gateway records the latter itself and
+clears suspects that a replica has completed.
+"""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -7,19 +11,24 @@
 from heronladder_runtime.configuration import ConfigurationStore
 from heronladder_runtime.logs import EventLog
 
-# Fingerprints of requests that a replica has run to the end here. One that many callers send, as
-# a page that all ask for, is among the newest; each is some 150 B.
-_SERVED_KEPT = 1_024
-_SERVED_HOLDS_S = 60.0  # replicas of another version may fail where earlier ones did not
+# Fingerprints of completed requests that are kept, about 150 bytes each. A request that many
+# callers send is always among the newest.
+_MAX_SERVED = 1_024
+# A completed request counts as harmless for this long only: replicas of another version may crash
+# under it.
+_SERVED_RETENTION_S = 60.0
 
 
 class CrashingRequests:
-    """Requests that are refused or suspected, and those that were served.
+    """Fingerprints of refused, suspected and recently served requests.
 
     Args:
-        configuration: The gateway's configuration.
-        environment: Time.
-        log: Where changes are reported.
+        configuration: Configuration of the gateway.
+        environment: Source of time.
+        log: Logs changes.
+
+    Attributes:
+        on_cleared: Called with the fingerprint of a suspect that a replica has completed.
     """
 
     def __init__(
@@ -35,12 +44,12 @@
         configuration.listen(self._rebuild)
 
     def _rebuild(self) -> None:
-        noted = self._configuration.crashing_requests()
-        refused = frozenset(name for name, one in noted.items() if one.refused)
-        suspects = frozenset(noted) - refused
+        crashing = self._configuration.crashing_requests()
+        refused = frozenset(name for name, request in crashing.items() if request.refused)
+        suspects = frozenset(crashing) - refused
         if (refused, suspects) == (self._refused, self._suspects):
             return
-        new = suspects - self._suspects
+        new_suspects = suspects - self._suspects
         self._refused, self._suspects = refused, suspects
         self._log.info(
             "crashing_requests_known",
@@ -49,33 +58,33 @@
             suspects=len(suspects),
             revision=self._configuration.revision,
         )
-        for fingerprint in sorted(new):
+        for fingerprint in sorted(new_suspects):
             if self.was_served(fingerprint):
                 self.on_cleared(fingerprint)
 
     @property
     def refused_count(self) -> int:
-        """How many requests are refused."""
+        """Number of refused requests."""
         return len(self._refused)
 
     def is_refused(self, fingerprint: str) -> bool:
-        """Whether a request may be sent to no replica."""
+        """Return whether a request must not be sent to any replica."""
         return fingerprint in self._refused
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Whether a request was there when replicas crashed, and may be to blame."""
+        """Return whether a request was running when replicas crashed and may be the cause."""
         return fingerprint in self._suspects
 
     def record_served(self, fingerprint: str) -> None:
-        """Note that a replica has run a request to the end."""
+        """Record that a replica has completed a request; clears it if it was a suspect."""
         self._served_s[fingerprint] = self._environment.monotonic()
         self._served_s.move_to_end(fingerprint)
-        if len(self._served_s) > _SERVED_KEPT:
+        if len(self._served_s) > _MAX_SERVED:
             self._served_s.popitem(last=False)
         if fingerprint in self._suspects:
             self.on_cleared(fingerprint)
 
     def was_served(self, fingerprint: str) -> bool:
-        """Whether a replica has run a request to the end lately, as far as this gateway knows."""
+        """Return whether a replica recently completed a request that this gateway sent."""
         served_s = self._served_s.get(fingerprint, float("-inf"))
-        return self._environment.monotonic() - served_s < _SERVED_HOLDS_S
+        return self._environment.monotonic() - served_s < _SERVED_RETENTION_S
--- a/packages/heronladder-router/src/heronladder_router/dispatch_logging.py
+++ b/packages/heronladder-router/src/heronladder_router/dispatch_logging.py
@@ -1,4 +1,4 @@
-"""The log lines of one request: what each send went by, and how the request ended."""
+"""Log events of a request: the inputs of each attempt's placement, and the outcome."""
 
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
 from heronladder_runtime.logs import EventLog
@@ -11,9 +11,9 @@
 from heronladder_router.tokens.access import Reservation
 
 
-def _since_ms(start_s: float, moment_s: float | None) -> int | None:
-    """Return the time to a moment in ms; None if it never came."""
-    return None if moment_s is None else int((moment_s - start_s) * MILLISECONDS_PER_SECOND)
+def _elapsed_ms(start_s: float, end_s: float | None) -> int | None:
+    """Return the time between two instants in ms; None if the second never came."""
+    return None if end_s is None else int((end_s - start_s) * MILLISECONDS_PER_SECOND)
 
 
 def log_attempt(
@@ -25,16 +25,16 @@
     tried: int,
     now_s: float,
 ) -> None:
-    """Log a send and what the choice of its replica went by.
+    """Log an attempt and the inputs by which its replica was chosen.
 
     Args:
-        log: Where.
+        log: Log to write to.
         replicas: All replicas.
         request: The request.
-        replica: Where it goes.
-        placement: Why there.
-        tried: How often it was sent before.
-        now_s: Time.
+        replica: Replica that the request is sent to.
+        placement: Decision that chose the replica.
+        tried: Number of earlier attempts.
+        now_s: Current time, in seconds on the event loop's clock.
     """
     verdict = replicas.limits.verdict(replica)
     log.info(
@@ -80,16 +80,16 @@
     used: int,
     now_s: float,
 ) -> None:
-    """Log how a request ended.
+    """Log the outcome of a request.
 
     Args:
-        log: Where.
+        log: Log to write to.
         request: The request.
-        sink: Its caller's connection.
-        progress: How far its answer came.
-        reservation: Tokens that were set aside for it; None if none were.
-        used: Tokens that it cost.
-        now_s: Time.
+        sink: Connection of the caller.
+        progress: Progress of the response over all attempts.
+        reservation: Tokens that were reserved for the request; None if none were.
+        used: Tokens that the request used.
+        now_s: Current time, in seconds on the event loop's clock.
     """
     tenant = request.matched.tenant
     log.info(
@@ -111,8 +111,8 @@
         lender=reservation.lender if reservation is not None else "",
         used=used,
         objective_ms=request.matched.route.objective_ms,
-        sent_ms=_since_ms(request.arrived_s, progress.sent_s),
-        first_event_ms=_since_ms(request.arrived_s, progress.first_event_s),
+        sent_ms=_elapsed_ms(request.arrived_s, progress.sent_s),
+        first_event_ms=_elapsed_ms(request.arrived_s, progress.first_event_s),
         longest_pause_ms=int(progress.longest_pause_s * MILLISECONDS_PER_SECOND),
         held_ms=int((now_s - request.arrived_s) * MILLISECONDS_PER_SECOND),
         left_ms=int((request.deadline_s - now_s) * MILLISECONDS_PER_SECOND),
--- a/packages/heronladder-router/src/heronladder_router/error_response.py
+++ b/packages/heronladder-router/src/heronladder_router/error_response.py
@@ -1,4 +1,7 @@
-"""How an error is told to callers: the body, and the header that says whether it ran."""
+"""Format of error responses to callers: the JSON body and the outcome header.
+
+The outcome header says whether the request ran on a replica.
+"""
 
 import json
 
@@ -6,6 +9,11 @@
 
 
 def error_response_body(message: str, code: str) -> bytes:
-    """Return the body of an error, in the form OpenAI clients know."""
+    """Return the body of an error response in the OpenAI error format.
+
+    Args:
+        message: Human-readable description.
+        code: Machine-readable error code; also sent as the error type.
+    """
     error = {"message": message, "type": code, "param": None, "code": code}
     return json.dumps({"error": error}).encode()
--- a/packages/heronladder-router/src/heronladder_router/gateway_header_names.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_header_names.py
@@ -1,7 +1,7 @@
-"""Names that a gateway's callers and replicas use in HTTP headers.
+"""Names of the HTTP headers that a gateway exchanges with callers and replicas.
 
-A deployment whose callers speak of the same matters under other names gives its
-own set; nothing else in the gateway knows a header by its text.
+They are configurable: a deployment whose callers use other names supplies its own set. The rest of
+the gateway refers to headers only through this class.
 """
 
 from dataclasses import dataclass
@@ -9,25 +9,25 @@
 
 @dataclass(frozen=True)
 class GatewayHeaderNames:
-    """Header names, and what stands in them.
+    """Header names and the meaning of their values.
 
     Attributes:
-        request_id: Identifier of one attempt of a caller; replicas give it back.
-        deadline_ms: Milliseconds the caller, or the sender, will wait.
-        expect_replica: Identity of the replica a request is meant for.
+        request_id: Identifier of one attempt of a caller; replicas echo it.
+        deadline_ms: Time that the caller, or the sending gateway, will wait, in ms.
+        expect_replica: Identity of the replica that a request is meant for.
         tenant: Name of the tenant, set by the gateway.
-        priority: Rank of the request at the replica, 0 (first) to 9.
-        token_bounds: Tokens of the prompt and most tokens out: "PROMPT,OUT".
+        priority: Priority of the request at the replica, 0 (highest) to 9.
+        token_bounds: Prompt tokens and most output tokens: "PROMPT,OUT".
         prompt_parts: Parts of the prompt in order: "ID:TOKENS,ID:TOKENS".
-        last_event_id: Last event of a stream that the reader has.
+        last_event_id: Id of the last event of a stream that the reader has received.
         not_run: Set by a replica that did not run the request.
-        signature: Set by a replica in each answer of its own.
-        replica_limit: Requests a second that a replica takes from all gateways together.
-        leaving: Set by a replica that takes no new requests for the rest of its life.
-        key_scheme: Word before the key in Authorization, with its blank.
-        engine_orders: Headers by which a replica is told how to run a request (memory
-            to pin, to copy or to continue from, a slot set aside). Only the system may
-            set them, so a caller's are dropped.
+        signature: Set by a replica in each response that it generated itself.
+        replica_limit: Requests per second that a replica accepts from all gateways together.
+        leaving: Set by a replica that accepts no new requests until it ends.
+        key_scheme: Scheme in front of the key in Authorization, with its trailing space.
+        engine_control_headers: Headers that tell a replica how to run a request (memory to pin,
+            to copy or to continue from, a slot to reserve). Only the system may set them, so
+            those of a caller are dropped.
     """
 
     request_id: str = "Heronladder-Request-Id"
--- a/packages/heronladder-router/src/heronladder_router/gateway_readiness.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_readiness.py
@@ -1,4 +1,8 @@
-"""Asks whether this gateway is ready by its link and loop, and keeps the answer."""
+"""Tracks whether a gateway is behind: its control link or its event loop is too slow.
+
+The decision itself is in ``decisions.readiness``; this module collects its inputs and keeps the
+result.
+"""
 
 import math
 
@@ -12,15 +16,16 @@
 
 
 class GatewayReadiness:
-    """Whether new connections are wanted, as far as link and loop go.
+    """Decides whether a gateway accepts new connections, by its link latency and loop lag.
 
     Args:
-        limit_ms: Behind from there, by link or loop; 0: never.
-        link: The link to control, whose heartbeats it goes by.
-        loads: Tells what gateways have under way.
-        environment: Time.
-        metrics: Where changes are counted.
-        log: Where changes are logged.
+        limit_ms: Link round trip or loop lag, in ms, above which the gateway is behind; 0 disables
+            the check.
+        link: Link to control, whose heartbeats supply both measurements.
+        loads: Totals of requests in flight at this gateway and at all others.
+        environment: Source of time.
+        metrics: Counts changes.
+        log: Logs changes.
     """
 
     def __init__(
@@ -47,14 +52,15 @@
 
     @property
     def behind(self) -> bool:
-        """Whether this gateway is behind."""
+        """Whether this gateway is behind and should receive no new connections."""
         return self._behind_since_s is not None
 
     def update(self) -> None:
-        """Decide anew.
+        """Recompute whether this gateway is behind.
 
-        Called with each answer of control to a heartbeat, and by whoever asks while this gateway
-        is behind: control may have gone silent since.
+        Called after each heartbeat response of control, and by each readiness check while the
+        gateway is behind. Without the latter, a gateway would stay behind for as long as control
+        does not respond.
         """
         if not self._limit_ms:
             return
--- a/packages/heronladder-router/src/heronladder_router/gateway_request.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_request.py
@@ -1,4 +1,4 @@
-"""Requests of a gateway's callers, and the answers of replicas."""
+"""Data types of the gateway: callers' requests, replicas' responses and where these are sent."""
 
 from dataclasses import dataclass, field
 from functools import cached_property
@@ -13,7 +13,12 @@
 
 @dataclass(frozen=True)
 class TokenBounds:
-    """Tokens of a prompt, and the most that may come out."""
+    """Bounds on the tokens of a request.
+
+    Attributes:
+        prompt: Tokens of the prompt.
+        max_output: Most tokens that may be generated.
+    """
 
     prompt: int
     max_output: int
@@ -25,7 +30,7 @@
 
 
 def parse_token_bounds(text: str) -> TokenBounds | None:
-    """Return the bounds of "PROMPT,OUT", or None if the text is malformed."""
+    """Parse "PROMPT,OUT"; return None if the text is malformed."""
     prompt, comma, max_output = text.partition(",")
     if not (comma and prompt.strip().isdigit() and max_output.strip().isdigit()):
         return None
@@ -34,20 +39,21 @@
 
 @dataclass
 class GatewayRequest:
-    """One attempt of a caller.
+    """One request of a caller.
 
     Attributes:
-        request_id: As the caller sent it.
+        request_id: Identifier that the caller sent.
         method: HTTP method.
         target: Path and query, as received.
-        headers: Headers that go on to the replica.
-        body: The whole body.
-        matched: Its route and tenant.
-        profile: What is asked of a replica.
+        headers: Headers that are forwarded to the replica.
+        body: Complete body.
+        matched: Route and tenant of the request.
+        profile: Properties by which a replica is chosen.
         bounds: Token bounds; None for a plain request.
-        arrived_s: When its head was read, on the loop's clock.
-        deadline_s: When it is given up: the caller's deadline or the route's limit.
-        last_event_id: Last event the caller has; empty for a new stream.
+        arrived_s: When the request head was read, in seconds on the event loop's clock.
+        deadline_s: When the request is given up, on the same clock: the earlier of the caller's
+            deadline and the route's time limit.
+        last_event_id: Id of the last event that the caller has; empty for a new stream.
     """
 
     request_id: str
@@ -64,7 +70,7 @@
 
     @cached_property
     def fingerprint(self) -> str:
-        """What all tries of this request have in common."""
+        """Fingerprint that all of a caller's attempts of this request share."""
         tenant = self.matched.tenant
         name = tenant.name if tenant is not None else ""
         return compute_fingerprint(name, self.method, self.target, self.body)
@@ -72,7 +78,7 @@
 
 @dataclass
 class ReplicaResponse:
-    """A whole answer of a replica, or the head of a stream."""
+    """A complete response of a replica, or the head of a stream."""
 
     status: int
     headers: Headers = field(default_factory=list)
@@ -80,18 +86,22 @@
 
 
 class ResponseSink(Protocol):
-    """Where an answer goes: the caller's connection."""
+    """Destination of a response: the caller's connection.
+
+    Attributes:
+        started: Whether the head of a response was sent.
+    """
 
     started: bool
 
-    async def send_complete(self, answer: ReplicaResponse) -> None:
-        """Send a whole answer."""
+    async def send_complete(self, response: ReplicaResponse) -> None:
+        """Send a complete response."""
 
-    async def start(self, answer: ReplicaResponse) -> None:
+    async def start(self, response: ReplicaResponse) -> None:
         """Send the head of a stream."""
 
     async def write(self, data: bytes) -> None:
         """Send a part of a stream."""
 
     async def finish(self) -> None:
-        """End a stream that is whole."""
+        """End a stream whose response is complete."""
--- a/packages/heronladder-router/src/heronladder_router/hop_by_hop_headers.py
+++ b/packages/heronladder-router/src/heronladder_router/hop_by_hop_headers.py
@@ -1,8 +1,8 @@
-"""Headers that concern one connection only, and are not passed on."""
+"""Hop-by-hop HTTP headers, which apply to one connection and are not forwarded."""
 
 import aiohttp
 
-_HOP_HEADERS = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -19,12 +19,15 @@
 
 
 def is_hop_by_hop_header(name: str) -> bool:
-    """Whether a header concerns one connection only."""
-    return name.lower() in _HOP_HEADERS
+    """Return whether a header is hop-by-hop; the case of its name does not matter."""
+    return name.lower() in _HOP_BY_HOP_HEADERS
 
 
 def forwarded_headers(response: aiohttp.ClientResponse) -> list[tuple[str, str]]:
-    """Return the headers of an answer that go on to the caller."""
+    """Return the headers of a replica's response that are forwarded to the caller.
+
+    Hop-by-hop headers and those named in the Connection header are left out.
+    """
     dropped = {name.strip().lower() for name in response.headers.get("Connection", "").split(",")}
     return [
         (name, value)
--- a/packages/heronladder-router/src/heronladder_router/host_routes.py
+++ b/packages/heronladder-router/src/heronladder_router/host_routes.py
@@ -1,4 +1,4 @@
-"""Which route, tenant and service a request belongs to."""
+"""Matches requests to routes by host and path prefix, and to tenants by API key."""
 
 import hashlib
 from dataclasses import dataclass
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True)
 class MatchedRoute:
-    """A route and who calls on it.
+    """The route and the tenant of a request.
 
     Attributes:
         route: The route.
-        tenant: The tenant whose key was sent; None on an anonymous route.
-        version: Version of the configuration that decided.
+        tenant: Tenant whose key was sent; None for an anonymous caller.
+        version: Version of the configuration in which they were found.
     """
 
     route: resources_pb2.HostRoute
@@ -28,38 +28,43 @@
 
     @property
     def priority(self) -> int:
-        """Rank of the request: the tenant's, else the route's; 0 is first."""
+        """Priority of the request, 0 is highest: the tenant's if set, otherwise the route's."""
         if self.tenant is not None and self.tenant.has_priority:
             return self.tenant.priority
         return self.route.priority
 
     @property
     def may_run_twice(self) -> bool:
-        """Whether a run whose fate is unknown may be made again."""
+        """Whether the request may run again after a run with an unknown outcome."""
         if self.route.kind == resources_pb2.ROUTE_KIND_REPEATABLE:
             return True
         return self.route.kind == resources_pb2.ROUTE_KIND_STREAM and self.route.resumable
 
     @property
     def regions(self) -> frozenset[str] | None:
-        """Regions that may serve the request; None: any. Route and tenant both bind."""
-        bound = [frozenset(self.route.home_regions)] if self.route.home_regions else []
+        """Regions that both route and tenant allow for the request; None if any may serve it."""
+        allowed = [frozenset(self.route.home_regions)] if self.route.home_regions else []
         if self.tenant is not None and self.tenant.home_regions:
-            bound.append(frozenset(self.tenant.home_regions))
-        return frozenset.intersection(*bound) if bound else None
+            allowed.append(frozenset(self.tenant.home_regions))
+        return frozenset.intersection(*allowed) if allowed else None
 
     @property
     def streams(self) -> bool:
-        """Whether the answer is a stream of events."""
+        """Whether the response is an event stream."""
         return self.route.kind == resources_pb2.ROUTE_KIND_STREAM
 
 
 class HostRouteTable:
-    """Finds routes, tenants and services in the configuration held.
+    """Index of the routes, tenants and services of the current configuration.
 
     Args:
-        configuration: The gateway's configuration.
-        key_scheme: Word before the key in Authorization, with its blank.
+        configuration: Configuration of the gateway.
+        key_scheme: Scheme in front of the key in Authorization, with its trailing space.
+
+    Attributes:
+        version: Version of the indexed configuration; 0 before the first.
+        services: Services by name.
+        limits: Limits that apply to all requests.
     """
 
     def __init__(self, configuration: ConfigurationStore, key_scheme: str) -> None:
@@ -85,18 +90,23 @@
         self.limits = fleet.limits
 
     def find(self, host: str, path: str, authorization: str) -> MatchedRoute:
-        """Return the route of a request and its tenant.
+        """Return the route and the tenant of a request.
+
+        Args:
+            host: Value of the Host header, with or without a port.
+            path: Path and query, as received.
+            authorization: Value of the Authorization header; empty if absent.
 
         Raises:
             UnknownRouteError: If no route matches.
-            InvalidKeyError: If the route needs a key and a known one was not sent.
+            InvalidKeyError: If the route requires a key and no known key was sent.
         """
         route = self._find_route(host, path)
         if route is None:
-            raise UnknownRouteError("no route leads there", step=_STEP, peer=host)
+            raise UnknownRouteError("no route matches the host and path", step=_STEP, peer=host)
         tenant = self._find_tenant(authorization)
         if tenant is None and self._tenants and not route.anonymous:
-            raise InvalidKeyError("the key is not known", step=_STEP, peer=route.name)
+            raise InvalidKeyError("missing or unknown API key", step=_STEP, peer=route.name)
         return MatchedRoute(route, tenant, self.version)
 
     def _find_route(self, host: str, path: str) -> resources_pb2.HostRoute | None:
@@ -105,27 +115,28 @@
         )
         if not prefixes:
             return None
-        bare = path.partition("?")[0]
-        end = bare.rfind("/")
+        # Tries the longest prefix first; prefixes end with a slash.
+        without_query = path.partition("?")[0]
+        end = without_query.rfind("/")
         while end >= 0:
-            route = prefixes.get(bare[: end + 1])
+            route = prefixes.get(without_query[: end + 1])
             if route is not None:
                 return route
-            end = bare.rfind("/", 0, end)
+            end = without_query.rfind("/", 0, end)
         return None
 
     def _find_tenant(self, authorization: str) -> resources_pb2.PrepaidTenant | None:
         if not authorization.startswith(self._key_scheme):
             return None
         key = authorization[len(self._key_scheme) :].strip()
-        # Found by a hash of the key, whose timing tells nothing of the key.
+        # The lookup uses a hash of the key, so that its timing reveals nothing about the key.
         return self._tenants.get(hashlib.sha256(key.encode()).hexdigest())
 
     @staticmethod
-    def choose_service(route: resources_pb2.HostRoute, source: Random) -> str:
-        """Return the service that a request goes to, by the weights of the route."""
+    def choose_service(route: resources_pb2.HostRoute, random: Random) -> str:
+        """Return one of the route's services, drawn at random by their weights."""
         total = sum(target.weight for target in route.targets)
-        point = source.random() * total
+        point = random.random() * total
         for target in route.targets:
             point -= target.weight
             if point < 0 and target.weight > 0:
--- a/packages/heronladder-router/src/heronladder_router/placement_settings.py
+++ b/packages/heronladder-router/src/heronladder_router/placement_settings.py
@@ -1,4 +1,4 @@
-"""Where a gateway is, and how it looks at what is around it."""
+"""Location of a gateway and the settings by which it compares replicas."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -6,16 +6,19 @@
 
 @dataclass(frozen=True)
 class PlacementSettings:
-    """Where a gateway is.
+    """Location of a gateway and its settings for choosing replicas.
 
     Attributes:
-        zone: Its zone.
+        zone: Zone of the gateway.
         zone_regions: Region of each zone.
-        far_cost_ms: What a send to another region costs, in ms: the way, and its bytes.
-        far_sends_per_s: Requests a second that may go there while there are replicas here.
-        measures_speed: Whether replicas are compared by measured speed, not by constants.
-        measures_patience: Whether streams are waited for by measured first events.
-        link_s: Tells the way over the gateway's link and back, in seconds.
+        far_cost_ms: Cost added to an attempt in a remote region, in ms: network latency and
+            transfer of the body.
+        far_sends_per_s: Most requests per second that may go to remote regions while the local
+            region has replicas.
+        measures_speed: Whether replicas are compared by measured speed instead of constants.
+        measures_patience: Whether the attempt timeout of a stream follows from measured times to
+            the first event.
+        link_s: Returns the round-trip time of the gateway's link to control, in seconds.
     """
 
     zone: str
--- a/packages/heronladder-router/src/heronladder_router/replica_slot_queue.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_slot_queue.py
@@ -1,6 +1,7 @@
-"""Requests for plain services that wait at a gateway until a replica has room.
+"""Queue of plain requests that wait at a gateway until a replica has a free slot.
 
-What is decided, and why, stands in ``decisions.waiting`` and ``decisions.come_back``.
+The decisions themselves, and their reasons, are in ``decisions.waiting`` and
+``decisions.come_back``.
 """
 
 import asyncio
@@ -30,14 +31,24 @@
 from heronladder_router.gateway_request import GatewayRequest
 from heronladder_router.replica_state import RequestProfile
 
-_LEAST_WAIT_S = 0.001
-#: Replicas that a request may be sent to, and whether the others' load is known.
+_MIN_WAIT_S = 0.001
+#: Returns the slots of the replicas that a request may be sent to, and whether the load that other
+#: gateways put on them is known.
 SlotsLookup = Callable[[RequestProfile], tuple[list[ReplicaPlaces], bool]]
 
 
 @dataclass
 class _ServiceQueue:
-    """What a gateway keeps of one service."""
+    """State of one service.
+
+    Attributes:
+        waiting: Waiting requests by number: the queue entry, the future that is set when the
+            request may be sent, and the properties by which a replica is chosen.
+        given: Number of slots granted to waiting requests so far.
+        told_until_s: Latest retry time that was sent to a caller, on the event loop's clock.
+        measured: Measured response times.
+        places: Slots of the service's replicas, as of the newest decision.
+    """
 
     waiting: dict[int, tuple[Waiter, "asyncio.Future[None]", RequestProfile]] = field(
         default_factory=dict
@@ -49,21 +60,21 @@
 
 
 class ReplicaSlotQueue:
-    """Waits for places and turns away.
+    """Lets plain requests wait for a slot and rejects those that cannot be served in time.
 
     Args:
-        places_of: Tells the places of the replicas that a request may be sent to.
-        gateways: Tells how many gateways send to the same services.
-        link_s: Tells the way over this gateway's link and back, in seconds.
-        environment: Time.
-        metrics: Where verdicts are counted.
-        log: Where verdicts are logged.
-        waits: Whether anything waits or is turned away here.
+        slots_of: Returns the slots of the replicas that a request may be sent to.
+        gateways: Returns the number of gateways that send to the same services.
+        link_s: Returns the round-trip time of this gateway's link to control, in seconds.
+        environment: Source of time.
+        metrics: Counts verdicts.
+        log: Logs verdicts.
+        waits: Whether requests wait and are rejected at all; if not, all are admitted at once.
     """
 
     def __init__(
         self,
-        places_of: SlotsLookup,
+        slots_of: SlotsLookup,
         gateways: Callable[[], int],
         link_s: Callable[[], float],
         environment: Environment,
@@ -72,7 +83,7 @@
         *,
         waits: bool,
     ) -> None:
-        self._places_of = places_of
+        self._slots_of = slots_of
         self._gateways = gateways
         self._link_s = link_s
         self._environment = environment
@@ -84,14 +95,14 @@
 
     @property
     def waiting_count(self) -> int:
-        """How many requests wait."""
+        """Number of waiting requests."""
         return sum(len(queue.waiting) for queue in self._services.values())
 
     async def admit(self, request: GatewayRequest) -> None:
-        """Return when a request for a plain service may be sent.
+        """Wait until a plain request may be sent; other requests are admitted at once.
 
         Raises:
-            PlacesTakenError: If it could not be answered in time behind what waits.
+            PlacesTakenError: If the request cannot be answered in time behind those that wait.
         """
         if not self._waits or request.bounds is not None:
             return
@@ -108,7 +119,7 @@
         if decided.verdict is Verdict.SEND:
             return
         if decided.verdict is Verdict.TURN_AWAY:
-            raise self._turned_away(request, queue, decided)
+            raise self._slots_taken_error(request, queue, decided)
         await self._wait(request, queue, waiter, decided.last_start_ms)
 
     @staticmethod
@@ -122,11 +133,11 @@
     def _decide(
         self, queue: _ServiceQueue, profile: RequestProfile, ahead: int, waiter: Waiter
     ) -> Waiting:
-        replicas, heard = self._places_of(profile)
+        replicas, load_known = self._slots_of(profile)
         left_ms, whole_ms = waiter.times_ms(self._environment.monotonic())
         view = WaitingView(
             replicas,
-            heard,
+            load_known,
             self._gateways(),
             queue.measured,
             ahead,
@@ -143,8 +154,8 @@
     ) -> None:
         slot_granted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         queue.waiting[waiter.number] = (waiter, slot_granted, request.profile)
-        began_s = self._environment.monotonic()
-        wait_s = max(_LEAST_WAIT_S, wait_ms / MILLISECONDS_PER_SECOND)
+        start_s = self._environment.monotonic()
+        wait_s = max(_MIN_WAIT_S, wait_ms / MILLISECONDS_PER_SECOND)
         try:
             async with asyncio.timeout(wait_s):
                 await slot_granted
@@ -153,7 +164,7 @@
             outcome = "last_start"
         finally:
             queue.waiting.pop(waiter.number, None)
-        waited_s = self._environment.monotonic() - began_s
+        waited_s = self._environment.monotonic() - start_s
         self._metrics.observe("place_wait", waited_s, request.profile.service)
         self._log.info(
             "place_waited",
@@ -165,7 +176,10 @@
         )
 
     def grant_free_slots(self, service: str) -> None:
-        """Send what waits as far as replicas have room; called when that may have changed."""
+        """Let waiting requests be sent while replicas have free slots.
+
+        Called whenever a slot of the service may have become free.
+        """
         queue = self._services.get(service)
         if queue is None:
             return
@@ -173,7 +187,7 @@
         while queue.waiting:
             chosen = next_waiter([waiter for waiter, _, _ in queue.waiting.values()], queue.given)
             _, slot_granted, profile = queue.waiting[chosen.number]
-            # What was granted just now is not under way yet.
+            # Requests granted in this loop are not in flight yet, so they count as ahead.
             decided = self._decide(queue, profile, granted, chosen)
             if decided.verdict is not Verdict.SEND:
                 return
@@ -184,52 +198,59 @@
                 slot_granted.set_result(None)
 
     def on_loads_updated(self) -> None:
-        """Look again at all services: the sums of load are new."""
+        """Check all services again after new load totals have arrived."""
         for service, queue in self._services.items():
             if queue.waiting:
                 self.grant_free_slots(service)
 
     def record_response_time(self, service: str, took_s: float) -> None:
-        """Take in how long a whole answer of a replica took."""
+        """Add the time of a replica's complete response to the measured ones.
+
+        Args:
+            service: Service of the replica.
+            took_s: Time from the attempt to the end of the response, in seconds.
+        """
         queue = self._services.setdefault(service, _ServiceQueue())
         queue.measured = queue.measured.after(took_s * MILLISECONDS_PER_SECOND)
 
     # ---- refusals ---------------------------------------------------------
 
-    def _turned_away(
+    def _slots_taken_error(
         self, request: GatewayRequest, queue: _ServiceQueue, decided: Waiting
     ) -> PlacesTakenError:
         return PlacesTakenError(
-            f"places are expected in {decided.expected_ms:.0f} ms",
+            "all replica slots are taken; "
+            f"the next one is expected in {decided.expected_ms:.0f} ms",
             step="wait",
             peer=request.profile.service,
-            retry_after_s=self._told_s(queue, decided.expected_ms),
+            retry_after_s=self._assign_retry_after_s(queue, decided.expected_ms),
         )
 
-    def come_back_s(self, service: str, otherwise_s: float | None) -> float | None:
-        """Return when a caller may come back whom all replicas turned away.
+    def come_back_s(self, service: str, default_s: float | None) -> float | None:
+        """Return the retry-after time, in seconds, for a caller that all replicas rejected.
 
         Args:
-            service: The service.
-            otherwise_s: What to say while nothing of the service is measured.
+            service: Service of the request.
+            default_s: Value while no response of the service has been measured, in seconds.
         """
         queue = self._services.get(service)
         if not self._waits or queue is None or not (queue.measured.least_ms and queue.places):
-            return otherwise_s
-        return self._told_s(queue, queue.measured.least_ms)
+            return default_s
+        return self._assign_retry_after_s(queue, queue.measured.least_ms)
 
-    def _told_s(self, queue: _ServiceQueue, free_in_ms: float) -> float:
-        turn = turn_ms(queue.places, queue.measured.least_ms, self._gateways())
-        told = come_back(
+    def _assign_retry_after_s(self, queue: _ServiceQueue, free_in_ms: float) -> float:
+        """Return the next retry-after time of a service and record it as assigned."""
+        spacing_ms = turn_ms(queue.places, queue.measured.least_ms, self._gateways())
+        assigned = come_back(
             ComeBackView(
                 self._environment.monotonic(),
                 free_in_ms / MILLISECONDS_PER_SECOND,
-                turn / MILLISECONDS_PER_SECOND,
+                spacing_ms / MILLISECONDS_PER_SECOND,
                 queue.told_until_s,
             )
         )
-        queue.told_until_s = told.told_until_s
-        return told.after_s
+        queue.told_until_s = assigned.told_until_s
+        return assigned.after_s
 
     def _report(
         self, request: GatewayRequest, queue: _ServiceQueue, decided: Waiting, ahead: int
--- a/packages/heronladder-router/src/heronladder_router/request_fingerprint.py
+++ b/packages/heronladder-router/src/heronladder_router/request_fingerprint.py
@@ -1,4 +1,4 @@
-"""What two tries of one request have in common, wherever and whenever they come."""
+"""Fingerprint of a request, equal for all of a caller's attempts at any gateway."""
 
 import hashlib
 
@@ -6,15 +6,15 @@
 
 
 def compute_fingerprint(tenant: str, method: str, target: str, body: bytes) -> str:
-    """Return a fingerprint of a request, 16 hexadecimal digits.
+    """Return the fingerprint of a request, 16 hexadecimal digits.
 
-    Headers do not count: a caller's next try has another request id and deadline.
+    Headers are left out: a caller's next attempt has another request id and deadline.
 
     Args:
-        tenant: Name of its tenant; empty: none.
+        tenant: Name of the tenant; empty if the caller is anonymous.
         method: HTTP method.
         target: Path and query, as received.
-        body: The whole body.
+        body: Complete body.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (tenant.encode(), method.encode(), target.encode("utf-8", "surrogateescape")):
--- a/packages/heronladder-router/src/heronladder_router/sliding_retry_budget.py
+++ b/packages/heronladder-router/src/heronladder_router/sliding_retry_budget.py
@@ -1,20 +1,25 @@
-"""How many sends beyond the first a gateway may make in a sliding window."""
+"""Retry budget of a gateway: how many retries it may send within a sliding window."""
 
 from collections import deque
 
 from heronladder_runtime.clock import Environment
 
-_SAFETY = 0.75  # of what is allowed: windows of gateways and judges do not align
+# Fraction of the budget that is used. The windows of the gateways and of whoever checks the limit
+# do not align, so retries of two windows can fall into one.
+_SAFETY_FRACTION = 0.75
 
 
 class SlidingRetryBudget:
-    """Counts requests and repeated sends of each service.
+    """Limits the retries of each service to a fraction of its requests plus a constant.
 
     Args:
-        environment: Time.
-        ratio: Repeated sends as a share of requests.
-        slack: Repeated sends that all gateways may make besides.
+        environment: Source of time.
+        ratio: Retries allowed per request.
+        slack: Retries that all gateways together may send in addition.
         window_s: Length of the window, in seconds.
+
+    Attributes:
+        gateways: Number of gateways that share ``slack``.
     """
 
     def __init__(self, environment: Environment, ratio: float, slack: int, window_s: float) -> None:
@@ -23,26 +28,27 @@
         self._slack = slack
         self._window_s = window_s
         self._requests: dict[str, deque[float]] = {}
-        self._repeats: dict[str, deque[float]] = {}
-        self.gateways = 1  # that share the slack
+        self._retries: dict[str, deque[float]] = {}
+        self.gateways = 1
 
     def request(self, service: str) -> None:
-        """Count a request of a caller."""
-        self._counted(self._requests, service).append(self._environment.monotonic())
+        """Count a caller's request."""
+        self._times_in_window(self._requests, service).append(self._environment.monotonic())
 
     def try_spend(self, service: str) -> bool:
-        """Count a repeated send if one is allowed now."""
-        repeats = self._counted(self._repeats, service)
-        requests = self._counted(self._requests, service)
+        """Take one retry out of the budget; return whether one was left."""
+        retries = self._times_in_window(self._retries, service)
+        requests = self._times_in_window(self._requests, service)
         allowed = self._ratio * len(requests) + self._slack / max(1, self.gateways)
-        if len(repeats) + 1 > _SAFETY * allowed:
+        if len(retries) + 1 > _SAFETY_FRACTION * allowed:
             return False
-        repeats.append(self._environment.monotonic())
+        retries.append(self._environment.monotonic())
         return True
 
-    def _counted(self, table: dict[str, deque[float]], service: str) -> deque[float]:
-        moments = table.setdefault(service, deque())
+    def _times_in_window(self, table: dict[str, deque[float]], service: str) -> deque[float]:
+        """Return a service's times in a table after dropping those older than the window."""
+        times_s = table.setdefault(service, deque())
         oldest_s = self._environment.monotonic() - self._window_s
-        while moments and moments[0] < oldest_s:
-            moments.popleft()
-        return moments
+        while times_s and times_s[0] < oldest_s:
+            times_s.popleft()
+        return times_s
