--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -1,4 +1,4 @@
-"""From a matched request to its answer: tokens, replicas, further sends, the final word."""
+"""Dispatch of a matched request: reserves tokens, chooses replicas, retries, and reports errors."""
 
 import asyncio
 from dataclasses import dataclass, replace
@@ -43,19 +43,36 @@
 from heronladder_router.tokens.access import TokenAccess
 from heronladder_router.unreached_replicas import UnreachedReplicas
 
-_REJECTIONS = 3  # sends that were not run, over the route's attempts
+_MAX_REJECTIONS = 3  # attempts that replicas did not run; they do not count as route attempts
 _REPLICA_WAIT_S = 0.2
-# Within a moment: a replica comes, is warm, or is of a version that has just been admitted.
-_MAY_PASS = frozenset({Reason.NONE_KNOWN, Reason.COLD, Reason.VERSION})
+# Reasons for having no replica that often end within _REPLICA_WAIT_S: a replica registers, has
+# warmed up, or its version is admitted.
+_TRANSIENT_REASONS = frozenset({Reason.NONE_KNOWN, Reason.COLD, Reason.VERSION})
 
 
 class StreamBrokenError(HeronladderError):
-    """A stream that had begun cannot go on; its connection must be cut."""
+    """A stream that was started cannot be completed; the caller's connection must be aborted."""
 
 
 @dataclass
 class DispatchContext:
-    """What dispatching works with."""
+    """Components that the dispatcher uses.
+
+    Attributes:
+        link: Link to control.
+        routes: Routes, tenants and services.
+        replicas: All replicas.
+        tokens: Prepaid tokens.
+        attempts: Sends requests to replicas.
+        retry_budget: Limits retries.
+        slot_queue: Queue of plain requests that wait for a replica slot.
+        crashing: Known crashing requests.
+        crash_reports: Reports crashes to control.
+        unreached: Watches replicas that could not be reached.
+        environment: Source of time and randomness.
+        metrics: Counts requests and failures.
+        log: Logs attempts and outcomes.
+    """
 
     link: ControlLink
     routes: HostRouteTable
@@ -73,29 +90,33 @@
 
 
 class GatewayDispatcher:
-    """Serves requests.
+    """Sends requests to replicas until one answers or the request is given up.
 
     Args:
-        parts: What it works with.
+        context: Components that it uses.
     """
 
-    def __init__(self, parts: DispatchContext) -> None:
-        self._context = parts
+    def __init__(self, context: DispatchContext) -> None:
+        self._context = context
         self._tokens = RequestTokens(
-            parts.link, parts.routes, parts.tokens, parts.environment, parts.log
+            context.link, context.routes, context.tokens, context.environment, context.log
         )
-        self._refusals = GatewayRefusals(parts.replicas, parts.slot_queue)
+        self._refusals = GatewayRefusals(context.replicas, context.slot_queue)
 
     async def serve(self, request: GatewayRequest, sink: ResponseSink) -> None:
-        """Pass the answer to a request on to its caller.
+        """Serve a request and forward the response to its caller.
+
+        Args:
+            request: The request.
+            sink: Connection of the caller.
 
         Raises:
-            CallerError: If there is none; nothing was sent to the caller.
-            StreamBrokenError: If a stream that had begun cannot go on.
+            CallerError: If there is no response; nothing was sent to the caller.
+            StreamBrokenError: If a stream that was started cannot be completed.
         """
         if self._context.crashing.is_refused(request.fingerprint):
             raise CrashesReplicasError(
-                f"replicas crashed under request {request.fingerprint}",
+                f"replicas crashed while running request {request.fingerprint}",
                 step="serve",
                 peer=request.profile.service,
             )
@@ -110,7 +131,7 @@
                 await self._context.slot_queue.admit(request)
                 await self._send_until_answered(request, sink, progress)
         except TimeoutError as error:
-            raise self._time_ran_out(request, sink, progress) from error
+            raise self._time_limit_error(request, sink, progress) from error
         finally:
             used = self._tokens.used(request, progress)
             if reservation is not None:
@@ -119,10 +140,10 @@
             log_request_end(self._context.log, request, sink, progress, reservation, used, now_s)
 
     def _refuse_unplaceable(self, request: GatewayRequest) -> None:
-        """Refuse a request before it waits for tokens or places that it has no use for.
+        """Refuse a request that no replica would accept, before it waits for tokens or a slot.
 
         Raises:
-            CallerError: If only replicas that back off or leave are left for it.
+            CallerError: If all replicas that could serve it back off or are leaving.
         """
         if not self._context.replicas.availability.any_unavailable:
             return
@@ -130,47 +151,48 @@
         if reason in (Reason.BACKING_OFF, Reason.LEAVING):
             raise self._refusals.unanswered_error(request, Sends(lacking=reason))
 
-    # ---- sends ------------------------------------------------------------
+    # ---- attempts ---------------------------------------------------------
 
     async def _send_until_answered(
         self, request: GatewayRequest, sink: ResponseSink, progress: AnswerProgress
     ) -> None:
-        sends = Sends()
+        history = Sends()
         while True:
-            placement = await self._next_placement(request, sends)
+            placement = await self._next_placement(request, history)
             replica = placement.replica
             if replica is None:
-                sends.lacking = placement.reason
+                history.lacking = placement.reason
                 break
-            self._log_send(request, replica, placement, sends, progress)
+            self._log_attempt(request, replica, placement, history, progress)
             try:
                 await self._make_attempt(request, replica, sink, progress)
                 self._context.crashing.record_served(request.fingerprint)
                 return
             except HeldBackError as error:
-                self._note_held_back(request, replica, error)
-                continue  # nothing arrived: it counts as no send
+                self._record_held_back(request, replica, error)
+                continue  # nothing was sent, so it does not count as an attempt
             except NotRunError as error:
-                sends.rejected += 1
-                sends.unreached += isinstance(error, NotReachedError | NoConnectionError)
-                self._note_failure(request, replica, error)
-                if sends.rejected > _REJECTIONS:
+                history.rejected += 1
+                history.unreached += isinstance(error, NotReachedError | NoConnectionError)
+                self._record_failure(request, replica, error)
+                if history.rejected > _MAX_REJECTIONS:
                     break
             except RunFailedError as error:
-                sends.runs += 1
-                sends.failure = error.answer
-                self._context.crashing.record_served(request.fingerprint)  # it did not crash
-                self._note_failure(request, replica, error)
+                history.runs += 1
+                history.failure = error.answer
+                # The run failed without crashing the replica.
+                self._context.crashing.record_served(request.fingerprint)
+                self._record_failure(request, replica, error)
             except RunLostError as error:
-                sends.runs += 1
-                sends.failure = None
-                self._note_failure(request, replica, error)
+                history.runs += 1
+                history.failure = None
+                self._record_failure(request, replica, error)
                 if isinstance(error, ConnectionEndedError):
                     self._context.crash_reports.record_connection_loss(replica, request)
-            sends.tried.add(replica.name)
-            if sends.runs and not self._may_run_again(request, sends):
+            history.tried.add(replica.name)
+            if history.runs and not self._may_run_again(request, history):
                 break
-        await self._give_up(request, sink, progress, sends)
+        await self._give_up(request, sink, progress, history)
 
     async def _make_attempt(
         self,
@@ -179,7 +201,7 @@
         sink: ResponseSink,
         progress: AnswerProgress,
     ) -> None:
-        """Send once; what waits for a place hears of its end."""
+        """Make one attempt; when a plain request ends, its slot is offered to the queue."""
         if request.bounds is not None:
             await self._context.attempts.make(request, replica, sink, progress)
             return
@@ -193,64 +215,72 @@
         finally:
             self._context.slot_queue.grant_free_slots(service)
 
-    def _may_run_again(self, request: GatewayRequest, sends: Sends) -> bool:
+    def _may_run_again(self, request: GatewayRequest, history: Sends) -> bool:
         crashing = self._context.crashing
         if crashing.is_suspect(request.fingerprint) or crashing.is_refused(request.fingerprint):
-            return False  # each send may cost a replica
+            return False  # each attempt may crash another replica
         route = request.matched.route
-        return request.matched.may_run_twice and sends.runs < max(1, route.attempts)
-
-    async def _next_placement(self, request: GatewayRequest, sends: Sends) -> Placement:
-        await self._wait_until_it_may_send(sends)
-        placement = self._place(request, sends)
-        if not sends.count and await self._passes(placement.reason, request):
-            await self._wait_until_it_may_send(sends)
-            placement = self._place(request, sends)
-        # Only what arrives at a replica again is a repeat. Tries at crashed replicas used all
-        # repeats up, and requests were refused beside idle ones (stand-ins, three of six replicas
-        # lost each 2 s: 76 refusals in a traced run; 12 to 25 in each of ten without).
-        if placement.replica is None or not sends.may_have_arrived:
+        return request.matched.may_run_twice and history.runs < max(1, route.attempts)
+
+    async def _next_placement(self, request: GatewayRequest, history: Sends) -> Placement:
+        await self._wait_for_current_configuration(history)
+        placement = self._place(request, history)
+        if not history.count and await self._wait_for_replica(placement.reason, request):
+            await self._wait_for_current_configuration(history)
+            placement = self._place(request, history)
+        # Only a request that may have arrived at a replica counts as a retry. When failed
+        # connections to crashed replicas counted too, they exhausted the retry budget, and requests
+        # were refused while other replicas were idle: 12 to 25 per run with three of six replicas
+        # crashing every 2 s, and 76 with tracing on.
+        if placement.replica is None or not history.may_have_arrived:
             return placement
         if not self._context.retry_budget.try_spend(request.profile.service):
             self._context.metrics.add("repeats_not_allowed", request.profile.service)
             return Placement(None, Reason.TRIED)
         return placement
 
-    async def _passes(self, reason: Reason, request: GatewayRequest) -> bool:
-        """Wait a moment for what keeps a request from being sent; return whether it may be over."""
+    async def _wait_for_replica(self, reason: Reason, request: GatewayRequest) -> bool:
+        """Wait briefly for a replica if the reason for having none may be transient.
+
+        Returns:
+            Whether a replica may be available now.
+        """
         replicas = self._context.replicas
         if reason is Reason.LIMITED:
             return await replicas.limits.wait_for_grant(request.profile.service)
-        if reason in _MAY_PASS:
+        if reason in _TRANSIENT_REASONS:
             await replicas.changed.wait(_REPLICA_WAIT_S)
             return True
         return False
 
-    def _place(self, request: GatewayRequest, sends: Sends) -> Placement:
+    def _place(self, request: GatewayRequest, history: Sends) -> Placement:
         profile = request.profile
         if self._context.crashing.is_suspect(request.fingerprint):
             profile = replace(profile, alone=request.fingerprint)
-        return self._context.replicas.place(profile, sends.tried)
+        return self._context.replicas.place(profile, history.tried)
 
-    async def _wait_until_it_may_send(self, sends: Sends) -> None:
-        """Send by no list of replicas that is known to be superseded.
+    async def _wait_for_current_configuration(self, history: Sends) -> None:
+        """Wait while the list of replicas is known to be out of date.
 
         Raises:
-            BehindError: If nothing was sent yet: other gateways can serve it.
+            BehindError: If the list is out of date and there was no attempt yet: the caller can
+                use another gateway.
         """
         standing = self._context.link.standing
         if not standing.must_hold:
             return
-        if not sends.count:
-            raise BehindError("a newer configuration is in force", step="send")
+        if not history.count:
+            raise BehindError(
+                "this gateway's configuration is out of date: a newer one is in force", step="send"
+            )
         await standing.wait_until_it_may_act()
 
-    def _log_send(
+    def _log_attempt(
         self,
         request: GatewayRequest,
         replica: FleetReplica,
         placement: Placement,
-        sends: Sends,
+        history: Sends,
         progress: AnswerProgress,
     ) -> None:
         if placement.way.is_far:
@@ -271,11 +301,11 @@
             request,
             replica,
             placement,
-            sends.count,
+            history.count,
             self._context.environment.monotonic(),
         )
 
-    def _note_failure(
+    def _record_failure(
         self, request: GatewayRequest, replica: FleetReplica, error: HeronladderError
     ) -> None:
         if error.step == "rejected":
@@ -298,7 +328,7 @@
             why=error.message,
         )
 
-    def _note_held_back(
+    def _record_held_back(
         self, request: GatewayRequest, replica: FleetReplica, error: HeldBackError
     ) -> None:
         self._context.metrics.add("sends_held_back", error.message)
@@ -310,37 +340,41 @@
             availability=error.message,
         )
 
-    # ---- the final word ---------------------------------------------------
+    # ---- outcome without a response ---------------------------------------
 
     async def _give_up(
         self,
         request: GatewayRequest,
         sink: ResponseSink,
         progress: AnswerProgress,
-        sends: Sends,
+        history: Sends,
     ) -> None:
         if sink.started:
             raise StreamBrokenError(
-                "the stream broke and cannot go on", step="give_up", peer=request.request_id
+                "stream broke and cannot be resumed", step="give_up", peer=request.request_id
             )
-        if sends.failure is not None:
+        if history.failure is not None:
             progress.finished = True
-            await sink.send_complete(sends.failure)
+            await sink.send_complete(history.failure)
             return
-        raise self._refusals.unanswered_error(request, sends)
+        raise self._refusals.unanswered_error(request, history)
 
     @staticmethod
-    def _time_ran_out(
+    def _time_limit_error(
         request: GatewayRequest, sink: ResponseSink, progress: AnswerProgress
     ) -> HeronladderError:
         if sink.started:
             return StreamBrokenError(
-                "the time for the request ran out", step="time_limit", peer=request.request_id
+                "request deadline exceeded during the stream",
+                step="time_limit",
+                peer=request.request_id,
             )
         if progress.ran:
             return TimeLimitError(
-                "the time for the request ran out", step="time_limit", peer=request.request_id
+                "request deadline exceeded", step="time_limit", peer=request.request_id
             )
         return RejectedEverywhereError(
-            "no replica took the request in its time", step="time_limit", peer=request.request_id
+            "no replica accepted the request before its deadline",
+            step="time_limit",
+            peer=request.request_id,
         )
--- a/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
@@ -42,46 +42,46 @@
         self._replicas = replicas
         self._slot_queue = slot_queue
 
-    def unanswered_error(self, request: GatewayRequest, sends: Sends) -> CallerError:
+    def unanswered_error(self, request: GatewayRequest, history: Sends) -> CallerError:
         """Return the error for the caller, with the time after which it may retry.
 
         Args:
             request: The request that was given up.
-            sends: Its attempts.
+            history: Attempts made so far.
         """
         service = request.profile.service
-        if sends.runs:
+        if history.runs:
             return AnswerLostError(
                 "response lost; the request may have run", step="give_up", peer=service
             )
-        if sends.rejected:
+        if history.rejected:
             error: CallerError = RejectedEverywhereError(
                 "no replica accepted the request", step="give_up", peer=service
             )
         else:
-            error_class = _ERRORS_BY_REASON.get(sends.lacking, NoBackendError)
+            error_class = _ERRORS_BY_REASON.get(history.lacking, NoBackendError)
             error = error_class(
-                f"no replica available: {sends.lacking.value}", step="give_up", peer=service
+                f"no replica available: {history.lacking.value}", step="give_up", peer=service
             )
-        error.retry_after_s = self._retry_after_s(request, sends, error.retry_after_s)
+        error.retry_after_s = self._retry_after_s(request, history, error.retry_after_s)
         return error
 
     def _retry_after_s(
-        self, request: GatewayRequest, sends: Sends, default_s: float | None
+        self, request: GatewayRequest, history: Sends, default_s: float | None
     ) -> float | None:
         """Return after how long the condition that blocked a request is expected to end.
 
         Args:
             request: The request that was given up.
-            sends: Its attempts.
+            history: Attempts made so far.
             default_s: Value if nothing is known about that condition, in seconds.
         """
         service = request.profile.service
         ends_s = self._replicas.back_off_ends_s(service)
         if ends_s is not None:
             return ends_s
-        if sends.rejected and request.bounds is None:
+        if history.rejected and request.bounds is None:
             return self._slot_queue.come_back_s(service, default_s)
-        if sends.lacking is Reason.LIMITED and not sends.rejected:
+        if history.lacking is Reason.LIMITED and not history.rejected:
             return self._replicas.limits.come_back_s(service)
         return default_s
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -1,4 +1,4 @@
-"""The gateway role: a router by host and path that sends to replicas itself."""
+"""The gateway role: routes requests by host and path and sends them to replicas directly."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping
@@ -33,38 +33,46 @@
 from heronladder_router.tokens.access import LendingOptions, TokenAccess
 from heronladder_router.unreached_replicas import UnreachedReplicas
 
-_STOP_POLL_S = 0.02
-_LAST_RETURN_S = 0.8
-_LOANS_WAIT_S = 0.3  # of it, for others to settle what they borrowed
+_DRAIN_POLL_S = 0.02
+# Longest time to return tokens when stopping, and the part of it that other gateways have to
+# settle what they borrowed.
+_TOKEN_RETURN_TIMEOUT_S = 0.8
+_LOAN_SETTLEMENT_WAIT_S = 0.3
 
 
 @dataclass(frozen=True)
 class GatewayOptions:
-    """Settings of a gateway; times in seconds.
+    """Settings of a gateway.
 
     Attributes:
         name: Name of the daemon.
-        region: Its region.
-        zone: Its zone.
-        control_addresses: gRPC addresses of control members.
-        heartbeat_s: Time between heartbeats.
-        retry_ratio: Repeated sends as a share of a service's requests.
-        retry_slack: Repeated sends that all gateways may make besides.
-        retry_window_s: Window over which they are counted.
-        stale_limit_s: Longest time without control.
+        region: Region of the gateway.
+        zone: Zone of the gateway.
+        control_addresses: gRPC addresses of the control members.
+        heartbeat_s: Time between heartbeats, in seconds.
+        retry_ratio: Retries allowed per request of a service.
+        retry_slack: Retries that all gateways together may send in addition.
+        retry_window_s: Window over which requests and retries are counted, in seconds.
+        stale_limit_s: Time without control after which the gateway is not ready, in seconds.
         names: Header names.
-        lending_address: IP:port at which other gateways borrow tokens; empty: nowhere.
-        lending_key_file: File with the keys that prove loan messages; empty: none.
+        lending_address: IP:port at which other gateways borrow tokens; empty if they cannot.
+        lending_key_file: File with the keys that authenticate loan messages; empty if none.
         zone_regions: Region of each zone.
-        cold_over: What all gateways may send to a cold replica, in multiples of what it bears.
-        cold_slack: Requests a second that they may send to it besides.
-        group: Its control group; empty: named like the region.
-        far_cost_ms: What a send to another region costs, in ms: the way, and its bytes.
-        far_sends_per_s: Requests a second that may go there while there are replicas here.
-        wait_for_places: Whether requests for plain services wait here or are turned away.
-        behind_after_ms: Not ready while link or loop are later than that, in ms; 0: never.
-        measured_speed: Whether replicas are compared by measured speed, not by constants.
-        measured_patience: Whether streams are waited for by measured first events.
+        cold_over: Rate that all gateways together may send to a cold replica, as a multiple of
+            its capacity.
+        cold_slack: Requests per second that they may send to it in addition.
+        group: Control group; empty if it is named like the region.
+        far_cost_ms: Cost added to an attempt in a remote region, in ms: network latency and
+            transfer of the body.
+        far_sends_per_s: Most requests per second that may go to remote regions while the local
+            region has replicas.
+        wait_for_places: Whether plain requests wait for a replica slot, and are rejected if they
+            cannot be served in time.
+        behind_after_ms: Link round trip or loop lag, in ms, above which the gateway is not ready;
+            0 disables the check.
+        measured_speed: Whether replicas are compared by measured speed instead of constants.
+        measured_patience: Whether the attempt timeout of a stream follows from measured times to
+            the first event.
     """
 
     name: str
@@ -92,12 +100,12 @@
 
 
 class GatewayRole:
-    """One gateway.
+    """A gateway and its components.
 
     Args:
         options: Settings.
-        stubs: Makes stubs to control.
-        environment: Time and randomness.
+        stubs: Creates gRPC stubs for control.
+        environment: Source of time and randomness.
     """
 
     def __init__(
@@ -110,7 +118,7 @@
         self._tasks = TaskGroupOwner(self.log)
         handlers = LinkHandlers(rejected=self._begin_new_incarnation)
         self.link = ControlLink(
-            self._record(),
+            self._daemon_record(),
             options.control_addresses,
             stubs,
             options.heartbeat_s,
@@ -123,7 +131,7 @@
         self.replicas = self._make_replicas()
         handlers.session_began = self.tokens.held.session_began
         handlers.fill_heartbeat = self._fill_heartbeat
-        self.slot_queue = self._make_places()
+        self.slot_queue = self._make_slot_queue()
         self.readiness = GatewayReadiness(
             options.behind_after_ms,
             self.link,
@@ -132,8 +140,8 @@
             self.metrics,
             self.log,
         )
-        handlers.replica_loads = self._loads_told
-        self._join_limits(handlers)
+        handlers.replica_loads = self._on_replica_loads
+        self._connect_replica_limits(handlers)
         self.replicas.versions.heard_s = lambda: self.link.standing.last_contact_s
         self.replicas.versions.count = lambda version: self.metrics.add("rollout_sends", version)
         handlers.rollout_grants = self.replicas.versions.granted
@@ -151,7 +159,7 @@
         self._client = ReplicaClient()
         self._connections = ReplicaConnections(environment, self.metrics)
         self.server = self._make_server()
-        self.link.configuration.listen(self._configuration_changed)
+        self.link.configuration.listen(self._on_configuration_changed)
         self.metrics.gauge("configuration_revision", lambda: self.link.configuration.revision)
         self.metrics.gauge("replicas_cold", lambda: self.replicas.cold_count)
         self.metrics.gauge("far_sends", lambda: self.replicas.far_sends)
@@ -162,7 +170,7 @@
         self.metrics.gauge("replicas_unreached", lambda: self.unreached.count)
         self.metrics.gauge("revision_in_force", lambda: self.link.standing.in_force_revision)
 
-    def _record(self) -> ledger_pb2.DaemonRecord:
+    def _daemon_record(self) -> ledger_pb2.DaemonRecord:
         options = self.options
         return ledger_pb2.DaemonRecord(
             name=options.name,
@@ -186,7 +194,7 @@
         )
         return TokenAccess(lending, self.link, stubs, self._environment, self.metrics, self.log)
 
-    def _join_limits(self, handlers: LinkHandlers) -> None:
+    def _connect_replica_limits(self, handlers: LinkHandlers) -> None:
         self.replicas.availability.gateways = lambda: self.link.routers
         limits = self.replicas.limits
         limits.gateway = self.options.name
@@ -221,7 +229,7 @@
             self.metrics,
         )
 
-    def _make_places(self) -> ReplicaSlotQueue:
+    def _make_slot_queue(self) -> ReplicaSlotQueue:
         return ReplicaSlotQueue(
             self.replicas.places_of,
             lambda: self.link.routers,
@@ -232,18 +240,18 @@
             waits=self.options.wait_for_places,
         )
 
-    def _loads_told(self, loads: Mapping[str, control_pb2.ReplicaLoad]) -> None:
+    def _on_replica_loads(self, loads: Mapping[str, control_pb2.ReplicaLoad]) -> None:
         self.replicas.loads.update_others(loads)
         self.slot_queue.on_loads_updated()
-        self._look_at_load()
+        self._update_readiness()
 
-    def _look_at_load(self) -> None:
+    def _update_readiness(self) -> None:
         self.readiness.update()
         self.server.shedding_connections = self.readiness.behind
 
     def _make_server(self) -> GatewayServer:
         options = self.options
-        parts = DispatchContext(
+        context = DispatchContext(
             link=self.link,
             routes=self.routes,
             replicas=self.replicas,
@@ -266,7 +274,7 @@
             log=self.log,
         )
         return GatewayServer(
-            GatewayDispatcher(parts),
+            GatewayDispatcher(context),
             self.routes,
             self.link,
             options.names,
@@ -280,11 +288,14 @@
         self.replicas.fill_heartbeat(heartbeat)
 
     def _begin_new_incarnation(self) -> str:
-        """Go on under a new incarnation: control charged the old one for all it held."""
+        """Drop all tokens and return the id of a new incarnation.
+
+        Control has charged the old incarnation for all tokens that it held.
+        """
         self.tokens.drop_all()
         return self._environment.new_id(self.options.name)
 
-    def _configuration_changed(self) -> None:
+    def _on_configuration_changed(self) -> None:
         self.server.ready = self.routes.version > 0
         self.log.info(
             "configuration_in_use",
@@ -293,63 +304,64 @@
             revision=self.link.configuration.revision,
         )
 
-    # ---- life -------------------------------------------------------------
+    # ---- lifecycle --------------------------------------------------------
 
     async def start(self) -> None:
-        """Connect to control."""
+        """Start to connect to control and to obtain tokens."""
         self.link.start()
         self.tokens.start()
 
     def ready(self) -> bool:
-        """Whether new connections are wanted."""
+        """Return whether the gateway accepts new connections."""
         if self.readiness.behind:
-            self._look_at_load()
+            self._update_readiness()
         silent_s = self._environment.monotonic() - self.link.last_heard_s
-        heard = silent_s < self.options.stale_limit_s
-        held = self.link.standing.must_hold
+        is_connected = silent_s < self.options.stale_limit_s
+        is_outdated = self.link.standing.must_hold
         return (
             self.server.ready
-            and heard
-            and not held
+            and is_connected
+            and not is_outdated
             and not (self.server.draining or self.server.shedding_connections)
         )
 
     async def drain(
         self, grace_s: float, notice_s: float, stop_accepting: Callable[[], Awaitable[None]]
     ) -> None:
-        """Serve until callers' balancers have noticed, then until nothing is in flight.
+        """Serve until load balancers have noticed, then until no request is in flight.
 
         Args:
-            grace_s: Longest time in all, in seconds.
-            notice_s: Time that balancers need to notice, in seconds.
-            stop_accepting: Closes the listener; requests on open connections are refused.
+            grace_s: Longest total time, in seconds.
+            notice_s: Time that load balancers need to notice that the gateway is not ready, in
+                seconds.
+            stop_accepting: Closes the listener; requests on open connections are rejected.
         """
-        began_s = self._environment.monotonic()
+        start_s = self._environment.monotonic()
         self.server.draining = True
         await asyncio.sleep(notice_s)
-        # From now on, busy callers on kept connections must not hold this up.
+        # New requests on open connections are rejected, so that they do not prolong the drain.
         self.server.rejecting_requests = True
         self.tokens.lend_no_more()
         await stop_accepting()
-        while self.server.in_flight and self._environment.monotonic() - began_s < grace_s:
-            await asyncio.sleep(_STOP_POLL_S)
+        while self.server.in_flight and self._environment.monotonic() - start_s < grace_s:
+            await asyncio.sleep(_DRAIN_POLL_S)
         if self.server.in_flight:
             self.log.error(
                 "planned_stop_cuts_requests", step="drain", requests=self.server.in_flight
             )
 
     async def stop(self) -> None:
-        """Give tokens back, say goodbye, and end."""
+        """Return all tokens, close the link to control, and stop."""
         try:
-            async with asyncio.timeout(_LAST_RETURN_S):
-                await self.tokens.return_all(_LOANS_WAIT_S)
+            async with asyncio.timeout(_TOKEN_RETURN_TIMEOUT_S):
+                await self.tokens.return_all(_LOAN_SETTLEMENT_WAIT_S)
         except TimeoutError:
             self.log.warning("stopped_without_control", step="stop")
         await self.link.stop()
         await self.abort()
 
     async def abort(self) -> None:
-        """End at once, as a crash would."""
+        """Stop at once, without returning tokens, as in a crash."""
         await self.link.abort()
         await self.tokens.stop()
         await self.crash_reports.stop()
--- a/packages/heronladder-router/src/heronladder_router/gateway_server.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_server.py
@@ -1,4 +1,8 @@
-"""The gateway's HTTP listener: any host, any path, bytes as they come."""
+"""HTTP front end of the gateway.
+
+Accepts requests for any host and path, converts each into a ``GatewayRequest`` for the dispatcher,
+and converts errors into error responses. Paths and bodies are forwarded unchanged.
+"""
 
 import asyncio
 
@@ -35,40 +39,45 @@
 from heronladder_router.replica_state import RequestProfile
 
 _DEFAULT_BODY_BYTES = 4 * 1024 * 1024
-_LAST_PRIORITY = 9
+_LOWEST_PRIORITY = 9
 _STEP = "intake"
 
 
 class _CallerResponseSink:
-    """Sends an answer on a caller's connection."""
+    """Sends a response on a caller's connection.
 
-    def __init__(self, request: web.BaseRequest, draining: bool) -> None:
+    Args:
+        request: Request of the caller.
+        close_connection: Whether the response asks the caller to close the connection.
+    """
+
+    def __init__(self, request: web.BaseRequest, close_connection: bool) -> None:
         self._request = request
-        self._closing = draining
+        self._close_connection = close_connection
         self._response: web.StreamResponse | None = None
         self.started = False
         self.status = 0
 
-    def _head(self, answer: ReplicaResponse, response: web.StreamResponse) -> None:
+    def _set_head(self, response: ReplicaResponse, web_response: web.StreamResponse) -> None:
         self.started = True
-        self.status = answer.status
-        for name, value in answer.headers:
-            response.headers.add(name, value)
-        if self._closing:
-            response.force_close()
-        self._response = response
+        self.status = response.status
+        for name, value in response.headers:
+            web_response.headers.add(name, value)
+        if self._close_connection:
+            web_response.force_close()
+        self._response = web_response
 
-    async def send_complete(self, answer: ReplicaResponse) -> None:
-        response = web.Response(status=answer.status, body=answer.body)
-        response.headers.clear()
-        self._head(answer, response)
-        await response.prepare(self._request)
-        await response.write_eof()
+    async def send_complete(self, response: ReplicaResponse) -> None:
+        web_response = web.Response(status=response.status, body=response.body)
+        web_response.headers.clear()
+        self._set_head(response, web_response)
+        await web_response.prepare(self._request)
+        await web_response.write_eof()
 
-    async def start(self, answer: ReplicaResponse) -> None:
-        response = web.StreamResponse(status=answer.status)
-        self._head(answer, response)
-        await response.prepare(self._request)
+    async def start(self, response: ReplicaResponse) -> None:
+        web_response = web.StreamResponse(status=response.status)
+        self._set_head(response, web_response)
+        await web_response.prepare(self._request)
 
     async def write(self, data: bytes) -> None:
         assert self._response is not None
@@ -80,22 +89,30 @@
 
     @property
     def response(self) -> web.StreamResponse:
-        """The answer that was sent."""
+        """The response that was sent; there must be one."""
         assert self._response is not None
         return self._response
 
 
 class GatewayServer:
-    """Takes callers' requests.
+    """Handles callers' requests.
 
     Args:
-        dispatcher: Serves them.
-        routes: Finds routes and tenants.
-        link: Tells how what is held stands to what control said.
+        dispatcher: Serves the requests.
+        routes: Finds the routes and tenants of requests.
+        link: Link to control; shows whether this gateway's configuration is up to date.
         names: Header names.
-        environment: Time and randomness.
-        metrics: Where it counts.
-        log: Where events are reported.
+        environment: Source of time and randomness.
+        metrics: Counts requests and refusals.
+        log: Logs refusals and failures.
+
+    Attributes:
+        in_flight: Number of requests being handled.
+        draining: Whether responses ask callers to reconnect because the gateway will stop.
+        shedding_connections: Whether responses ask callers to reconnect because the gateway is
+            behind.
+        rejecting_requests: Whether requests are rejected because the gateway is about to stop.
+        ready: Whether control has confirmed a configuration.
     """
 
     def __init__(
@@ -116,13 +133,11 @@
         self._metrics = metrics
         self._log = log
         self.in_flight = 0
-        self.draining = False  # answers ask callers to connect anew
-        self.shedding_connections = (
-            False  # callers are asked to connect anew: this gateway is behind
-        )
-        self.rejecting_requests = False  # requests are refused: this gateway is about to end
-        self.ready = False  # a configuration was confirmed by control
-        own = (
+        self.draining = False
+        self.shedding_connections = False
+        self.rejecting_requests = False
+        self.ready = False
+        consumed = (
             names.deadline_ms,
             names.expect_replica,
             names.tenant,
@@ -132,10 +147,10 @@
             "Authorization",
             "Expect",
         )
-        self._own_headers = frozenset(name.lower() for name in own)
+        self._consumed_headers = frozenset(name.lower() for name in consumed)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request."""
+        """Serve one request and return the response that was sent."""
         sink = _CallerResponseSink(request, self.draining or self.shedding_connections)
         arrived_s = self._environment.monotonic()
         self.in_flight += 1
@@ -143,12 +158,12 @@
             await self._serve(request, sink, arrived_s)
             return sink.response
         except CallerError as error:
-            return self._refuse(request, error)
+            return self._error_response(request, error)
         except StreamBrokenError as error:
             self._log.warning(
                 "stream_broken", step=error.step, request_id=error.peer, why=error.message
             )
-            self._cut(request)
+            self._abort_connection(request)
             return sink.response
         except (ConnectionResetError, ConnectionAbortedError):
             self._metrics.add("callers_gone")
@@ -156,9 +171,9 @@
         except HeronladderError as error:
             self._log.error("request_failed", step=error.step, peer=error.peer, why=error.message)
             if sink.started:
-                self._cut(request)
+                self._abort_connection(request)
                 return sink.response
-            return self._refuse(request, CallerError(error.message, step=error.step))
+            return self._error_response(request, CallerError(error.message, step=error.step))
         except asyncio.CancelledError:
             self._metrics.add("callers_gone")
             raise
@@ -168,8 +183,8 @@
             self._metrics.observe("gateway_request", elapsed_s, str(sink.status))
 
     @staticmethod
-    def _cut(request: web.BaseRequest) -> None:
-        """Close the caller's connection, so that what it has does not look whole."""
+    def _abort_connection(request: web.BaseRequest) -> None:
+        """Abort the caller's connection, so that a truncated response does not look complete."""
         if request.transport is not None:
             request.transport.abort()
 
@@ -181,28 +196,32 @@
         if self.rejecting_requests:
             raise StoppingError("this gateway is stopping", step=_STEP)
         if not self.ready:
-            raise NotReadyError("no configuration is known yet", step=_STEP)
+            raise NotReadyError("no configuration received from control yet", step=_STEP)
         if self._link.standing.must_hold:
-            raise BehindError("a newer configuration is in force", step=_STEP)
+            raise BehindError(
+                "this gateway's configuration is out of date: a newer one is in force", step=_STEP
+            )
         target = request.raw_path
         matched = self._routes.find(
             request.headers.get("Host", ""), target, request.headers.get("Authorization", "")
         )
-        body = await self._body(request)
+        body = await self._read_body(request)
         await self._dispatcher.serve(
             self._gateway_request(request, target, matched, body, arrived_s), sink
         )
 
-    async def _body(self, request: web.BaseRequest) -> bytes:
-        limit = self._routes.limits.body_bytes or _DEFAULT_BODY_BYTES
-        parts: list[bytes] = []
-        size = 0
+    async def _read_body(self, request: web.BaseRequest) -> bytes:
+        limit_bytes = self._routes.limits.body_bytes or _DEFAULT_BODY_BYTES
+        chunks: list[bytes] = []
+        size_bytes = 0
         async for chunk in request.content.iter_any():
-            size += len(chunk)
-            if size > limit:
-                raise BodyTooLargeError(f"the body may have {limit} bytes", step=_STEP)
-            parts.append(chunk)
-        return b"".join(parts)
+            size_bytes += len(chunk)
+            if size_bytes > limit_bytes:
+                raise BodyTooLargeError(
+                    f"request body exceeds the limit of {limit_bytes} bytes", step=_STEP
+                )
+            chunks.append(chunk)
+        return b"".join(chunks)
 
     def _gateway_request(
         self,
@@ -219,7 +238,7 @@
             request_id=headers.get(self._names.request_id, ""),
             method=request.method,
             target=target,
-            headers=self._passed_on(request, matched),
+            headers=self._forwarded_headers(request, matched),
             body=body,
             matched=matched,
             profile=self._profile(
@@ -246,47 +265,60 @@
         self, request: web.BaseRequest, matched: MatchedRoute, arrived_s: float
     ) -> float:
         limit_ms = float(matched.route.time_limit_ms)
-        text = request.headers.get(self._names.deadline_ms)
-        if text is not None:
+        requested_ms = request.headers.get(self._names.deadline_ms)
+        if requested_ms is not None:
             try:
-                limit_ms = min(limit_ms, float(text))
+                limit_ms = min(limit_ms, float(requested_ms))
             except ValueError:
                 raise InvalidRequestError(
                     f"{self._names.deadline_ms}: must be a number of milliseconds", step=_STEP
                 ) from None
         return arrived_s + limit_ms / MILLISECONDS_PER_SECOND
 
-    def _passed_on(self, request: web.BaseRequest, matched: MatchedRoute) -> list[tuple[str, str]]:
-        named = {name.strip().lower() for name in request.headers.get("Connection", "").split(",")}
-        passed = []
+    def _forwarded_headers(
+        self, request: web.BaseRequest, matched: MatchedRoute
+    ) -> list[tuple[str, str]]:
+        connection = {
+            name.strip().lower() for name in request.headers.get("Connection", "").split(",")
+        }
+        forwarded = []
         for name, value in request.headers.items():
             lower = name.lower()
-            if lower in self._own_headers or lower in named or is_hop_by_hop_header(lower):
+            if (
+                lower in self._consumed_headers
+                or lower in connection
+                or is_hop_by_hop_header(lower)
+            ):
                 continue
-            passed.append((name, value))
+            forwarded.append((name, value))
         if matched.tenant is not None:
-            passed.append((self._names.tenant, matched.tenant.name))
+            forwarded.append((self._names.tenant, matched.tenant.name))
         if matched.streams:
-            rank = min(matched.priority, _LAST_PRIORITY)
-            passed.append((self._names.priority, str(rank)))
-        return passed
+            priority = min(matched.priority, _LOWEST_PRIORITY)
+            forwarded.append((self._names.priority, str(priority)))
+        return forwarded
+
+    # ---- error responses --------------------------------------------------
 
-    # ---- refusals ---------------------------------------------------------
+    def _confirmed_error(self, error: CallerError) -> CallerError:
+        """Replace an error that this gateway's configuration may be too old to support.
 
-    def _as_known(self, error: CallerError) -> CallerError:
-        """Return an error that claims no more than this gateway knows.
+        That a route, a key or tokens do not exist is certain only in the newest configuration. A
+        gateway with an older one would otherwise refuse requests for resources that
+        were just added.
 
-        That a route, a key or tokens are not there holds by the newest configuration
-        only: said by one that may be older, it turns away what was just added.
+        Returns:
+            The error itself, or an UnconfirmedError in its place.
         """
         if not error.by_configuration or self._link.knows_newest:
             return error
         return UnconfirmedError(
-            f"not known to be in force: {error.message}", step=error.step, peer=error.peer
+            f"configuration may be out of date: {error.message}", step=error.step, peer=error.peer
         )
 
-    def _refuse(self, request: web.BaseRequest, known: CallerError) -> web.Response:
-        error = self._as_known(known)
+    def _error_response(self, request: web.BaseRequest, original: CallerError) -> web.Response:
+        """Log and count an error and return the response for the caller."""
+        error = self._confirmed_error(original)
         request_id = request.headers.get(self._names.request_id, "")
         self._metrics.add("refused", error.code)
         self._log.info(
