--- a/tests/crashing_fleet.py
+++ b/tests/crashing_fleet.py
@@ -1,4 +1,4 @@
-"""Several gateways, and replicas that crash under certain requests and start again."""
+"""A fleet of several gateways whose replicas crash under certain requests and restart."""
 
 import asyncio
 import time
@@ -25,56 +25,66 @@
 )
 from replica_calls import tell
 
-CONTACT_S = 3.0  # within so long, machines in touch know what one of them knows
-DOWN_S = 1.2  # a replica that crashed is back after so long
-BEAT_S = 0.5  # between two heartbeats
-BEFORE_CRASH_S = 0.04
-WORK_S = 0.05
-CRASHES = b"crashes whoever runs this"
-_KNOWN_PATIENCE_S = 15.0
-# A machine that runs several hunts beside took 12 s for an election among two members.
-_LEADER_PATIENCE_S = 40.0
-_REGISTERED_S = 0.5  # from the start of a replica until gateways use it
-_LOOK_S = 0.02
+PROPAGATION_LIMIT_S = 3.0  # until all connected machines know what one of them knows
+RESTART_DELAY_S = 1.2  # from the crash of a replica until it starts again
+HEARTBEAT_INTERVAL_S = 0.5
+CRASH_DELAY_S = 0.04  # from the arrival of a crashing request until the crash
+SERVICE_TIME_S = 0.05
+CRASHING_BODY = b"crashes whoever runs this"
+_REGISTRATION_TIMEOUT_S = 15.0
+# Under load from other tests, an election among two members takes up to 12 s.
+_ELECTION_TIMEOUT_S = 40.0
+_REGISTRATION_DELAY_S = 0.5  # from the start of a replica until gateways use it
+_POLL_INTERVAL_S = 0.02
 
 
 @dataclass
-class Crashes:
-    """What one crashing request did.
+class CrashRecord:
+    """Effects of one crashing request; all times are on the event loop's clock.
 
     Attributes:
-        arrived_s: When it reached replicas.
-        ended_s: When a replica ended while it ran there.
-        statuses: What its callers got, and when; status 0: the connection broke.
-        in_touch_s: From when on gateways and control have been in touch.
+        arrival_times_s: When the request reached replicas.
+        crash_times_s: When a replica crashed while running it.
+        statuses: Times and statuses of its responses; status 0: the connection broke.
+        connected_since_s: Since when all gateways have been connected to control.
     """
 
-    arrived_s: list[float] = field(default_factory=list)
-    ended_s: list[float] = field(default_factory=list)
+    arrival_times_s: list[float] = field(default_factory=list)
+    crash_times_s: list[float] = field(default_factory=list)
     statuses: list[tuple[float, int]] = field(default_factory=list)
-    in_touch_s: float = 0.0
+    connected_since_s: float = 0.0
 
     @property
-    def known_s(self) -> float:
-        """From when all machines in touch may be held to know of it; inf if never."""
-        if len(self.ended_s) < 3:
+    def known_since_s(self) -> float:
+        """From when all connected machines must know of the request; inf if never."""
+        if len(self.crash_times_s) < 3:
             return float("inf")
-        return max(self.ended_s[2], self.in_touch_s) + CONTACT_S
+        return max(self.crash_times_s[2], self.connected_since_s) + PROPAGATION_LIMIT_S
 
     @property
-    def whole_s(self) -> float:
-        """From when on all replicas that ended under it are back."""
-        return max(self.ended_s) + DOWN_S + _REGISTERED_S if self.ended_s else 0.0
+    def recovered_at_s(self) -> float:
+        """From when all replicas that crashed under the request serve again."""
+        return (
+            max(self.crash_times_s) + RESTART_DELAY_S + _REGISTRATION_DELAY_S
+            if self.crash_times_s
+            else 0.0
+        )
 
     @property
-    def late(self) -> int:
-        """How often it reached a replica later than that."""
-        return sum(1 for moment_s in self.arrived_s if moment_s > self.known_s)
+    def late_arrivals(self) -> int:
+        """Number of arrivals at replicas after all machines must know of the request."""
+        return sum(1 for time_s in self.arrival_times_s if time_s > self.known_since_s)
 
 
 @dataclass(frozen=True)
-class Asked:
-    """An ordinary request, and what became of it."""
+class OrdinaryRequest:
+    """A request that crashes nothing, and its response.
+
+    Attributes:
+        sent_s: When it was sent.
+        status: Status of the response; 0: the connection broke.
+        body: Body of the response.
+    """
 
     sent_s: float
     status: int
@@ -82,12 +92,12 @@
 
 
 class CrashingReplica:
-    """A replica that starts again after each crash.
+    """A replica that restarts after each crash.
 
     Args:
-        fleet: The fleet it is part of.
-        number: Which one it is.
-        keeps_id: Whether it comes back under the id it had.
+        fleet: The fleet that it belongs to.
+        number: Its number in the fleet.
+        keeps_id: Whether it restarts under the same id.
     """
 
     def __init__(self, fleet: "CrashingFleet", number: int, *, keeps_id: bool) -> None:
@@ -96,65 +106,65 @@
         self._keeps_id = keeps_id
         self._starts = 0
         self._up = False
-        self._crashing: list[bytes] = []  # bodies under way here that crash it
+        self._crashing: list[bytes] = []  # bodies in flight that will crash it
         self._runner: StandInReplica | None = None
 
     async def start(self) -> None:
-        """Start, and send heartbeats for as long as it runs."""
+        """Start, and send heartbeats until the replica stops."""
         self._starts += 1
         start = 0 if self._keeps_id else self._starts
         runner = StandInReplica(f"replica-{self._number}-{start}", self._serve)
         await runner.start()
         self._runner = runner
         self._up = True
-        born = int(time.time() * 1000)
+        start_ms = int(time.time() * 1000)
         zone = f"z{1 + self._number % 2}"
-        self._fleet.begin(self._beat(runner, born, zone))
+        self._fleet.start_task(self._send_heartbeats(runner, start_ms, zone))
 
-    async def _beat(self, runner: StandInReplica, born: int, zone: str) -> None:
+    async def _send_heartbeats(self, runner: StandInReplica, start_ms: int, zone: str) -> None:
         sequence = 0
         while self._up and self._runner is runner:
             sequence += 1
-            told = runner.heartbeat(born=born, zone=zone, sequence=sequence)
-            status = await self._fleet.tell(f"/api/Replicas.Heartbeat/{runner.identity}", told)
-            await asyncio.sleep(BEAT_S if status == 200 else _LOOK_S)
+            heartbeat = runner.heartbeat(born=start_ms, zone=zone, sequence=sequence)
+            status = await self._fleet.tell(f"/api/Replicas.Heartbeat/{runner.identity}", heartbeat)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S if status == 200 else _POLL_INTERVAL_S)
 
     @property
     def is_up(self) -> bool:
-        """Whether it runs."""
+        """Whether the replica runs."""
         return self._up
 
     async def stop(self) -> None:
-        """End it."""
+        """Stop the replica for good."""
         self._up = False
         if self._runner is not None:
             await self._runner.stop()
 
     def crash(self) -> None:
-        """End it at once; it comes back later."""
+        """Stop at once and restart after RESTART_DELAY_S."""
         if not self._up:
             return
         self._up = False
         now_s = asyncio.get_running_loop().time()
         for body in set(self._crashing):
-            self._fleet.crashes[body].ended_s.append(now_s)
-        self._fleet.begin(self._come_back())
+            self._fleet.crashes[body].crash_times_s.append(now_s)
+        self._fleet.start_task(self._restart())
 
-    async def _come_back(self) -> None:
+    async def _restart(self) -> None:
         assert self._runner is not None
         await self._runner.stop()
-        await asyncio.sleep(DOWN_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         await self.start()
 
     async def _serve(self, replica: StandInReplica, received: Received) -> bytes:
-        if not received.body.startswith(CRASHES):
-            await asyncio.sleep(WORK_S * self._fleet.source.uniform(0.5, 2.0))
+        if not received.body.startswith(CRASHING_BODY):
+            await asyncio.sleep(SERVICE_TIME_S * self._fleet.source.uniform(0.5, 2.0))
             return answer(received, body=received.body)
         crashes = self._fleet.crashes[received.body]
-        crashes.arrived_s.append(asyncio.get_running_loop().time())
+        crashes.arrival_times_s.append(asyncio.get_running_loop().time())
         self._crashing.append(received.body)
         try:
-            await asyncio.sleep(BEFORE_CRASH_S)
+            await asyncio.sleep(CRASH_DELAY_S)
             self.crash()
         finally:
             self._crashing.remove(received.body)
@@ -165,17 +175,17 @@
     """Control, gateways, replicas and callers.
 
     Args:
-        gateways: How many.
-        replicas: How many.
-        members: Members of control.
-        keeps_id: Whether replicas come back under the id they had.
-        seed: Draws what callers do.
+        gateways: Number of gateways.
+        replicas: Number of replicas.
+        members: Number of control members.
+        keeps_id: Whether replicas restart under the same id.
+        seed: Seed of the callers' random choices.
 
     Attributes:
-        crashes: What each crashing body did.
-        asked: All ordinary requests that have ended.
-        cut: Requests under way at gateways that were ended.
-        over: Whether callers are to stop.
+        crashes: Effects of each crashing request, by body.
+        ordinary_requests: All ordinary requests that have ended.
+        aborted_requests: Number of requests in flight at gateways when these were crashed.
+        stop_requested: Set to make callers stop.
     """
 
     def __init__(
@@ -193,13 +203,13 @@
         self.replicas = [
             CrashingReplica(self, number, keeps_id=keeps_id) for number in range(replicas)
         ]
-        self.crashes: dict[bytes, Crashes] = {}
-        self.asked: list[Asked] = []
-        self.cut = 0
-        self.over = False
+        self.crashes: dict[bytes, CrashRecord] = {}
+        self.ordinary_requests: list[OrdinaryRequest] = []
+        self.aborted_requests = 0
+        self.stop_requested = False
         self._gateway_count = gateways
         self._tasks: set[asyncio.Task[None]] = set()
-        self._asked_count = 0
+        self._request_count = 0
         self._session: aiohttp.ClientSession
 
     async def start(self) -> None:
@@ -209,43 +219,43 @@
         self._session = aiohttp.ClientSession(connector=connector, timeout=timeout)
         await self.group.start()
         routes = [route("/safe/"), route("/order/", kind="unsafe", maxAttempts=1)]
-        await self._told("/api/Config.Replace", configuration(1, *routes))
+        await self._tell_until_accepted("/api/Config.Replace", configuration(1, *routes))
         for number in range(self._gateway_count):
-            self.gateways.append(await self._started(number))
+            self.gateways.append(await self._start_gateway(number))
         for replica in self.replicas:
             await replica.start()
-        async with asyncio.timeout(_KNOWN_PATIENCE_S):
+        async with asyncio.timeout(_REGISTRATION_TIMEOUT_S):
             while not all(self._serves(gateway) for gateway in self.gateways):
-                await asyncio.sleep(_LOOK_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
 
     def _serves(self, gateway: StartedGateway) -> bool:
         role = gateway.daemon.gateway
         return role is not None and len(role.replicas.usable(SERVICE)) == len(self.replicas)
 
-    async def _started(self, number: int) -> StartedGateway:
+    async def _start_gateway(self, number: int) -> StartedGateway:
         addresses = ",".join(self.group.grpc)
         return await start_gateway(f"front-{number}", addresses, self.group.operators[0])
 
-    async def lose_leader(self) -> None:
-        """End the member that leads at once; return once another one leads."""
+    async def crash_leader(self) -> None:
+        """Crash the leading control member; return when another one leads."""
         leader = self.group.leader
         assert leader is not None
         await self.group.end_member(leader, planned=False)
-        async with asyncio.timeout(_LEADER_PATIENCE_S):
+        async with asyncio.timeout(_ELECTION_TIMEOUT_S):
             while self.group.leader is None:
-                await asyncio.sleep(_LOOK_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
         for crashes in self.crashes.values():
-            crashes.in_touch_s = asyncio.get_running_loop().time()
-
-    async def lose_gateway(self, number: int) -> None:
-        """End a gateway at once; callers come again once one of its name is ready."""
-        gone = self.gateways.pop(number)
-        assert gone.daemon.gateway is not None
-        self.cut += gone.daemon.gateway.server.in_flight
-        await gone.daemon.abort()
-        started = await self._started(number)
+            crashes.connected_since_s = asyncio.get_running_loop().time()
+
+    async def crash_gateway(self, number: int) -> None:
+        """Crash a gateway; callers use it again when its successor of the same name is ready."""
+        crashed = self.gateways.pop(number)
+        assert crashed.daemon.gateway is not None
+        self.aborted_requests += crashed.daemon.gateway.server.in_flight
+        await crashed.daemon.abort()
+        started = await self._start_gateway(number)
         while not started.daemon.ready():
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         self.gateways.insert(number, started)
 
     async def stop(self) -> None:
@@ -260,8 +270,8 @@
             await gateway.daemon.abort()
         await self.group.stop()
 
-    def begin(self, work: Coroutine[Any, Any, None]) -> None:
-        """Have something done beside."""
+    def start_task(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine in the background until it ends or the fleet stops."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -269,75 +279,95 @@
     # ---- calls ------------------------------------------------------------
 
     async def tell(self, path: str, body: object) -> int:
-        """Make a call at some control member; return its status, 503 without an answer."""
+        """Call a random control member; return the status, 503 if there is no response."""
         address = self.group.some_operators_address(self.source)
         return await tell(self._session, address, path, body)
 
-    async def _told(self, path: str, body: object) -> None:
-        async with asyncio.timeout(_KNOWN_PATIENCE_S):
+    async def _tell_until_accepted(self, path: str, body: object) -> None:
+        async with asyncio.timeout(_REGISTRATION_TIMEOUT_S):
             while await self.tell(path, body) != 200:
-                await asyncio.sleep(_LOOK_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
+
+    async def send(self, path: str, body: bytes, gateway: int | None = None) -> tuple[int, bytes]:
+        """Send a caller's request; return status and body, status 0 if the connection broke.
 
-    async def ask(self, path: str, body: bytes, gateway: int | None = None) -> tuple[int, bytes]:
-        """Make a caller's request at a gateway; status 0: the connection broke."""
+        Args:
+            path: Path of the request.
+            body: Body of the request.
+            gateway: Number of the gateway; None: a random one.
+        """
         if gateway is None:
             gateway = self.source.randrange(len(self.gateways))
-        self._asked_count += 1
+        self._request_count += 1
         headers = {
             "Host": HOST,
-            "Request-Id": f"r-{self._asked_count}",
+            "Request-Id": f"r-{self._request_count}",
             "Authorization": f"Token {KEY}",
         }
         url = f"http://{self.gateways[gateway].address}{path}"
         try:
-            async with self._session.post(url, headers=headers, data=body) as got:
-                return got.status, await got.read()
+            async with self._session.post(url, headers=headers, data=body) as response:
+                return response.status, await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
             return 0, b""
 
-    async def ask_crashing(self, body: bytes, path: str = "/safe/") -> int:
-        """Send a request that crashes replicas; return what its caller got."""
-        crashes = self.crashes.setdefault(body, Crashes())
-        status, _ = await self.ask(path, body)
+    async def send_crashing(self, body: bytes, path: str = "/safe/") -> int:
+        """Send a request that crashes replicas; return the status that its caller got."""
+        crashes = self.crashes.setdefault(body, CrashRecord())
+        status, _ = await self.send(path, body)
         crashes.statuses.append((asyncio.get_running_loop().time(), status))
         return status
 
-    async def _ask_ordinary(self, path: str, body: bytes) -> None:
+    async def _send_ordinary(self, path: str, body: bytes) -> None:
         sent_s = asyncio.get_running_loop().time()
-        status, _ = await self.ask(path, body)
-        self.asked.append(Asked(sent_s, status, body))
+        status, _ = await self.send(path, body)
+        self.ordinary_requests.append(OrdinaryRequest(sent_s, status, body))
 
-    def lose_zone(self, zone: int) -> None:
-        """End all replicas of a zone at once; they come back."""
+    def crash_zone(self, zone: int) -> None:
+        """Crash all replicas of a zone at once; they restart later."""
         for number, replica in enumerate(self.replicas):
             if number % 2 == zone:
                 replica.crash()
 
-    async def load(
+    async def send_ordinary_load(
         self, seconds: float, per_s: float, path: str = "/safe/", body: bytes = b""
     ) -> None:
-        """Have callers send ordinary requests, each with a body of its own if none is given."""
+        """Send ordinary requests at a steady rate.
+
+        Args:
+            seconds: Duration, unless a stop is requested earlier.
+            per_s: Requests per second.
+            path: Path of the requests.
+            body: Body of all requests; empty: each has a body of its own.
+        """
         end_s = asyncio.get_running_loop().time() + seconds
-        while asyncio.get_running_loop().time() < end_s and not self.over:
-            own = f"ordinary {self._asked_count}".encode()
-            self.begin(self._ask_ordinary(path, body or own))
+        while asyncio.get_running_loop().time() < end_s and not self.stop_requested:
+            own = f"ordinary {self._request_count}".encode()
+            self.start_task(self._send_ordinary(path, body or own))
             await asyncio.sleep(1.0 / per_s)
 
     async def repeat_crashing(
         self, body: bytes, seconds: float, gap_s: float = 0.4, path: str = "/safe/"
     ) -> None:
-        """Have a crashing request come again and again, at any gateway."""
-        self.crashes.setdefault(body, Crashes())
+        """Send a crashing request repeatedly, each time to a random gateway.
+
+        Args:
+            body: Body of the request.
+            seconds: Duration, unless a stop is requested earlier.
+            gap_s: Mean time between two requests, in seconds.
+            path: Path of the request.
+        """
+        self.crashes.setdefault(body, CrashRecord())
         end_s = asyncio.get_running_loop().time() + seconds
-        while asyncio.get_running_loop().time() < end_s and not self.over:
-            self.begin(self._once(body, path))
+        while asyncio.get_running_loop().time() < end_s and not self.stop_requested:
+            self.start_task(self._send_crashing_once(body, path))
             await asyncio.sleep(gap_s * self.source.uniform(0.5, 1.5))
 
-    async def _once(self, body: bytes, path: str) -> None:
-        await self.ask_crashing(body, path)
+    async def _send_crashing_once(self, body: bytes, path: str) -> None:
+        await self.send_crashing(body, path)
 
-    def standing(self) -> str:
-        """Return how control, gateways and replicas stand, for the message of a failure."""
+    def describe_state(self) -> str:
+        """Return the state of control, gateways and replicas for the message of a failed check."""
         now_s = asyncio.get_running_loop().time()
         parts = [f"now={now_s:.1f} leader={self.group.leader}"]
         for number, daemon in self.group.running.items():
@@ -353,6 +383,8 @@
         parts.append(f"replicas up={sum(replica.is_up for replica in self.replicas)}")
         return "; ".join(parts)
 
-    def served_since(self, since_s: float) -> Counter[int]:
-        """Return the statuses of ordinary requests sent since then."""
-        return Counter(one.status for one in self.asked if one.sent_s >= since_s)
+    def statuses_since(self, since_s: float) -> Counter[int]:
+        """Return the statuses of the ordinary requests sent since a given time."""
+        return Counter(
+            request.status for request in self.ordinary_requests if request.sent_s >= since_s
+        )
