--- a/tests/called_fleet.py
+++ b/tests/called_fleet.py
@@ -18,10 +18,10 @@
     statuses: Counter[int] = field(default_factory=Counter)
     took_s: list[tuple[int, float]] = field(default_factory=list)
     retry_after: list[float] = field(default_factory=list)
-    unserved_without_retry: int = 0
+    missing_retry_after: int = 0
 
 
-def median_s(judged: Judged) -> float:
+def median_response_time_s(judged: Judged) -> float:
     """Return how long half of the answers took at the most."""
     return statistics.median(took_s for _, took_s in judged.took_s)
 
@@ -35,23 +35,23 @@
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.asked_s: dict[str, float] = {}  # when each request was made
+        self.send_times_s: dict[str, float] = {}  # when each request was made
 
-    def answered(self, gateway: str, got: Answer) -> None:
+    def on_response(self, gateway: str, got: Answer) -> None:
         """Note what a caller got from a gateway."""
 
     async def call(self, gateway: str, path: str) -> tuple[Answer, float]:
         """Make one caller's request; return the answer and the time that it took."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        identity = f"r{len(self.asked_s)}"
-        self.asked_s[identity] = began_s
+        identity = f"r{len(self.send_times_s)}"
+        self.send_times_s[identity] = began_s
         named = {"Request_Id": identity, "Deadline_Ms": "3000", GATEWAY_HEADER: gateway}
         got = await self.fleet.request_at(gateway, path, **named)
-        self.answered(gateway, got)
+        self.on_response(gateway, got)
         return got, loop.time() - began_s
 
-    async def ask(
+    async def send_requests(
         self,
         per_s: float,
         for_s: float,
@@ -77,7 +77,7 @@
             judged.took_s.append((got.status, took_s))
             if got.status == 503:
                 after = got.headers.get("Retry-After")
-                judged.unserved_without_retry += after is None
+                judged.missing_retry_after += after is None
                 judged.retry_after.append(float(after or 0))
 
         began_s = loop.time()
@@ -87,13 +87,13 @@
         await asyncio.gather(*running)
         return judged
 
-    async def ask_beside_unrouted(self, per_s: float, for_s: float) -> tuple[Judged, float]:
+    async def measure_added_latency(self, per_s: float, for_s: float) -> tuple[Judged, float]:
         """Have callers ask, as many for what has no route, which is answered without a wait.
 
         Returns:
             What became of the former, and how much longer they took, in seconds.
         """
         judged, unrouted = await asyncio.gather(
-            self.ask(per_s, for_s), self.ask(per_s, for_s, "/unrouted/")
+            self.send_requests(per_s, for_s), self.send_requests(per_s, for_s, "/unrouted/")
         )
-        return judged, median_s(judged) - median_s(unrouted)
+        return judged, median_response_time_s(judged) - median_response_time_s(unrouted)
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -86,7 +86,7 @@
         self.replicas = replicas
         self.reported_s: dict[tuple[str, str], float] = {}  # gateway, replica: first passed on
 
-    def answered(self, gateway: str, got: Answer) -> None:
+    def on_response(self, gateway: str, got: Answer) -> None:
         """Note when a gateway first passed a limit on."""
         if _LIMIT_HEADER in got.headers:
             now_s = asyncio.get_running_loop().time()
--- a/tests/signalling_fleet.py
+++ b/tests/signalling_fleet.py
@@ -112,7 +112,7 @@
         self.leaving_s: dict[tuple[str, str], float] = {}  # gateway, replica: first passed on
         self.returns_s: list[tuple[str, float, float]] = []  # gateway, told when, to return when
 
-    def answered(self, gateway: str, got: Answer) -> None:
+    def on_response(self, gateway: str, got: Answer) -> None:
         """Note when a gateway passed on that a replica leaves, and when callers are to return."""
         now_s = asyncio.get_running_loop().time()
         if "Retry-After" in got.headers:
@@ -125,7 +125,7 @@
         return sum(
             1
             for arrival in replica.arrivals
-            if self.asked_s[arrival.request_id]
+            if self.send_times_s[arrival.request_id]
             > self.leaving_s.get((arrival.gateway, replica.identity), float("inf")) + DRAIN_S
         )
 
@@ -154,7 +154,7 @@
         first_s = min(
             at_s for (_, name), at_s in self.leaving_s.items() if name == replica.identity
         )
-        made_s = (self.asked_s[arrival.request_id] for arrival in replica.arrivals)
+        made_s = (self.send_times_s[arrival.request_id] for arrival in replica.arrivals)
         return sum(1 for at_s in made_s if at_s > first_s + DRAIN_S)
 
 
--- a/tests/test_replica_back_off.py
+++ b/tests/test_replica_back_off.py
@@ -29,9 +29,9 @@
         for path in ("/safe/", "/unsafe/", "/stream/"):
             with self.subTest(path=path):
                 fleet = await self.start(3, 4)
-                await fleet.ask(30.0, 0.5, path)
+                await fleet.send_requests(30.0, 0.5, path)
                 fleet.replicas[0].retry_after = "3"
-                judged = await fleet.ask(30.0, 3.3, path)
+                judged = await fleet.send_requests(30.0, 3.3, path)
                 self.assert_backed_off(fleet)
                 self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
 
@@ -40,17 +40,17 @@
         fleet = await self.start(3, 4)
         fleet.replicas[0].retry_after = "3"
         fleet.replicas[0].served_of_ten = 7
-        judged = await fleet.ask(60.0, 4.0)
+        judged = await fleet.send_requests(60.0, 4.0)
         self.assert_backed_off(fleet)
         self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
 
     async def test_two_of_four_under_load(self) -> None:
         """Refusals use up none of the repeats that callers beside need."""
         fleet = await self.start(6, 4)
-        await fleet.ask(30.0, 0.5)
+        await fleet.send_requests(30.0, 0.5)
         for replica in fleet.replicas[:2]:
             replica.retry_after = "3"
-        judged = await fleet.ask(180.0, 4.5)
+        judged = await fleet.send_requests(180.0, 4.5)
         self.assert_backed_off(fleet)
         served = judged.statuses[200] / judged.statuses.total()
         self.assertGreaterEqual(served, 0.98, "two replicas stand idle")
@@ -58,25 +58,25 @@
     async def test_two_of_four_ask_for_nothing(self) -> None:
         """Two replicas turn all away without a time: each refusal in vain is longer remembered."""
         fleet = await self.start(6, 4)
-        await fleet.ask(30.0, 0.5)
+        await fleet.send_requests(30.0, 0.5)
         for replica in fleet.replicas[:2]:
             replica.retry_after = ""
-        judged = await fleet.ask(180.0, 4.5)
+        judged = await fleet.send_requests(180.0, 4.5)
         served = judged.statuses[200] / judged.statuses.total()
         self.assertGreaterEqual(served, 0.98, "two replicas stand idle")
 
     async def test_all_ask_for_back_off(self) -> None:
         """What cannot be served is refused at once, and told when to return."""
         fleet = await self.start(4, 2)
-        await fleet.ask(20.0, 0.5)
+        await fleet.send_requests(20.0, 0.5)
         for replica in fleet.replicas:
             replica.retry_after = "3"
-        judged, held_s = await fleet.ask_beside_unrouted(20.0, 2.0)
+        judged, held_s = await fleet.measure_added_latency(20.0, 2.0)
         self.assert_backed_off(fleet)
         self.assertEqual(set(judged.statuses), {503})
         self.assertLess(held_s, 0.1, "nothing is held")
         self.assertLess(max(took_s for _, took_s in judged.took_s), 0.35, "nothing is held")
-        self.assertEqual(judged.unserved_without_retry, 0)
+        self.assertEqual(judged.missing_retry_after, 0)
         later = judged.retry_after[len(judged.retry_after) // 2 :]
         self.assertEqual(fleet.told_too_early(), 0, "not before a replica takes requests again")
         self.assertLess(max(later), 4.6)
@@ -84,23 +84,23 @@
         await asyncio.sleep(2.0)
         for replica in fleet.replicas:
             replica.retry_after = None
-        judged = await fleet.ask(20.0, 1.0)
+        judged = await fleet.send_requests(20.0, 1.0)
         self.assertEqual(set(judged.statuses), {200}, "served again once it is over")
         self.assert_backed_off(fleet)
 
     async def test_with_control_gone(self) -> None:
         fleet = await self.start(3, 4)
-        await fleet.ask(30.0, 0.5)
+        await fleet.send_requests(30.0, 0.5)
         await fleet.fleet.control.stop()
         fleet.replicas[0].retry_after = "3"
-        judged = await fleet.ask(30.0, 3.3)
+        judged = await fleet.send_requests(30.0, 3.3)
         self.assert_backed_off(fleet)
         self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
 
     async def test_a_connection_that_takes_long(self) -> None:
         """A replica that was chosen before it asked for back-off is not sent to after."""
         fleet = await self.start(1, 2)
-        await fleet.ask(20.0, 0.5, "/unsafe/")
+        await fleet.send_requests(20.0, 0.5, "/unsafe/")
         create = TCPConnector._create_connection
 
         async def create_late(*arguments: Any) -> Any:
@@ -109,7 +109,7 @@
 
         fleet.replicas[0].retry_after = "3"
         with mock.patch.object(TCPConnector, "_create_connection", create_late):
-            judged = await fleet.ask(40.0, 3.0, "/unsafe/")
+            judged = await fleet.send_requests(40.0, 3.0, "/unsafe/")
         self.assert_backed_off(fleet)
         self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
         role = fleet.fleet.gateway.gateway
@@ -121,9 +121,9 @@
         fleet = await self.start(3, 0)
         for number in range(4):
             await self._add_behind_link(fleet, f"far{number}")
-        await fleet.ask(30.0, 1.0, "/unsafe/")
+        await fleet.send_requests(30.0, 1.0, "/unsafe/")
         fleet.replicas[0].retry_after = "3"
-        judged = await fleet.ask(30.0, 4.0, "/unsafe/")
+        judged = await fleet.send_requests(30.0, 4.0, "/unsafe/")
         self.assertGreater(len(fleet.replicas[0].asked), 0)
         self.assert_backed_off(fleet)
         self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
@@ -148,11 +148,11 @@
     async def test_a_new_incarnation_is_bound_by_nothing(self) -> None:
         fleet = await self.start(1, 1)
         fleet.replicas[0].retry_after = "30"
-        judged = await fleet.ask(20.0, 0.5)
+        judged = await fleet.send_requests(20.0, 0.5)
         self.assertEqual(set(judged.statuses), {503})
         fleet.replicas.append(SignallingReplica("r1"))
         await fleet.fleet.add_replica("r1", fleet.replicas[1].script)
-        judged = await fleet.ask(20.0, 0.5)
+        judged = await fleet.send_requests(20.0, 0.5)
         self.assertEqual(set(judged.statuses), {200})
         self.assert_backed_off(fleet)
 
--- a/tests/test_replica_leaving.py
+++ b/tests/test_replica_leaving.py
@@ -25,9 +25,9 @@
 
 class LeavingTest(SignallingFleetCase):
     async def _ask_while_one_leaves(self, fleet: SignallingFleet, path: str) -> None:
-        await fleet.ask(30.0, 0.5, path)
+        await fleet.send_requests(30.0, 0.5, path)
         fleet.replicas[0].leaving = True
-        judged = await fleet.ask(30.0, DRAIN_S + 1.5, path)
+        judged = await fleet.send_requests(30.0, DRAIN_S + 1.5, path)
         self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
         self.assertEqual(fleet.sent_to_leaving(fleet.replicas[0]), 0)
 
@@ -41,16 +41,16 @@
 
     async def test_with_control_gone(self) -> None:
         fleet = await self.start(3, 4)
-        await fleet.ask(30.0, 0.5)
+        await fleet.send_requests(30.0, 0.5)
         await fleet.fleet.control.stop()
         await self._ask_while_one_leaves(fleet, "/unsafe/")
         self.assertEqual(len(fleet.leaving_s), len(fleet.fleet.gateways), "each passed it on")
 
     async def test_heartbeats_that_still_say_ready_change_nothing(self) -> None:
         fleet = await self.start(2, 3)
-        await fleet.ask(30.0, 0.5)
+        await fleet.send_requests(30.0, 0.5)
         fleet.replicas[0].leaving = True
-        asked = asyncio.create_task(fleet.ask(30.0, DRAIN_S + 1.5))
+        asked = asyncio.create_task(fleet.send_requests(30.0, DRAIN_S + 1.5))
         for sequence in range(2, 12):
             body = fleet.fleet.replicas[0].heartbeat(sequence=sequence)
             control = fleet.fleet.control_address
@@ -64,7 +64,7 @@
         fleet = await self.start(2, 3)
         leaving = fleet.replicas[0]
         leaving.leaving = True
-        await fleet.ask(30.0, 0.5, weights=lambda _number: 0)
+        await fleet.send_requests(30.0, 0.5, weights=lambda _number: 0)
         async with asyncio.timeout(3):
             while not all(_knows_draining(gateway, "r0") for gateway in fleet.fleet.gateways):
                 await asyncio.sleep(0.02)
@@ -76,34 +76,34 @@
         control = fleet.fleet.control_address
         await fleet.fleet.call(control, "POST", "/api/Replicas.Heartbeat/r0", body)
         arrived = len(leaving.arrivals)
-        judged = await fleet.ask(30.0, 1.0)
+        judged = await fleet.send_requests(30.0, 1.0)
         self.assertEqual(set(judged.statuses), {200}, "callers are served")
         self.assertEqual(len(leaving.arrivals), arrived)
 
     async def test_all_leave(self) -> None:
         """What comes after is refused at once as not run, until another replica is there."""
         fleet = await self.start(3, 2)
-        await fleet.ask(20.0, 0.5)
+        await fleet.send_requests(20.0, 0.5)
         for replica in fleet.replicas:
             replica.leaving = True
-        await fleet.ask(20.0, 1.0)
-        judged, held_s = await fleet.ask_beside_unrouted(20.0, DRAIN_S)
+        await fleet.send_requests(20.0, 1.0)
+        judged, held_s = await fleet.measure_added_latency(20.0, DRAIN_S)
         for replica in fleet.replicas:
             self.assertEqual(fleet.sent_to_leaving(replica), 0)
         self.assertEqual(set(judged.statuses), {503})
-        self.assertEqual(judged.unserved_without_retry, 0)
+        self.assertEqual(judged.missing_retry_after, 0)
         self.assertLess(held_s, 0.1, "nothing is held")
         self.assertLess(max(took_s for _, took_s in judged.took_s), 0.35, "nothing is held")
         fleet.replicas.append(SignallingReplica("next"))
         await fleet.fleet.add_replica("next", fleet.replicas[-1].script)
-        judged = await fleet.ask(20.0, 0.5)
+        judged = await fleet.send_requests(20.0, 0.5)
         self.assertEqual(set(judged.statuses), {200})
 
     async def test_what_runs_there_ends_in_peace(self) -> None:
         fleet = await self.start(1, 1)
         leaving = fleet.replicas[0]
         leaving.work_s = 0.8
-        running = asyncio.create_task(fleet.ask(20.0, 0.2, "/unsafe/"))
+        running = asyncio.create_task(fleet.send_requests(20.0, 0.2, "/unsafe/"))
         await asyncio.sleep(0.4)
         leaving.leaving = True
         judged = await running
@@ -121,7 +121,7 @@
         role = fleet.fleet.gateway.gateway
         assert role is not None
         for _ in range(10):
-            await fleet.ask(20.0, 0.2)
+            await fleet.send_requests(20.0, 0.2)
         self.assertEqual(role.replicas.availability.leaving, 1)
 
 
--- a/tests/test_replica_limit_changes.py
+++ b/tests/test_replica_limit_changes.py
@@ -10,12 +10,12 @@
     async def test_without_a_leader(self) -> None:
         """Six gateways; control is gone while one of three replicas takes 1.7 a second."""
         limited = await self.start(6, 3)
-        await limited.ask(30.0, 0.5)
+        await limited.send_requests(30.0, 0.5)
         bounded = limited.replicas[0]
         bounded.limit = "1.7"
-        await limited.ask(30.0, 2.0)
+        await limited.send_requests(30.0, 2.0)
         await limited.fleet.control.stop()
-        judged = await limited.ask(30.0, 7.0)
+        judged = await limited.send_requests(30.0, 7.0)
         self.assert_within(limited)
         self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
 
@@ -23,28 +23,28 @@
         limited = await self.start(3, 2)
         bounded = limited.replicas[0]
         bounded.limit = "1.7"
-        await limited.ask(20.0, 3.0)
+        await limited.send_requests(20.0, 3.0)
         bounded.limit = None
-        await limited.ask(20.0, 3.0)
+        await limited.send_requests(20.0, 3.0)
         ended_s = asyncio.get_running_loop().time()
-        await limited.ask(20.0, 2.0)
+        await limited.send_requests(20.0, 2.0)
         self.assertGreater(limited.sent_since(bounded, ended_s), 10, "used as the other one")
         bounded.limit = "1.7"
         bounded.first_named_s = None
         bounded.arrivals.clear()
-        await limited.ask(20.0, 6.0)
+        await limited.send_requests(20.0, 6.0)
         self.assertLessEqual(limited.most_of_all(bounded), allowed(1.7))
 
     async def test_a_gateway_that_starts_meanwhile(self) -> None:
         limited = await self.start(3, 2)
         bounded = limited.replicas[0]
         bounded.limit = "1.7"
-        await limited.ask(20.0, 2.0)
+        await limited.send_requests(20.0, 2.0)
         added = await limited.fleet.add_gateway("front-late")
         async with asyncio.timeout(5):
             while not added.knows("r1"):
                 await asyncio.sleep(0.02)
-        judged = await limited.ask(20.0, 6.0, weights=lambda number: -1)
+        judged = await limited.send_requests(20.0, 6.0, weights=lambda number: -1)
         self.assert_within(limited)
         self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
 
@@ -53,7 +53,7 @@
         bounded = limited.replicas[0]
         for text in ("nan", "inf", "-1", "soon", "1,7"):
             bounded.limit = text
-            await limited.ask(20.0, 0.5)
+            await limited.send_requests(20.0, 0.5)
         role = limited.fleet.gateway.gateway
         assert role is not None
         self.assertEqual(role.replicas.limits.count, 0)
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -16,10 +16,10 @@
     async def test_one_replica_in_need_beside_others(self) -> None:
         """Three gateways, unevenly called; one of four replicas takes 1.7 a second."""
         limited = await self.start(3, 4)
-        await limited.ask(30.0, 0.5)
+        await limited.send_requests(30.0, 0.5)
         bounded = limited.replicas[0]
         bounded.limit = "1.7"
-        judged = await limited.ask(30.0, 9.0, weights=lambda number: min(number % 6, 2))
+        judged = await limited.send_requests(30.0, 9.0, weights=lambda number: min(number % 6, 2))
         self.assert_within(limited)
         self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
         assert bounded.first_named_s is not None
@@ -29,13 +29,13 @@
     async def test_all_replicas_in_need(self) -> None:
         """Six gateways, both replicas take 1.7 a second; what is over is refused at once."""
         limited = await self.start(6, 2)
-        await limited.ask(20.0, 0.5)
+        await limited.send_requests(20.0, 0.5)
         for replica in limited.replicas:
             replica.limit = "1.7"
-        judged = await limited.ask(20.0, 9.0)
+        judged = await limited.send_requests(20.0, 9.0)
         self.assert_within(limited)
         self.assertEqual(set(judged.statuses), {200, 503})
-        self.assertEqual(judged.unserved_without_retry, 0)
+        self.assertEqual(judged.missing_retry_after, 0)
         self.assertGreater(len(set(judged.retry_after)), 5, "they come back one after another")
         slow = [took_s for status, took_s in judged.took_s if status == 503 and took_s > 0.35]
         self.assertLess(len(slow), 5, "a refusal is not held back")
@@ -49,20 +49,20 @@
     async def test_words_on_heads_of_streams_and_on_refusals(self) -> None:
         """Four gateways; one replica names 0.5 a second on streams, another as it turns away."""
         limited = await self.start(4, 4)
-        await limited.ask(20.0, 0.5, "/stream/")
+        await limited.send_requests(20.0, 0.5, "/stream/")
         streams, turns_away = limited.replicas[:2]
         streams.limit = turns_away.limit = "0.5"
         turns_away.refuses = True
-        judged = await limited.ask(20.0, 8.0, "/stream/")
+        judged = await limited.send_requests(20.0, 8.0, "/stream/")
         self.assert_within(limited)
         self.assertEqual(set(judged.statuses), {200}, "callers beside them are served")
 
     async def test_twelve_gateways_and_a_small_limit(self) -> None:
         """One of three replicas takes 0.5 a second; its reports come on heads of streams."""
         limited = await self.start(12, 3)
-        await limited.ask(30.0, 0.5, "/stream/")
+        await limited.send_requests(30.0, 0.5, "/stream/")
         limited.replicas[0].limit = "0.5"
-        judged = await limited.ask(30.0, 8.0, "/stream/")
+        judged = await limited.send_requests(30.0, 8.0, "/stream/")
         self.assert_within(limited)
         self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
 
