--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway between callers and replicas, over real sockets."""
+"""Tests of a gateway between callers and replicas, over real sockets."""
 
 import asyncio
 import json
@@ -66,14 +66,18 @@
         self.assertNotIn("authorization", received.headers)
         self.assertLessEqual(int(received.headers["deadline-ms"]), 900)
 
-    async def test_headers_of_the_system_never_come_from_a_caller(self) -> None:
-        """UNASKED, 220 to 442 times a day on every day of 3d5458d: holds and copies of others."""
+    async def test_system_headers_of_a_caller_are_dropped(self) -> None:
+        """Callers must not set headers that control the engine.
+
+        Forwarded headers made replicas hold slots and copy memory that nobody had asked for, 220
+        to 442 times a day.
+        """
         attempts: list[Received] = []
 
         async def lose_once(replica: StandInReplica, received: Received) -> bytes:
             attempts.append(received)
             if received.target == "/stream/" and len(attempts) % 2:
-                return stream_head(received) + event(1)  # cut off: it goes on elsewhere
+                return stream_head(received) + event(1)  # truncated, so another replica resumes it
             if received.target == "/stream/":
                 return stream_head(received) + event(2) + END_OF_CHUNKS
             return answer(received)
@@ -102,28 +106,28 @@
             self.assertNotIn("forged", received.headers.values(), received.target)
             self.assertEqual(received.headers["x-kept"], "1")
 
-    async def test_routes_keys_and_bodies_that_are_not_allowed(self) -> None:
+    async def test_unknown_routes_unknown_keys_and_large_bodies_are_refused(self) -> None:
         await self.fleet.add_replica("i-1", _done)
-        nowhere = await self.fleet.request("/nowhere/")
-        self.assertEqual(nowhere.status, 404)
-        self.assertEqual(json.loads(nowhere.body)["error"]["code"], "route_not_found")
-        wrong = await self.fleet.request("/safe/", Authorization="Token other")
-        self.assertEqual(wrong.status, 401)
-        opened = await self.fleet.request("/open/", Authorization="Token other")
-        self.assertEqual(opened.status, 200)
-        large = await self.fleet.request("/safe/", body=b"x" * 1001)
-        self.assertEqual(large.status, 413)
-
-    async def test_a_rejected_request_goes_to_another_replica(self) -> None:
+        unknown_route = await self.fleet.request("/nowhere/")
+        self.assertEqual(unknown_route.status, 404)
+        self.assertEqual(json.loads(unknown_route.body)["error"]["code"], "route_not_found")
+        unknown_key = await self.fleet.request("/safe/", Authorization="Token other")
+        self.assertEqual(unknown_key.status, 401)
+        anonymous = await self.fleet.request("/open/", Authorization="Token other")
+        self.assertEqual(anonymous.status, 200)
+        large_body = await self.fleet.request("/safe/", body=b"x" * 1001)
+        self.assertEqual(large_body.status, 413)
+
+    async def test_rejected_request_is_sent_to_another_replica(self) -> None:
         rejecting = await self.fleet.add_replica("i-1", _reject)
-        sound = await self.fleet.add_replica("i-2", _done)
+        accepting = await self.fleet.add_replica("i-2", _done)
         for number in range(4):
             got = await self.fleet.request("/once/", Request_Id=f"a{number}")
             self.assertEqual(got.status, 200)
-        self.assertEqual(len(sound.received), 4)
+        self.assertEqual(len(accepting.received), 4)
         self.assertGreaterEqual(len(rejecting.received), 0)
 
-    async def test_no_replica_takes_it_so_the_refusal_says_when_to_come_back(self) -> None:
+    async def test_refusal_carries_retry_after_when_no_replica_accepts(self) -> None:
         await self.fleet.add_replica("i-1", _reject)
         await self.fleet.add_replica("i-2", _misdirected)
         got = await self.fleet.request("/once/")
@@ -131,7 +135,7 @@
         self.assertGreater(float(got.headers["Retry-After"]), 0)
         self.assertNotIn("Server-Stamp", got.headers)
 
-    async def test_a_request_that_may_have_run_is_not_sent_again_unless_repeatable(self) -> None:
+    async def test_request_that_may_have_run_is_retried_only_if_repeatable(self) -> None:
         first = await self.fleet.add_replica("i-1", _close)
         second = await self.fleet.add_replica("i-2", _close)
         got = await self.fleet.request("/once/", Request_Id="once")
@@ -141,7 +145,7 @@
         self.assertEqual(got.status, 502)
         self.assertEqual(len(first.received) + len(second.received), 3)
 
-    async def test_an_answer_of_another_request_is_never_passed_on(self) -> None:
+    async def test_response_to_another_request_is_not_forwarded(self) -> None:
         async def stale(replica: StandInReplica, received: Received) -> bytes:
             received.headers["request-id"] = "another"
             return answer(received, body=b"not yours")
@@ -151,7 +155,7 @@
         self.assertEqual(got.status, 502)
         self.assertNotIn(b"not yours", got.body)
 
-    async def test_a_second_answer_on_the_connection_is_of_no_request(self) -> None:
+    async def test_unsolicited_second_response_is_ignored(self) -> None:
         async def doubled(replica: StandInReplica, received: Received) -> bytes:
             return answer(received) + answer(received, body=b"extra")
 
@@ -160,7 +164,7 @@
             got = await self.fleet.request("/safe/", Request_Id=f"d{number}")
             self.assertEqual((got.status, got.body), (200, b"done"))
 
-    async def test_an_answer_that_is_cut_or_reset_does_not_look_whole(self) -> None:
+    async def test_truncated_or_reset_response_is_reported_as_an_error(self) -> None:
         async def cut(replica: StandInReplica, received: Received) -> bytes:
             replica.close_after = True
             return answer(received)[:-2]
@@ -178,7 +182,7 @@
             await self.fleet.call(self.fleet.control_address, "POST", path)
             await asyncio.sleep(0.2)
 
-    async def test_a_failure_of_the_replica_is_passed_on_as_it_is(self) -> None:
+    async def test_error_response_of_a_replica_is_forwarded_unchanged(self) -> None:
         async def fail(replica: StandInReplica, received: Received) -> bytes:
             return answer(received, "500 Internal Server Error", b"broken")
 
@@ -187,7 +191,7 @@
         self.assertEqual((got.status, got.body), (500, b"broken"))
         self.assertEqual(got.headers["Server-Stamp"], "stamp-1")
 
-    async def test_the_route_s_time_limit_ends_a_request(self) -> None:
+    async def test_request_ends_at_the_time_limit_of_its_route(self) -> None:
         async def never(replica: StandInReplica, received: Received) -> bytes:
             await asyncio.sleep(10)
             return b""
@@ -199,40 +203,40 @@
         self.assertLess(asyncio.get_running_loop().time() - began_s, 0.6)
         self.assertNotIn("Retry-After", got.headers)
 
-    async def test_a_broken_stream_goes_on_at_another_replica(self) -> None:
-        async def breaks(replica: StandInReplica, received: Received) -> bytes:
+    async def test_broken_stream_is_resumed_at_another_replica(self) -> None:
+        async def break_stream(replica: StandInReplica, received: Received) -> bytes:
             replica.reset = True
             return stream_head(received) + event(1) + event(2) + event(3)[:-9]
 
-        async def goes_on(replica: StandInReplica, received: Received) -> bytes:
+        async def resume(replica: StandInReplica, received: Received) -> bytes:
             after = int(received.headers["last-event-id"])
             events = b"".join(event(number) for number in range(after + 1, 6))
             return stream_head(received) + events + END_OF_CHUNKS
 
-        async def by_first(replica: StandInReplica, received: Received) -> bytes:
-            resumed = "last-event-id" in received.headers
-            return await (goes_on if resumed else breaks)(replica, received)
+        async def break_then_resume(replica: StandInReplica, received: Received) -> bytes:
+            is_resumed = "last-event-id" in received.headers
+            return await (resume if is_resumed else break_stream)(replica, received)
 
-        first = await self.fleet.add_replica("i-1", by_first)
-        second = await self.fleet.add_replica("i-2", by_first)
+        first = await self.fleet.add_replica("i-1", break_then_resume)
+        second = await self.fleet.add_replica("i-2", break_then_resume)
         got = await self.fleet.request("/stream/")
         self.assertEqual(got.status, 200)
         ids = [line for line in got.body.decode().splitlines() if line.startswith("id:")]
         self.assertEqual(ids, [f"id: {number}" for number in range(1, 6)])
         self.assertEqual((len(first.received), len(second.received)), (1, 1))
 
-    async def test_a_broken_stream_that_may_not_be_resumed_is_cut(self) -> None:
-        async def breaks(replica: StandInReplica, received: Received) -> bytes:
+    async def test_broken_stream_that_is_not_resumable_is_aborted(self) -> None:
+        async def break_stream(replica: StandInReplica, received: Received) -> bytes:
             replica.reset = True
             return stream_head(received) + event(1)
 
-        replica = await self.fleet.add_replica("i-1", breaks)
+        replica = await self.fleet.add_replica("i-1", break_stream)
         with self.assertRaises(Exception) as raised:
             await self.fleet.request("/plain-stream/")
         self.assertIn("Client", type(raised.exception).__name__ + str(raised.exception.__class__))
         self.assertEqual(len(replica.received), 1)
 
-    async def test_a_caller_that_leaves_closes_the_connection_to_the_replica(self) -> None:
+    async def test_caller_disconnect_cancels_the_request(self) -> None:
         closed = asyncio.Event()
 
         async def hold(replica: StandInReplica, received: Received) -> bytes:
@@ -253,30 +257,30 @@
             while self.fleet.gateway.gateway.server.in_flight:
                 await asyncio.sleep(0.01)
 
-    async def test_a_draining_replica_gets_nothing_once_that_is_acknowledged(self) -> None:
-        leaving = await self.fleet.add_replica("i-1", _done)
+    async def test_draining_replica_receives_no_requests_after_the_acknowledgement(self) -> None:
+        draining = await self.fleet.add_replica("i-1", _done)
         staying = await self.fleet.add_replica("i-2", _done)
-        told = await self.fleet.call(
+        acknowledged = await self.fleet.call(
             self.fleet.control_address,
             "POST",
             "/api/Replicas.Heartbeat/i-1",
-            leaving.heartbeat(state="draining", sequence=2),
+            draining.heartbeat(state="draining", sequence=2),
         )
-        self.assertEqual(told.status, 200)
-        late = leaving.heartbeat(state="ready", sequence=1)
+        self.assertEqual(acknowledged.status, 200)
+        outdated = draining.heartbeat(state="ready", sequence=1)
         path = "/api/Replicas.Heartbeat/i-1"
-        await self.fleet.call(self.fleet.control_address, "POST", path, late)
+        await self.fleet.call(self.fleet.control_address, "POST", path, outdated)
         for number in range(6):
             await self.fleet.request("/safe/", Request_Id=f"n{number}")
-        self.assertEqual((len(leaving.received), len(staying.received)), (0, 6))
+        self.assertEqual((len(draining.received), len(staying.received)), (0, 6))
 
-    async def test_readiness_and_a_planned_stop(self) -> None:
+    async def test_planned_stop_ends_readiness_and_finishes_requests(self) -> None:
         async def slow(replica: StandInReplica, received: Received) -> bytes:
             await asyncio.sleep(1.0)
             return answer(received)
 
         await self.fleet.add_replica("i-1", slow)
-        async with asyncio.timeout(5):  # the first word of control may still be on its way
+        async with asyncio.timeout(5):  # the first configuration may not have arrived yet
             while True:
                 ready = await self.fleet.call(self.fleet.ready_address, "GET", "/api/readyz")
                 if ready.status == 200:
@@ -288,12 +292,12 @@
         await asyncio.sleep(0.1)
         ready = await self.fleet.call(self.fleet.ready_address, "GET", "/api/readyz")
         self.assertEqual(ready.status, 503)
-        still = await self.fleet.request("/once/", Request_Id="noticed-late")
-        self.assertEqual((still.status, still.headers["Connection"]), (200, "close"))
+        late = await self.fleet.request("/once/", Request_Id="noticed-late")
+        self.assertEqual((late.status, late.headers["Connection"]), (200, "close"))
         self.assertEqual((await running).status, 200)
         await stopping
 
-    async def test_a_stopping_gateway_answers_on_connections_that_were_at_rest(self) -> None:
+    async def test_stopping_gateway_answers_on_idle_connections(self) -> None:
         async def by_path(replica: StandInReplica, received: Received) -> bytes:
             if "slow" in received.target:
                 await asyncio.sleep(4.0)
@@ -324,7 +328,7 @@
 
 
 class PrepaidTest(unittest.IsolatedAsyncioTestCase):
-    async def test_tokens_are_reserved_at_most_and_402_only_when_none_can_hold_it(self) -> None:
+    async def test_most_tokens_are_reserved_and_402_means_the_balance_is_too_low(self) -> None:
         tenant = {"name": "tenant-a", "apiKeys": ["key-of-tenant-a"], "prepaid": 10_000}
         engine = {"slots": 4, "kvCapacityTokens": 100_000, "stride": 5}
         service = {"name": "app", "healthPath": "/healthz", "engine": engine}
@@ -347,7 +351,8 @@
                     "/stream/", Request_Id=f"p{number}", Token_Usage="990,100"
                 )
                 statuses.append(got.status)
-            # Each used 990 + 2 x 5 tokens; the tenth would not fit at its most.
+            # Each request used 990 + 2 x 5 tokens. The tenth is refused: its bound of 990 + 100
+            # tokens exceeds the remaining balance.
             self.assertEqual(statuses[:9], [200] * 9)
             self.assertEqual(statuses[9:], [402] * 3)
             raised = json.loads(json.dumps(declared)) | {"version": 2}
--- a/tests/test_gateway_readiness.py
+++ b/tests/test_gateway_readiness.py
@@ -1,4 +1,4 @@
-"""A gateway that is not ready while its link or its loop is behind."""
+"""Tests of readiness: a gateway is not ready while its link or its event loop is behind."""
 
 import asyncio
 import unittest
@@ -32,55 +32,56 @@
 from shaped_link import ShapedLink
 
 _LIMIT_MS = 300.0
-_BEAT_S = 0.3
+_HEARTBEAT_S = 0.3
 _LINK_BYTES_PER_S = 5_000_000 / 8
-_REQUEST_BYTES = 5_000  # over the link each way: prompt, answer, heads (of one played day)
-_ANSWER_S = 0.3
+_REQUEST_BYTES = 5_000  # of prompt, response and headers, over the link in each direction
+_RESPONSE_S = 0.3
 
 
 @dataclass
-class _Link:
-    """A gateway's link in virtual time: what waits on it, and what it has under way."""
+class _SimulatedLink:
+    """A gateway's link in virtual time, with the bytes queued on it."""
 
-    waiting_bytes: float = 0.0
+    queued_bytes: float = 0.0
     behind_since_s: float | None = None
-    told_behind_at_s: float = -1.0
-    longest_ms: float = 0.0
+    reported_behind_at_s: float = -1.0
+    max_wait_ms: float = 0.0
 
     @property
     def wait_s(self) -> float:
-        return self.waiting_bytes / _LINK_BYTES_PER_S
+        return self.queued_bytes / _LINK_BYTES_PER_S
 
 
 class HotTenantTest(unittest.TestCase):
-    """One tenant sends four times its usual; the platform sends it to one ready gateway."""
+    """One tenant sends four times its usual rate; all of it goes to one ready gateway."""
 
-    def _play(self, limit_ms: float, gateways: int = 12) -> list[_Link]:
-        links = [_Link() for _ in range(gateways)]
+    def _simulate(self, limit_ms: float, gateways: int = 12) -> list[_SimulatedLink]:
+        links = [_SimulatedLink() for _ in range(gateways)]
         step_s = 0.05
-        kept = 0  # the gateway that the tenant's callers keep to
+        hot = 0  # the gateway that the tenant's callers use
         for step in range(int(12.0 / step_s)):
             now_s = step * step_s
             hot_per_s = 160.0 if 2.0 <= now_s < 8.0 else 40.0
-            # Callers hear of a gateway that is behind after two questions of a balancer.
-            if 0 <= links[kept].told_behind_at_s < now_s - 0.6:
-                free = [n for n, link in enumerate(links) if link.told_behind_at_s < 0]
-                kept = min(free, key=lambda n: (n - kept) % gateways) if free else kept
+            # Callers move away from a gateway that is behind after two readiness checks of a load
+            # balancer.
+            if 0 <= links[hot].reported_behind_at_s < now_s - 0.6:
+                ready = [n for n, link in enumerate(links) if link.reported_behind_at_s < 0]
+                hot = min(ready, key=lambda n: (n - hot) % gateways) if ready else hot
             for number, link in enumerate(links):
-                per_s = 12.0 + (hot_per_s if number == kept else 0.0)
-                link.waiting_bytes += per_s * step_s * _REQUEST_BYTES
-                link.waiting_bytes = max(0.0, link.waiting_bytes - _LINK_BYTES_PER_S * step_s)
-                link.longest_ms = max(link.longest_ms, link.wait_s * 1000)
-            if step % int(_BEAT_S / step_s) == 0:
-                self._beat(links, now_s, kept, hot_per_s, limit_ms)
+                per_s = 12.0 + (hot_per_s if number == hot else 0.0)
+                link.queued_bytes += per_s * step_s * _REQUEST_BYTES
+                link.queued_bytes = max(0.0, link.queued_bytes - _LINK_BYTES_PER_S * step_s)
+                link.max_wait_ms = max(link.max_wait_ms, link.wait_s * 1000)
+            if step % int(_HEARTBEAT_S / step_s) == 0:
+                self._heartbeat(links, now_s, hot, hot_per_s, limit_ms)
         return links
 
     @staticmethod
-    def _beat(
-        links: list[_Link], now_s: float, kept: int, hot_per_s: float, limit_ms: float
+    def _heartbeat(
+        links: list[_SimulatedLink], now_s: float, hot: int, hot_per_s: float, limit_ms: float
     ) -> None:
-        under_way = [
-            int((12.0 + (hot_per_s if n == kept else 0.0)) * (_ANSWER_S + 2 * link.wait_s))
+        in_flight = [
+            int((12.0 + (hot_per_s if n == hot else 0.0)) * (_RESPONSE_S + 2 * link.wait_s))
             for n, link in enumerate(links)
         ]
         for number, link in enumerate(links):
@@ -90,23 +91,23 @@
                     limit_ms,
                     2 * link.wait_s * 1000,
                     0.0,
-                    under_way[number],
-                    sum(under_way) - under_way[number],
+                    in_flight[number],
+                    sum(in_flight) - in_flight[number],
                     len(links),
                     None if since_s is None else now_s - since_s,
                 )
             )
             if decided.ready:
-                link.behind_since_s, link.told_behind_at_s = None, -1.0
+                link.behind_since_s, link.reported_behind_at_s = None, -1.0
             elif since_s is None:
-                link.behind_since_s = link.told_behind_at_s = now_s
+                link.behind_since_s = link.reported_behind_at_s = now_s
 
-    def test_no_link_is_as_full_as_where_a_gateway_is_always_ready(self) -> None:
-        """Always ready, the one gateway's link holds seconds of what came."""
-        always = max(link.longest_ms for link in self._play(0.0))
-        decided = max(link.longest_ms for link in self._play(_LIMIT_MS))
-        self.assertGreater(always, 1_500)
-        self.assertLess(decided, 700)
+    def test_readiness_limits_the_queue_on_the_busiest_link(self) -> None:
+        """Without the readiness check, seconds of traffic queue on one gateway's link."""
+        unlimited_ms = max(link.max_wait_ms for link in self._simulate(0.0))
+        limited_ms = max(link.max_wait_ms for link in self._simulate(_LIMIT_MS))
+        self.assertGreater(unlimited_ms, 1_500)
+        self.assertLess(limited_ms, 700)
 
 
 def _view(
@@ -125,8 +126,8 @@
     )
 
 
-class TakeTest(unittest.TestCase):
-    def test_fewer_than_half_can_be_behind_whatever_they_have(self) -> None:
+class JudgeReadinessTest(unittest.TestCase):
+    def test_fewer_than_half_of_the_gateways_can_be_behind(self) -> None:
         for loads in ([50] * 20, [0] * 19 + [900], [10, 90] * 10, list(range(0, 200, 10))):
             behind = [
                 own
@@ -135,8 +136,8 @@
             ]
             self.assertLess(len(behind), len(loads) / 2)
 
-    def test_fewer_than_half_can_be_behind_while_a_new_leader_has_parts_of_the_sums(self) -> None:
-        """All 20 were: each of them heard of few others at a leader that had just begun."""
+    def test_no_gateway_is_behind_while_a_new_leader_has_partial_totals(self) -> None:
+        """All 20 gateways were behind at once: a new leader had totals of only a few of them."""
         partial = [
             judge_readiness(_view(link_ms=9_000, own=50, others=0, heard_s=0.9)) for _ in range(20)
         ]
@@ -144,12 +145,12 @@
         self.assertTrue(all(one.ready for one in partial))
         self.assertFalse(judge_readiness(_view(link_ms=9_000, own=50, others=0, heard_s=1.0)).ready)
 
-    def test_a_late_loop_counts_as_a_full_link_does(self) -> None:
+    def test_loop_lag_counts_like_link_latency(self) -> None:
         self.assertFalse(judge_readiness(_view(loop_ms=400)).ready)
         self.assertFalse(judge_readiness(_view(link_ms=400)).ready)
         self.assertTrue(judge_readiness(_view(link_ms=300)).ready)
 
-    def test_it_is_ready_where_it_cannot_compare_itself(self) -> None:
+    def test_gateway_is_ready_if_it_cannot_compare_its_load(self) -> None:
         self.assertEqual(
             judge_readiness(_view(link_ms=900, others=None)).standing, Standing.UNKNOWN
         )
@@ -160,31 +161,34 @@
             judge_readiness(_view(link_ms=900, own=7, others=0)).standing, Standing.SHARED
         )
 
-    def test_it_comes_back_with_a_margin_or_after_a_while(self) -> None:
+    def test_gateway_is_ready_again_below_a_margin_or_after_a_time_limit(self) -> None:
         self.assertFalse(judge_readiness(_view(link_ms=200, behind_s=1.0)).ready)
         self.assertTrue(judge_readiness(_view(link_ms=149, behind_s=1.0)).ready)
         self.assertEqual(
             judge_readiness(_view(link_ms=900, behind_s=4.1)).standing, Standing.LONG_ENOUGH
         )
 
-    def test_it_is_ready_for_half_of_the_time_whatever_its_times_say(self) -> None:
-        """An eighth of all time unready is a duty missed; it was behind again after 0.3 s."""
-        ready_beats, ready_since_s = 0, -100.0
+    def test_gateway_is_ready_at_least_half_of_the_time(self) -> None:
+        """A gateway was behind again 0.3 s after it became ready.
+
+        Being unready for an eighth of the time violates the availability requirement.
+        """
+        ready_heartbeats, ready_since_s = 0, -100.0
         behind_since_s: float | None = None
-        for beat in range(200):
-            now_s = beat * _BEAT_S
+        for heartbeat in range(200):
+            now_s = heartbeat * _HEARTBEAT_S
             behind_s = None if behind_since_s is None else now_s - behind_since_s
             decided = judge_readiness(
                 ReadinessView(_LIMIT_MS, 900, 0.0, 100, 100, 20, behind_s, now_s - ready_since_s)
             )
-            ready_beats += decided.ready
+            ready_heartbeats += decided.ready
             if decided.ready and behind_since_s is not None:
                 behind_since_s, ready_since_s = None, now_s
             elif not decided.ready and behind_since_s is None:
                 behind_since_s = now_s
-        self.assertGreater(ready_beats, 90)
+        self.assertGreater(ready_heartbeats, 90)
 
-    def test_it_can_be_turned_off(self) -> None:
+    def test_limit_of_zero_disables_the_check(self) -> None:
         self.assertEqual(judge_readiness(_view(limit_ms=0.0, link_ms=9_000)).standing, Standing.OFF)
 
 
@@ -195,8 +199,8 @@
         return self.now_s
 
 
-class LoadsHeardTest(unittest.TestCase):
-    """What a gateway takes for the load of all others."""
+class OtherGatewaysLoadTest(unittest.TestCase):
+    """How a gateway derives the load of all other gateways from the totals of control."""
 
     def _gateway(self, names: list[str]) -> FleetReplicas:
         store = ConfigurationStore("g")
@@ -214,32 +218,33 @@
         store.apply(update)
         return replicas
 
-    def test_sums_that_may_be_cut_are_not_compared_with(self) -> None:
-        """Only the busiest are told, but a gateway counts all of its own."""
+    def test_totals_that_may_be_truncated_are_not_used(self) -> None:
+        """Control reports only the busiest replicas, but a gateway counts all of its own load."""
         names = [f"r{number}" for number in range(MOST_TOLD + 40)]
-        busy = {name: control_pb2.ReplicaLoad(in_flight=9) for name in names}
-        for told, own, known in (
+        loads = {name: control_pb2.ReplicaLoad(in_flight=9) for name in names}
+        for reported, own, known in (
             (MOST_TOLD, 0, False),
             (MOST_TOLD - 1, 0, True),
-            (MOST_TOLD - 4, 4, False),  # control does not tell a gateway of its own alone
+            # Control leaves out replicas that only the gateway itself sends to.
+            (MOST_TOLD - 4, 4, False),
             (0, MOST_TOLD, False),
             (0, MOST_TOLD - 1, True),
         ):
-            with self.subTest(told=told, own=own):
+            with self.subTest(reported=reported, own=own):
                 gateway = self._gateway(names)
-                for name in names[told : told + own]:
+                for name in names[reported : reported + own]:
                     replica = next(one for one in gateway.usable("s") if one.name == name)
                     gateway.sent(replica, RequestProfile("s"))
-                gateway.loads.update_others({name: busy[name] for name in names[:told]})
-                self.assertEqual(gateway.loads.under_way(), (own, 9 * told if known else None))
+                gateway.loads.update_others({name: loads[name] for name in names[:reported]})
+                self.assertEqual(gateway.loads.under_way(), (own, 9 * reported if known else None))
 
 
 class NewStreamTest(unittest.TestCase):
-    def test_a_gateway_is_not_behind_by_the_first_sums_of_a_new_stream(self) -> None:
+    def test_first_totals_of_a_new_stream_do_not_put_a_gateway_behind(self) -> None:
         link = SimpleNamespace(round_trip_s=0.9, loop_late_s=0.0, routers=20, heard_since_s=99.5)
         loads = SimpleNamespace(under_way=lambda: (100, 0))
         clock = _Clock()
-        taking = GatewayReadiness(
+        readiness = GatewayReadiness(
             _LIMIT_MS,
             cast(Any, link),
             cast(Any, loads),
@@ -247,20 +252,20 @@
             Metrics(),
             EventLog("test", "gateway"),
         )
-        taking.update()
-        self.assertFalse(taking.behind)
+        readiness.update()
+        self.assertFalse(readiness.behind)
         clock.now_s += 0.5
-        taking.update()
-        self.assertTrue(taking.behind)
+        readiness.update()
+        self.assertTrue(readiness.behind)
 
 
 class SilentControlTest(unittest.TestCase):
-    def test_a_gateway_is_not_behind_for_ever_while_control_is_silent(self) -> None:
-        """Nothing but the answers of control had it look again."""
+    def test_gateway_does_not_stay_behind_while_control_is_silent(self) -> None:
+        """Readiness was only recomputed when control responded."""
         link = SimpleNamespace(round_trip_s=0.9, loop_late_s=0.0, routers=20, heard_since_s=0.0)
         loads = SimpleNamespace(under_way=lambda: (100, 100))
         clock = _Clock()
-        taking = GatewayReadiness(
+        readiness = GatewayReadiness(
             _LIMIT_MS,
             cast(Any, link),
             cast(Any, loads),
@@ -268,16 +273,16 @@
             Metrics(),
             EventLog("test", "gateway"),
         )
-        taking.update()
-        self.assertTrue(taking.behind)
+        readiness.update()
+        self.assertTrue(readiness.behind)
         loads.under_way = lambda: (100, None)
         clock.now_s += 4.1
-        taking.update()
-        self.assertFalse(taking.behind)
+        readiness.update()
+        self.assertFalse(readiness.behind)
 
 
 class SocketsTest(unittest.IsolatedAsyncioTestCase):
-    """Three gateways; the link of one turns slow while it has most of the work."""
+    """Three gateways; the link of one becomes slow while it has most of the load."""
 
     async def asyncSetUp(self) -> None:
         self.fleet: Fleet = await start_fleet(
@@ -286,62 +291,62 @@
         self.link = ShapedLink([self.fleet.control_grpc])
         await self.link.start()
         await self.fleet.add_gateway("front-3")
-        self.busy: StartedGateway = await self.fleet.add_gateway("front-2", self.link)
-        self.go_on = asyncio.Event()
+        self.slow_gateway: StartedGateway = await self.fleet.add_gateway("front-2", self.link)
+        self.finish_requests = asyncio.Event()
 
     async def asyncTearDown(self) -> None:
-        self.go_on.set()
+        self.finish_requests.set()
         await self.fleet.stop()
         await self.link.stop()
 
     async def _ready(self, gateway: StartedGateway) -> bool:
-        got = await self.fleet.call(gateway.ready_address, "GET", "/api/readyz")
-        return got.status == 200
+        response = await self.fleet.call(gateway.ready_address, "GET", "/api/readyz")
+        return response.status == 200
 
     async def _until(self, ready: bool) -> None:
         async with asyncio.timeout(10):
-            while await self._ready(self.busy) is not ready:
+            while await self._ready(self.slow_gateway) is not ready:
                 await asyncio.sleep(0.05)
 
-    async def test_it_says_so_and_asks_callers_to_connect_anew(self) -> None:
+    async def test_gateway_that_is_behind_is_not_ready_and_asks_callers_to_reconnect(self) -> None:
         async def hold(replica: StandInReplica, received: Received) -> bytes:
-            await self.go_on.wait()
+            await self.finish_requests.wait()
             return answer(received)
 
         await self.fleet.add_replica("i-1", hold, slots=64)
         calls = [
             asyncio.ensure_future(
-                self.fleet.request_at(self.busy.address, "/slow/", Request_Id=f"s{number}")
+                self.fleet.request_at(self.slow_gateway.address, "/slow/", Request_Id=f"s{number}")
             )
             for number in range(12)
         ]
         await self._until(True)
-        self.link.there.delay_s = 0.5  # each heartbeat waits so long, as on a full link
+        self.link.there.delay_s = 0.5  # delays each heartbeat, as a congested link does
         await self._until(False)
         self.assertTrue(await self._ready(self.fleet.gateways[0]))
-        self.go_on.set()
-        for got in await asyncio.gather(*calls):
-            self.assertEqual(got.status, 200)
-            self.assertEqual(got.headers.get("Connection"), "close")
+        self.finish_requests.set()
+        for response in await asyncio.gather(*calls):
+            self.assertEqual(response.status, 200)
+            self.assertEqual(response.headers.get("Connection"), "close")
         self.link.there.delay_s = 0.0
         await self._until(True)
 
-    async def test_it_is_ready_again_also_where_control_has_gone_silent(self) -> None:
-        gateway = self.busy.daemon.gateway
+    async def test_gateway_is_ready_again_after_control_has_gone_silent(self) -> None:
+        gateway = self.slow_gateway.daemon.gateway
         assert gateway is not None
         await self._until(True)
-        self.link.there.stop()  # nothing of control comes any more
+        self.link.there.stop()  # cuts the connection to control
         self.link.back.stop()
         heard_s = 0.0
-        while heard_s != gateway.link.last_heard_s:  # what was on its way has come
+        while heard_s != gateway.link.last_heard_s:  # until messages in transit have arrived
             heard_s = gateway.link.last_heard_s
             await asyncio.sleep(0.2)
         gateway.link.round_trip_s = 0.9
         gateway.readiness._behind_since_s = gateway._environment.monotonic()
         gateway.server.shedding_connections = True
-        self.assertFalse(await self._ready(self.busy))
+        self.assertFalse(await self._ready(self.slow_gateway))
         gateway.readiness._behind_since_s -= 4.1
-        self.assertTrue(await self._ready(self.busy))
+        self.assertTrue(await self._ready(self.slow_gateway))
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_refusals.py
+++ b/tests/test_gateway_refusals.py
@@ -1,4 +1,4 @@
-"""How long a gateway waits for prepaid tokens before it refuses."""
+"""Tests of how long a gateway waits for prepaid tokens before it refuses a request."""
 
 import itertools
 import unittest
@@ -12,7 +12,8 @@
 from heronladder_runtime.logs import EventLog
 from heronladder_schema.v1 import resources_pb2
 
-_PART_OF_OBJECTIVE = 4  # a refusal later than a quarter of it cannot be made good
+# A caller that is refused later than a quarter of the latency objective cannot meet it by a retry.
+_REFUSAL_DIVISOR = 4
 
 
 class _Clock(Environment):
@@ -21,7 +22,7 @@
 
 
 class _NoTokens:
-    """Prepaid tokens that are never to be had; notes how long they were waited for."""
+    """Prepaid tokens that are never available; records how long a request waited for them."""
 
     def __init__(self) -> None:
         self.waited_s = -1.0
@@ -35,10 +36,10 @@
 
 
 class RefusalTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_refusal_for_want_of_tokens_comes_within_a_quarter_of_the_objective(
+    async def test_token_refusal_comes_within_a_quarter_of_the_latency_objective(
         self,
     ) -> None:
-        """Each waited 0.3 s where a quarter of the objective is 0.2 s (canteens)."""
+        """A fixed wait of 0.3 s exceeded a quarter of short objectives, such as 0.2 s of 0.8 s."""
         tokens = _NoTokens()
         link = SimpleNamespace(routers=1, quickest_round_trip_s=0.0)
         parts = SimpleNamespace(
@@ -73,7 +74,7 @@
             dispatcher = GatewayDispatcher(cast(DispatchContext, parts))
             with self.assertRaises(PrepaidUnavailableError):
                 await dispatcher.serve(cast(GatewayRequest, request), cast(ResponseSink, None))
-            self.assertLess(tokens.waited_s, objective_ms / 1000 / _PART_OF_OBJECTIVE)
+            self.assertLess(tokens.waited_s, objective_ms / 1000 / _REFUSAL_DIVISOR)
             waited[objective_ms, round_trip_s] = tokens.waited_s
         for objective_ms in (800, 1500):
             self.assertLess(waited[objective_ms, 0.0], waited[objective_ms, 0.024])
--- a/tests/test_suspension_held.py
+++ b/tests/test_suspension_held.py
@@ -1,7 +1,7 @@
-"""What a gateway holds while its machine is suspended is old when it wakes.
+"""Tests that state a gateway holds while its machine is suspended has expired when it wakes.
 
-Each is judged in the same turn of the loop in which the machine wakes: before control is heard, and
-before anything is sent.
+Each test checks the state in the event loop iteration in which the machine wakes: before control
+is heard and before anything is sent.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 )
 from suspended_machine import SUSPENDED_S, Machine, run_on_machine
 
-_PATIENCE_S = 10.0
+_TIMEOUT_S = 10.0
 _PATH = "/safe/"
 
 
@@ -36,88 +36,90 @@
     return configuration(1, route(_PATH), tenants=[tenant])
 
 
-async def _until(holds: Callable[[], bool]) -> None:
-    async with asyncio.timeout(_PATIENCE_S):
-        while not holds():
+async def _wait_until(condition: Callable[[], bool]) -> None:
+    async with asyncio.timeout(_TIMEOUT_S):
+        while not condition():
             await asyncio.sleep(0.02)
 
 
-class HeldTest(unittest.TestCase):
+class HeldStateTest(unittest.TestCase):
     def _before_and_after(
-        self, prepare: Callable[[Fleet], Any], look: Callable[[GatewayRole], Any]
+        self, prepare: Callable[[Fleet], Any], observe: Callable[[GatewayRole], Any]
     ) -> tuple[Any, Any]:
-        async def play(machine: Machine) -> tuple[Any, Any]:
+        """Return what ``observe`` yields before and after the machine is suspended."""
+
+        async def run(machine: Machine) -> tuple[Any, Any]:
             fleet = await start_fleet(_document(), has_rollouts=True)
             try:
                 await fleet.add_replica("old", _serve)
                 await prepare(fleet)
                 gateway = fleet.gateway.gateway
                 assert gateway is not None
-                before = look(gateway)
+                before = observe(gateway)
                 machine.suspended_s += SUSPENDED_S
-                return before, look(gateway)
+                return before, observe(gateway)
             finally:
                 await fleet.stop()
 
-        got: tuple[Any, Any] = run_on_machine(play)
-        return got
+        observed: tuple[Any, Any] = run_on_machine(run)
+        return observed
 
-    def test_promises_of_tokens_are_out_of_touch(self) -> None:
-        async def in_touch(fleet: Fleet) -> None:
+    def test_token_promises_are_disconnected(self) -> None:
+        async def connect(fleet: Fleet) -> None:
             gateway = fleet.gateway.gateway
             assert gateway is not None
-            await _until(lambda: not gateway.tokens.held.window.out_of_touch)
+            await _wait_until(lambda: not gateway.tokens.held.window.out_of_touch)
 
-        def out_of_touch(gateway: GatewayRole) -> bool:
+        def is_disconnected(gateway: GatewayRole) -> bool:
             return gateway.tokens.held.window.out_of_touch
 
-        self.assertEqual(self._before_and_after(in_touch, out_of_touch), (False, True))
+        self.assertEqual(self._before_and_after(connect, is_disconnected), (False, True))
 
-    def test_grants_of_a_roll_out_are_spent_by_nobody(self) -> None:
-        async def on_trial(fleet: Fleet) -> None:
+    def test_rollout_grants_expire(self) -> None:
+        async def start_rollout(fleet: Fleet) -> None:
             await fleet.add_replica("new", _serve, version="v2")
             body = {"service": SERVICE, "targetVersion": "v2", "durationS": 60}
             path = "/api/Rollouts.Start"
-            got = await fleet.call(fleet.control_address, "POST", path, body)
-            self.assertEqual(got.status, 200)
+            response = await fleet.call(fleet.control_address, "POST", path, body)
+            self.assertEqual(response.status, 200)
             gateway = fleet.gateway.gateway
             assert gateway is not None
-            await _until(lambda: self._is_due(gateway))
+            await _wait_until(lambda: self._may_use_target(gateway))
 
-        self.assertEqual(self._before_and_after(on_trial, self._is_due), (True, False))
+        self.assertEqual(self._before_and_after(start_rollout, self._may_use_target), (True, False))
 
     @staticmethod
-    def _is_due(gateway: GatewayRole) -> bool:
-        """Whether the next request would go to the version on trial."""
+    def _may_use_target(gateway: GatewayRole) -> bool:
+        """Return whether the next request may go to the target version of the rollout."""
         replicas = gateway.replicas
         permits = replicas.versions.choices(SERVICE, _PATH, (), replicas.usable(SERVICE))
         return len(permits) > 1
 
-    def test_a_replica_is_suspected_no_longer_than_its_time(self) -> None:
+    def test_suspicion_of_a_replica_expires(self) -> None:
         async def suspect(fleet: Fleet) -> None:
             gateway = fleet.gateway.gateway
             assert gateway is not None
             (replica,) = gateway.replicas.usable(SERVICE)
-            gateway.replicas.failed(replica, "as made")
+            gateway.replicas.failed(replica, "simulated failure")
 
-        def suspected(gateway: GatewayRole) -> bool:
+        def is_suspect(gateway: GatewayRole) -> bool:
             (replica,) = gateway.replicas.usable(SERVICE)
             return replica.suspect_until_s > asyncio.get_running_loop().time()
 
-        self.assertEqual(self._before_and_after(suspect, suspected), (True, False))
+        self.assertEqual(self._before_and_after(suspect, is_suspect), (True, False))
 
-    def test_repeats_of_before_are_out_of_the_window(self) -> None:
-        async def use_up(fleet: Fleet) -> None:
+    def test_earlier_retries_leave_the_window(self) -> None:
+        async def exhaust_budget(fleet: Fleet) -> None:
             gateway = fleet.gateway.gateway
             assert gateway is not None
             retry_budget = gateway.server._dispatcher._context.retry_budget
             while retry_budget.try_spend(SERVICE):
                 pass
 
-        def may_repeat(gateway: GatewayRole) -> bool:
+        def may_retry(gateway: GatewayRole) -> bool:
             return gateway.server._dispatcher._context.retry_budget.try_spend(SERVICE)
 
-        self.assertEqual(self._before_and_after(use_up, may_repeat), (False, True))
+        self.assertEqual(self._before_and_after(exhaust_budget, may_retry), (False, True))
 
 
 if __name__ == "__main__":
