--- a/packages/heronladder-router/src/heronladder_router/gateway_server.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_server.py
@@ -207,7 +207,7 @@
         )
         body = await self._read_body(request)
         await self._dispatcher.serve(
-            self._gateway_request(request, target, matched, body, arrived_s), sink
+            self._build_request(request, target, matched, body, arrived_s), sink
         )
 
     async def _read_body(self, request: web.BaseRequest) -> bytes:
@@ -223,7 +223,7 @@
             chunks.append(chunk)
         return b"".join(chunks)
 
-    def _gateway_request(
+    def _build_request(
         self,
         request: web.BaseRequest,
         target: str,
@@ -241,7 +241,7 @@
             headers=self._forwarded_headers(request, matched),
             body=body,
             matched=matched,
-            profile=self._profile(
+            profile=self._build_profile(
                 service, headers.get(self._names.prompt_parts, ""), bounds, matched
             ),
             bounds=bounds,
@@ -251,7 +251,7 @@
         )
 
     @staticmethod
-    def _profile(
+    def _build_profile(
         service: str, parts: str, bounds: TokenBounds | None, matched: MatchedRoute
     ) -> RequestProfile:
         route = matched.route.name
@@ -304,8 +304,8 @@
         """Replace an error that this gateway's configuration may be too old to support.
 
         That a route, a key or tokens do not exist is certain only in the newest configuration. A
-        gateway with an older one would otherwise refuse requests for resources that
-        were just added.
+        gateway with an older one would otherwise refuse requests for resources that were just
+        added.
 
         Returns:
             The error itself, or an UnconfirmedError in its place.
--- a/packages/heronladder-router/src/heronladder_router/replica_slot_queue.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_slot_queue.py
@@ -44,19 +44,19 @@
     Attributes:
         waiting: Waiting requests by number: the queue entry, the future that is set when the
             request may be sent, and the properties by which a replica is chosen.
-        given: Number of slots granted to waiting requests so far.
-        told_until_s: Latest retry time that was sent to a caller, on the event loop's clock.
+        granted_count: Number of slots granted to waiting requests so far.
+        last_assigned_s: Latest retry time that was sent to a caller, on the event loop's clock.
         measured: Measured response times.
-        places: Slots of the service's replicas, as of the newest decision.
+        slots: Slots of the service's replicas, as of the newest decision.
     """
 
     waiting: dict[int, tuple[Waiter, "asyncio.Future[None]", RequestProfile]] = field(
         default_factory=dict
     )
-    given: int = 0
-    told_until_s: float = -math.inf
+    granted_count: int = 0
+    last_assigned_s: float = -math.inf
     measured: AnswerTimes = field(default_factory=AnswerTimes)
-    places: int = 0
+    slots: int = 0
 
 
 class ReplicaSlotQueue:
@@ -91,7 +91,7 @@
         self._log = log
         self._waits = waits
         self._services: dict[str, _ServiceQueue] = {}
-        self._number = 0
+        self._last_number = 0
 
     @property
     def waiting_count(self) -> int:
@@ -107,15 +107,17 @@
         if not self._waits or request.bounds is not None:
             return
         queue = self._services.setdefault(request.profile.service, _ServiceQueue())
-        in_time_until_s = self._in_time_until_s(request)
-        whole_s = in_time_until_s - request.arrived_s
-        self._number += 1
-        waiter = Waiter(self._number, request.matched.priority, in_time_until_s, whole_s)
+        objective_deadline_s = self._objective_deadline_s(request)
+        allowed_s = objective_deadline_s - request.arrived_s
+        self._last_number += 1
+        waiter = Waiter(
+            self._last_number, request.matched.priority, objective_deadline_s, allowed_s
+        )
         ahead = ahead_of(waiter, [other for other, _, _ in queue.waiting.values()])
         decided = self._decide(queue, request.profile, ahead, waiter)
         if decided.why is Why.FREE:
             return
-        self._report(request, queue, decided, ahead)
+        self._report_verdict(request, queue, decided, ahead)
         if decided.verdict is Verdict.SEND:
             return
         if decided.verdict is Verdict.TURN_AWAY:
@@ -123,18 +125,19 @@
         await self._wait(request, queue, waiter, decided.last_start_ms)
 
     @staticmethod
-    def _in_time_until_s(request: GatewayRequest) -> float:
+    def _objective_deadline_s(request: GatewayRequest) -> float:
+        """Return the earlier of the latency objective and the deadline, on the loop's clock."""
         objective_ms = request.matched.route.objective_ms
         if not objective_ms:
             return request.deadline_s
-        in_time_s = request.arrived_s + objective_ms / MILLISECONDS_PER_SECOND
-        return min(request.deadline_s, in_time_s)
+        objective_s = request.arrived_s + objective_ms / MILLISECONDS_PER_SECOND
+        return min(request.deadline_s, objective_s)
 
     def _decide(
         self, queue: _ServiceQueue, profile: RequestProfile, ahead: int, waiter: Waiter
     ) -> Waiting:
         replicas, load_known = self._slots_of(profile)
-        left_ms, whole_ms = waiter.times_ms(self._environment.monotonic())
+        left_ms, allowed_ms = waiter.times_ms(self._environment.monotonic())
         view = WaitingView(
             replicas,
             load_known,
@@ -142,11 +145,11 @@
             queue.measured,
             ahead,
             left_ms,
-            whole_ms,
+            allowed_ms,
             self._link_s() * MILLISECONDS_PER_SECOND,
         )
         decided = decide(view)
-        queue.places = decided.places
+        queue.slots = decided.places
         return decided
 
     async def _wait(
@@ -185,14 +188,16 @@
             return
         granted = 0
         while queue.waiting:
-            chosen = next_waiter([waiter for waiter, _, _ in queue.waiting.values()], queue.given)
+            chosen = next_waiter(
+                [waiter for waiter, _, _ in queue.waiting.values()], queue.granted_count
+            )
             _, slot_granted, profile = queue.waiting[chosen.number]
             # Requests granted in this loop are not in flight yet, so they count as ahead.
             decided = self._decide(queue, profile, granted, chosen)
             if decided.verdict is not Verdict.SEND:
                 return
             granted += 1
-            queue.given += 1
+            queue.granted_count += 1
             del queue.waiting[chosen.number]
             if not slot_granted.done():
                 slot_granted.set_result(None)
@@ -234,25 +239,25 @@
             default_s: Value while no response of the service has been measured, in seconds.
         """
         queue = self._services.get(service)
-        if not self._waits or queue is None or not (queue.measured.least_ms and queue.places):
+        if not self._waits or queue is None or not (queue.measured.least_ms and queue.slots):
             return default_s
         return self._assign_retry_after_s(queue, queue.measured.least_ms)
 
     def _assign_retry_after_s(self, queue: _ServiceQueue, free_in_ms: float) -> float:
         """Return the next retry-after time of a service and record it as assigned."""
-        spacing_ms = turn_ms(queue.places, queue.measured.least_ms, self._gateways())
+        spacing_ms = turn_ms(queue.slots, queue.measured.least_ms, self._gateways())
         assigned = come_back(
             ComeBackView(
                 self._environment.monotonic(),
                 free_in_ms / MILLISECONDS_PER_SECOND,
                 spacing_ms / MILLISECONDS_PER_SECOND,
-                queue.told_until_s,
+                queue.last_assigned_s,
             )
         )
-        queue.told_until_s = assigned.told_until_s
+        queue.last_assigned_s = assigned.told_until_s
         return assigned.after_s
 
-    def _report(
+    def _report_verdict(
         self, request: GatewayRequest, queue: _ServiceQueue, decided: Waiting, ahead: int
     ) -> None:
         self._metrics.add("place_verdicts", decided.verdict.value)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -171,8 +171,8 @@
 
         async def reset_without_length(replica: StandInReplica, received: Received) -> bytes:
             replica.reset = True
-            whole = answer(received).replace(b"Content-Length: 4\r\n", b"")
-            return whole
+            response = answer(received).replace(b"Content-Length: 4\r\n", b"")
+            return response
 
         for script in (cut, reset_without_length):
             replica = await self.fleet.add_replica(f"i-{script.__name__}", script)
