--- a/packages/heronladder-router/src/heronladder_router/attempt_outcomes.py
+++ b/packages/heronladder-router/src/heronladder_router/attempt_outcomes.py
@@ -5,8 +5,8 @@
 from heronladder_runtime.errors import HeronladderError
 
 from heronladder_router.decisions.placement import PlacementReason
-from heronladder_router.event_stream import EventCutter
-from heronladder_router.gateway_request import ReplicaAnswer
+from heronladder_router.event_stream import EventStreamBuffer
+from heronladder_router.gateway_request import ReplicaResponse
 
 
 class NotRunError(HeronladderError):
@@ -36,7 +36,7 @@
 class RunFailedError(HeronladderError):
     """The replica ran the request and failed; ``answer`` says how."""
 
-    def __init__(self, answer: ReplicaAnswer, *, step: str, peer: str) -> None:
+    def __init__(self, answer: ReplicaResponse, *, step: str, peer: str) -> None:
         super().__init__(f"status {answer.status}", step=step, peer=peer)
         self.answer = answer
 
@@ -49,7 +49,7 @@
     rejected: int = 0
     unreached: int = 0  # of those that were rejected: no connection to the replica came about
     runs: int = 0
-    failure: ReplicaAnswer | None = None
+    failure: ReplicaResponse | None = None
     lacking: PlacementReason = PlacementReason.NONE_KNOWN  # why no replica was left
 
     @property
@@ -81,7 +81,7 @@
         longest_pause_s: Longest time between two events passed on.
     """
 
-    cutter: EventCutter = field(default_factory=EventCutter)
+    cutter: EventStreamBuffer = field(default_factory=EventStreamBuffer)
     ran: bool = False
     finished: bool = False
     handed_out: bool = False
--- a/packages/heronladder-router/src/heronladder_router/decisions/placement.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/placement.py
@@ -348,7 +348,7 @@
 
 def _cached_tokens(replica: FleetReplica, profile: RequestProfile, owner: str) -> int:
     """Return how many tokens of a prompt a replica is expected to have cached."""
-    kept = replica.parts.kept_tokens(profile.parts)
+    kept = replica.parts.cached_prefix_tokens(profile.parts)
     return max(kept, profile.shared_tokens) if replica.name == owner else kept
 
 
@@ -383,7 +383,7 @@
     Returns False if the prompt has no shared parts.
     """
     shared = profile.shared_tokens
-    return shared > 0 and replica.parts.kept_tokens(profile.parts[:-1]) == shared
+    return shared > 0 and replica.parts.cached_prefix_tokens(profile.parts[:-1]) == shared
 
 
 def _rendezvous_weight(subject: bytes, name: str) -> bytes:
--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -11,6 +11,7 @@
 from heronladder_runtime.replica_starts import is_earlier_start
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
+from heronladder_router.cached_prompt_parts import CachedPromptParts
 from heronladder_router.decisions.availability import Availability
 from heronladder_router.decisions.cold_limit import COLD_WINDOW_S, ColdLimits
 from heronladder_router.decisions.connection_share import connection_share
@@ -26,14 +27,13 @@
 from heronladder_router.decisions.slot_admission import ReplicaSlots
 from heronladder_router.evacuated_zones import EvacuatedZones
 from heronladder_router.far_sends import FarSends
-from heronladder_router.kept_parts import KeptParts
+from heronladder_router.placement_settings import PlacementSettings
 from heronladder_router.replica_availability import ReplicaAvailability
 from heronladder_router.replica_limits import ReplicaLimits
 from heronladder_router.replica_state import FleetReplica, RequestProfile
 from heronladder_router.rollouts.version_gates import ReplicaFilter, VersionGates
 from heronladder_router.service_speeds import ServiceSpeeds
 from heronladder_router.shared_loads import SharedLoads
-from heronladder_router.surroundings import Surroundings
 
 _FIRST_SUSPICION_S = 0.4
 _LONGEST_SUSPICION_S = 4.0
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        where: Surroundings,
+        where: PlacementSettings,
         cold: ColdLimits,
         configuration: ConfigurationStore,
         environment: Environment,
@@ -98,7 +98,7 @@
             # A later start holds and knows nothing of before, nor what was held against it.
             new = replica is None or is_earlier_start(replica.record, record)
             if replica is None or new:
-                replica = FleetReplica(record, KeptParts(self._memory(record.service)))
+                replica = FleetReplica(record, CachedPromptParts(self._memory(record.service)))
             self._report(replica, record, new=new)
             if record.cold_ms and (new or record.cold_revision != replica.record.cold_revision):
                 self._note_cold(replica, record.cold_ms / MILLISECONDS_PER_SECOND, "told")
@@ -325,10 +325,10 @@
         Returns:
             Tokens that it has to read, to be given to ``began``.
         """
-        unread = max(0, profile.prompt_tokens - replica.parts.kept_tokens(profile.parts))
+        unread = max(0, profile.prompt_tokens - replica.parts.cached_prefix_tokens(profile.parts))
         replica.in_flight += 1
         replica.unread_tokens += unread
-        replica.parts.note(profile.parts)
+        replica.parts.record_prompt(profile.parts)
         self._count_cold_send(replica)
         self.limits.sent(replica)
         return unread
--- a/packages/heronladder-router/src/heronladder_router/gateway_request.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_request.py
@@ -1,4 +1,4 @@
-"""Requests of a gateway's callers, and the answers of replicas."""
+"""Data types of the gateway: callers' requests, replicas' responses and where these are sent."""
 
 from dataclasses import dataclass, field
 from functools import cached_property
@@ -6,48 +6,54 @@
 
 from heronladder_router.host_routes import MatchedRoute
 from heronladder_router.replica_state import RequestProfile
-from heronladder_router.request_fingerprint import fingerprint_of
+from heronladder_router.request_fingerprint import compute_fingerprint
 
 Headers = list[tuple[str, str]]
 
 
 @dataclass(frozen=True)
 class TokenBounds:
-    """Tokens of a prompt, and the most that may come out."""
+    """Bounds on the tokens of a request.
+
+    Attributes:
+        prompt: Tokens of the prompt.
+        max_output: Most tokens that may be generated.
+    """
 
     prompt: int
-    most_out: int
+    max_output: int
 
     @property
     def total(self) -> int:
         """Most tokens the request can cost."""
-        return self.prompt + self.most_out
+        return self.prompt + self.max_output
 
 
-def parse_bounds(text: str) -> TokenBounds | None:
-    """Return the bounds of "PROMPT,OUT", or None if the text is malformed."""
-    prompt, comma, most_out = text.partition(",")
-    if not (comma and prompt.strip().isdigit() and most_out.strip().isdigit()):
+def parse_token_bounds(text: str) -> TokenBounds | None:
+    """Parse "PROMPT,OUT"; return None if the text is malformed."""
+    prompt, comma, max_output = text.partition(",")
+    if not (comma and prompt.strip().isdigit() and max_output.strip().isdigit()):
         return None
-    return TokenBounds(int(prompt), int(most_out))
+    return TokenBounds(int(prompt), int(max_output))
 
 
 @dataclass
 class GatewayRequest:
-    """One attempt of a caller.
+    """One request of a caller.
 
     Attributes:
-        request_id: As the caller sent it.
+        request_id: Identifier that the caller sent.
         method: HTTP method.
         target: Path and query, as received.
-        headers: Headers that go on to the replica.
-        body: The whole body.
-        matched: Its route and tenant.
-        profile: What is asked of a replica.
+        headers: Headers that are forwarded to the replica.
+        body: Complete body.
+        matched: Route and tenant of the request.
+        profile: Properties by which a replica is chosen.
         bounds: Token bounds; None for a plain request.
-        arrived_s: When its head was read, on the loop's clock.
-        deadline_s: When it is given up: the caller's deadline or the route's limit.
-        last_event_id: Last event the caller has; empty for a new stream.
+        arrived_s: When the request head was read, in seconds on the event loop's clock.
+        deadline_s: When the request is given up, on the same clock: the earlier of the caller's
+            deadline and the route's time limit.
+        last_event_id: Id of the last event that the caller has; empty for a new stream.
     """
 
     request_id: str
@@ -64,34 +70,38 @@
 
     @cached_property
     def fingerprint(self) -> str:
-        """What all tries of this request have in common."""
+        """Fingerprint that all of a caller's attempts of this request share."""
         tenant = self.matched.tenant
         name = tenant.name if tenant is not None else ""
-        return fingerprint_of(name, self.method, self.target, self.body)
+        return compute_fingerprint(name, self.method, self.target, self.body)
 
 
 @dataclass
-class ReplicaAnswer:
-    """A whole answer of a replica, or the head of a stream."""
+class ReplicaResponse:
+    """A complete response of a replica, or the head of a stream."""
 
     status: int
     headers: Headers = field(default_factory=list)
     body: bytes = b""
 
 
-class AnswerSink(Protocol):
-    """Where an answer goes: the caller's connection."""
+class ResponseSink(Protocol):
+    """Destination of a response: the caller's connection.
+
+    Attributes:
+        started: Whether the head of a response was sent.
+    """
 
     started: bool
 
-    async def whole(self, answer: ReplicaAnswer) -> None:
-        """Send a whole answer."""
+    async def send_complete(self, response: ReplicaResponse) -> None:
+        """Send a complete response."""
 
-    async def start(self, answer: ReplicaAnswer) -> None:
+    async def start(self, response: ReplicaResponse) -> None:
         """Send the head of a stream."""
 
     async def write(self, data: bytes) -> None:
         """Send a part of a stream."""
 
     async def finish(self) -> None:
-        """End a stream that is whole."""
+        """End a stream whose response is complete."""
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -1,4 +1,4 @@
-"""The gateway role: a router by host and path that sends to replicas itself."""
+"""The gateway role: routes requests by host and path and sends them to replicas directly."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping
@@ -18,53 +18,61 @@
 from heronladder_router.decisions.cold_limit import ColdLimits
 from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.gateway_dispatch import GatewayDispatcher, GatewayParts
-from heronladder_router.gateway_names import GatewayNames
+from heronladder_router.gateway_dispatch import DispatchContext, GatewayDispatcher
+from heronladder_router.gateway_header_names import GatewayHeaderNames
 from heronladder_router.gateway_readiness import GatewayReadiness
 from heronladder_router.gateway_server import GatewayServer
 from heronladder_router.host_routes import HostRouteTable
 from heronladder_router.leave_reports import LeaveReports
-from heronladder_router.place_queue import PlaceQueue
+from heronladder_router.placement_settings import PlacementSettings
 from heronladder_router.replica_attempt import ReplicaAttempts
 from heronladder_router.replica_client import ReplicaClient
 from heronladder_router.replica_connections import ReplicaConnections
-from heronladder_router.sliding_allowance import SlidingAllowance
-from heronladder_router.surroundings import Surroundings
+from heronladder_router.replica_slot_queue import ReplicaSlotQueue
+from heronladder_router.sliding_retry_budget import SlidingRetryBudget
 from heronladder_router.tokens.access import LendingOptions, TokenAccess
 from heronladder_router.unreached_replicas import UnreachedReplicas
 
-_STOP_POLL_S = 0.02
-_LAST_RETURN_S = 0.8
-_LOANS_WAIT_S = 0.3  # of it, for others to settle what they borrowed
+_DRAIN_POLL_S = 0.02
+# Longest time to return tokens when stopping, and the part of it that other gateways have to
+# settle what they borrowed.
+_TOKEN_RETURN_TIMEOUT_S = 0.8
+_LOAN_SETTLEMENT_WAIT_S = 0.3
 
 
 @dataclass(frozen=True)
 class GatewayOptions:
-    """Settings of a gateway; times in seconds.
+    """Settings of a gateway.
 
     Attributes:
         name: Name of the daemon.
-        region: Its region.
-        zone: Its zone.
-        control_addresses: gRPC addresses of control members.
-        heartbeat_s: Time between heartbeats.
-        retry_ratio: Repeated sends as a share of a service's requests.
-        retry_slack: Repeated sends that all gateways may make besides.
-        retry_window_s: Window over which they are counted.
-        stale_limit_s: Longest time without control.
+        region: Region of the gateway.
+        zone: Zone of the gateway.
+        control_addresses: gRPC addresses of the control members.
+        heartbeat_s: Time between heartbeats, in seconds.
+        retry_ratio: Retries allowed per request of a service.
+        retry_slack: Retries that all gateways together may send in addition.
+        retry_window_s: Window over which requests and retries are counted, in seconds.
+        stale_limit_s: Time without control after which the gateway is not ready, in seconds.
         names: Header names.
-        lending_address: IP:port at which other gateways borrow tokens; empty: nowhere.
-        lending_key_file: File with the keys that prove loan messages; empty: none.
+        lending_address: IP:port at which other gateways borrow tokens; empty if they cannot.
+        lending_key_file: File with the keys that authenticate loan messages; empty if none.
         zone_regions: Region of each zone.
-        cold_over: What all gateways may send to a cold replica, in multiples of what it bears.
-        cold_slack: Requests a second that they may send to it besides.
-        group: Its control group; empty: named like the region.
-        remote_cost_ms: What a send to another region costs, in ms: the way, and its bytes.
-        far_sends_per_s: Requests a second that may go there while there are replicas here.
-        wait_for_places: Whether requests for plain services wait here or are turned away.
-        behind_after_ms: Not ready while link or loop are later than that, in ms; 0: never.
-        measured_speed: Whether replicas are compared by measured speed, not by constants.
-        measured_patience: Whether streams are waited for by measured first events.
+        cold_over: Rate that all gateways together may send to a cold replica, as a multiple of
+            its capacity.
+        cold_slack: Requests per second that they may send to it in addition.
+        group: Control group; empty if it is named like the region.
+        remote_cost_ms: Cost added to an attempt in a remote region, in ms: network latency and
+            transfer of the body.
+        far_sends_per_s: Most requests per second that may go to remote regions while the local
+            region has replicas.
+        wait_for_places: Whether plain requests wait for a replica slot, and are rejected if they
+            cannot be served in time.
+        behind_after_ms: Link round trip or loop lag, in ms, above which the gateway is not ready;
+            0 disables the check.
+        measured_speed: Whether replicas are compared by measured speed instead of constants.
+        measured_patience: Whether the attempt timeout of a stream follows from measured times to
+            the first event.
     """
 
     name: str
@@ -76,7 +84,7 @@
     retry_slack: int = 50
     retry_window_s: float = 10.0
     stale_limit_s: float = 120.0
-    names: GatewayNames = field(default_factory=GatewayNames)
+    names: GatewayHeaderNames = field(default_factory=GatewayHeaderNames)
     lending_address: str = ""
     lending_key_file: str = ""
     zone_regions: dict[str, str] = field(default_factory=dict)
@@ -92,12 +100,12 @@
 
 
 class GatewayRole:
-    """One gateway.
+    """A gateway and its components.
 
     Args:
         options: Settings.
-        stubs: Makes stubs to control.
-        environment: Time and randomness.
+        stubs: Creates gRPC stubs for control.
+        environment: Source of time and randomness.
     """
 
     def __init__(
@@ -110,7 +118,7 @@
         self._tasks = TaskGroupOwner(self.log)
         handlers = LinkHandlers(rejected=self._begin_new_incarnation)
         self.link = ControlLink(
-            self._record(),
+            self._daemon_record(),
             options.control_addresses,
             stubs,
             options.heartbeat_s,
@@ -123,7 +131,7 @@
         self.replicas = self._make_replicas()
         handlers.session_began = self.tokens.held.session_began
         handlers.fill_heartbeat = self._fill_heartbeat
-        self.places = self._make_places()
+        self.slot_queue = self._make_slot_queue()
         self.readiness = GatewayReadiness(
             options.behind_after_ms,
             self.link,
@@ -132,8 +140,8 @@
             self.metrics,
             self.log,
         )
-        handlers.replica_loads = self._loads_told
-        self._join_limits(handlers)
+        handlers.replica_loads = self._on_replica_loads
+        self._connect_replica_limits(handlers)
         self.replicas.versions.last_control_contact_s = lambda: self.link.standing.last_contact_s
         self.replicas.versions.count = lambda version: self.metrics.add("rollout_sends", version)
         handlers.rollout_grants = self.replicas.versions.apply_grants
@@ -151,18 +159,18 @@
         self._client = ReplicaClient()
         self._connections = ReplicaConnections(environment, self.metrics)
         self.server = self._make_server()
-        self.link.configuration.listen(self._configuration_changed)
+        self.link.configuration.listen(self._on_configuration_changed)
         self.metrics.gauge("configuration_revision", lambda: self.link.configuration.revision)
         self.metrics.gauge("replicas_cold", lambda: self.replicas.cold_count)
         self.metrics.gauge("far_sends", lambda: self.replicas.far_sends)
-        self.metrics.gauge("requests_waiting_for_places", lambda: self.places.waiting_count)
+        self.metrics.gauge("requests_waiting_for_places", lambda: self.slot_queue.waiting_count)
         self.metrics.gauge("zones_evacuated", lambda: len(self.replicas.evacuated))
         self.metrics.gauge("crashing_requests_refused", lambda: self.crashing.refused_count)
         self.metrics.gauge("requests_waiting_for_connections", lambda: self._connections.waiting)
         self.metrics.gauge("replicas_unreached", lambda: self.unreached.count)
         self.metrics.gauge("revision_in_force", lambda: self.link.standing.in_force_revision)
 
-    def _record(self) -> ledger_pb2.DaemonRecord:
+    def _daemon_record(self) -> ledger_pb2.DaemonRecord:
         options = self.options
         return ledger_pb2.DaemonRecord(
             name=options.name,
@@ -186,7 +194,7 @@
         )
         return TokenAccess(lending, self.link, stubs, self._environment, self.metrics, self.log)
 
-    def _join_limits(self, handlers: LinkHandlers) -> None:
+    def _connect_replica_limits(self, handlers: LinkHandlers) -> None:
         self.replicas.availability.gateways = lambda: self.link.routers
         limits = self.replicas.limits
         limits.gateway = self.options.name
@@ -205,7 +213,7 @@
         options = self.options
         cold = ColdLimits(options.name, options.cold_over, options.cold_slack, self._gateways_known)
         return FleetReplicas(
-            Surroundings(
+            PlacementSettings(
                 options.zone,
                 options.zone_regions,
                 options.remote_cost_ms,
@@ -221,8 +229,8 @@
             self.metrics,
         )
 
-    def _make_places(self) -> PlaceQueue:
-        return PlaceQueue(
+    def _make_slot_queue(self) -> ReplicaSlotQueue:
+        return ReplicaSlotQueue(
             self.replicas.places_of,
             lambda: self.link.routers,
             lambda: self.link.round_trip_s,
@@ -232,18 +240,18 @@
             waits=self.options.wait_for_places,
         )
 
-    def _loads_told(self, loads: Mapping[str, control_pb2.ReplicaLoad]) -> None:
+    def _on_replica_loads(self, loads: Mapping[str, control_pb2.ReplicaLoad]) -> None:
         self.replicas.loads.update_others(loads)
-        self.places.loads_told()
-        self._look_at_load()
+        self.slot_queue.on_loads_updated()
+        self._update_readiness()
 
-    def _look_at_load(self) -> None:
-        self.readiness.look()
-        self.server.moving = self.readiness.behind
+    def _update_readiness(self) -> None:
+        self.readiness.update()
+        self.server.shedding_connections = self.readiness.behind
 
     def _make_server(self) -> GatewayServer:
         options = self.options
-        parts = GatewayParts(
+        context = DispatchContext(
             link=self.link,
             routes=self.routes,
             replicas=self.replicas,
@@ -251,13 +259,13 @@
             attempts=ReplicaAttempts(
                 self._client, self._connections, self.replicas, options.names, self._environment
             ),
-            allowance=SlidingAllowance(
+            retry_budget=SlidingRetryBudget(
                 self._environment,
                 options.retry_ratio,
                 options.retry_slack,
                 options.retry_window_s,
             ),
-            places=self.places,
+            slot_queue=self.slot_queue,
             crashing=self.crashing,
             crash_reports=self.crash_reports,
             unreached=self.unreached,
@@ -266,7 +274,7 @@
             log=self.log,
         )
         return GatewayServer(
-            GatewayDispatcher(parts),
+            GatewayDispatcher(context),
             self.routes,
             self.link,
             options.names,
@@ -280,11 +288,14 @@
         self.replicas.fill_heartbeat(heartbeat)
 
     def _begin_new_incarnation(self) -> str:
-        """Go on under a new incarnation: control charged the old one for all it held."""
+        """Drop all tokens and return the id of a new incarnation.
+
+        Control has charged the old incarnation for all tokens that it held.
+        """
         self.tokens.drop_all()
         return self._environment.new_id(self.options.name)
 
-    def _configuration_changed(self) -> None:
+    def _on_configuration_changed(self) -> None:
         self.server.ready = self.routes.version > 0
         self.log.info(
             "configuration_in_use",
@@ -293,63 +304,64 @@
             revision=self.link.configuration.revision,
         )
 
-    # ---- life -------------------------------------------------------------
+    # ---- lifecycle --------------------------------------------------------
 
     async def start(self) -> None:
-        """Connect to control."""
+        """Start to connect to control and to obtain tokens."""
         self.link.start()
         self.tokens.start()
 
     def ready(self) -> bool:
-        """Whether new connections are wanted."""
+        """Return whether the gateway accepts new connections."""
         if self.readiness.behind:
-            self._look_at_load()
+            self._update_readiness()
         silent_s = self._environment.monotonic() - self.link.last_heard_s
-        heard = silent_s < self.options.stale_limit_s
-        held = self.link.standing.must_hold
+        is_connected = silent_s < self.options.stale_limit_s
+        is_outdated = self.link.standing.must_hold
         return (
             self.server.ready
-            and heard
-            and not held
-            and not (self.server.closing or self.server.moving)
+            and is_connected
+            and not is_outdated
+            and not (self.server.draining or self.server.shedding_connections)
         )
 
     async def drain(
         self, grace_s: float, notice_s: float, stop_accepting: Callable[[], Awaitable[None]]
     ) -> None:
-        """Serve until callers' balancers have noticed, then until nothing is in flight.
+        """Serve until load balancers have noticed, then until no request is in flight.
 
         Args:
-            grace_s: Longest time in all, in seconds.
-            notice_s: Time that balancers need to notice, in seconds.
-            stop_accepting: Closes the listener; requests on open connections are refused.
+            grace_s: Longest total time, in seconds.
+            notice_s: Time that load balancers need to notice that the gateway is not ready, in
+                seconds.
+            stop_accepting: Closes the listener; requests on open connections are rejected.
         """
-        began_s = self._environment.monotonic()
-        self.server.closing = True
+        start_s = self._environment.monotonic()
+        self.server.draining = True
         await asyncio.sleep(notice_s)
-        # From now on, busy callers on kept connections must not hold this up.
-        self.server.refusing = True
+        # New requests on open connections are rejected, so that they do not prolong the drain.
+        self.server.rejecting_requests = True
         self.tokens.stop_lending()
         await stop_accepting()
-        while self.server.in_flight and self._environment.monotonic() - began_s < grace_s:
-            await asyncio.sleep(_STOP_POLL_S)
+        while self.server.in_flight and self._environment.monotonic() - start_s < grace_s:
+            await asyncio.sleep(_DRAIN_POLL_S)
         if self.server.in_flight:
             self.log.error(
                 "planned_stop_cuts_requests", step="drain", requests=self.server.in_flight
             )
 
     async def stop(self) -> None:
-        """Give tokens back, say goodbye, and end."""
+        """Return all tokens, close the link to control, and stop."""
         try:
-            async with asyncio.timeout(_LAST_RETURN_S):
-                await self.tokens.return_all(_LOANS_WAIT_S)
+            async with asyncio.timeout(_TOKEN_RETURN_TIMEOUT_S):
+                await self.tokens.return_all(_LOAN_SETTLEMENT_WAIT_S)
         except TimeoutError:
             self.log.warning("stopped_without_control", step="stop")
         await self.link.stop()
         await self.abort()
 
     async def abort(self) -> None:
-        """End at once, as a crash would."""
+        """Stop at once, without returning tokens, as in a crash."""
         await self.link.abort()
         await self.tokens.stop()
         await self.crash_reports.stop()
--- a/packages/heronladder-router/src/heronladder_router/replica_attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_attempt.py
@@ -20,9 +20,9 @@
 from heronladder_router.decisions.attempt_timeout import choose_attempt_timeout
 from heronladder_router.decisions.availability import Availability
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.gateway_names import GatewayNames
-from heronladder_router.gateway_request import AnswerSink, GatewayRequest, ReplicaAnswer
-from heronladder_router.hop_headers import passed_headers
+from heronladder_router.gateway_header_names import GatewayHeaderNames
+from heronladder_router.gateway_request import GatewayRequest, ReplicaResponse, ResponseSink
+from heronladder_router.hop_by_hop_headers import forwarded_headers
 from heronladder_router.replica_client import (
     ReplicaClient,
     ReplicaLostError,
@@ -59,7 +59,7 @@
         client: ReplicaClient,
         connections: ReplicaConnections,
         replicas: FleetReplicas,
-        names: GatewayNames,
+        names: GatewayHeaderNames,
         environment: Environment,
     ) -> None:
         self._client = client
@@ -72,7 +72,7 @@
         self,
         request: GatewayRequest,
         replica: FleetReplica,
-        sink: AnswerSink,
+        sink: ResponseSink,
         progress: AnswerProgress,
     ) -> None:
         """Send the request and pass the answer on.
@@ -101,7 +101,7 @@
         self,
         request: GatewayRequest,
         replica: FleetReplica,
-        sink: AnswerSink,
+        sink: ResponseSink,
         progress: AnswerProgress,
     ) -> None:
         unread = self._replicas.sent(replica, request.profile)
@@ -202,7 +202,7 @@
         request: GatewayRequest,
         replica: FleetReplica,
         response: aiohttp.ClientResponse,
-        sink: AnswerSink,
+        sink: ResponseSink,
         progress: AnswerProgress,
         reading: UnreadPrompt,
         seen: AttemptObservation | None,
@@ -244,26 +244,28 @@
             return
         if seen is not None:
             seen.record_bytes(self._environment.monotonic())
-        answer = ReplicaAnswer(response.status, passed_headers(response), await response.read())
+        answer = ReplicaResponse(
+            response.status, forwarded_headers(response), await response.read()
+        )
         if sink.started:
             raise RunLostError("the stream did not go on", step="resume", peer=replica.name)
         if answer.status >= _FIRST_SERVER_ERROR:
             raise RunFailedError(answer, step="send", peer=replica.name)
         progress.finished = True
         progress.handed_out = success
-        await _passed(sink.whole(answer), seen)
+        await _passed(sink.send_complete(answer), seen)
 
     async def _pass_stream(
         self,
         request: GatewayRequest,
         response: aiohttp.ClientResponse,
-        sink: AnswerSink,
+        sink: ResponseSink,
         progress: AnswerProgress,
         reading: UnreadPrompt,
         seen: AttemptObservation | None,
     ) -> None:
         cutter = progress.cutter
-        cutter.drop_rest()
+        cutter.discard_partial_event()
         content = response.content
         while True:
             patience_s = _LONGEST_GAP_S if cutter.events else self._patience_s(request)
@@ -287,19 +289,19 @@
                     seen.record_bytes(self._environment.monotonic(), cutter.events - events)
                 progress.passed_on(self._environment.monotonic())
                 await _passed(self._write(response, sink, whole), seen)
-        if not cutter.clean:
+        if not cutter.at_event_boundary:
             raise ConnectionEndedError("the stream ended within an event", step="read_stream")
         if not sink.started:
-            head = ReplicaAnswer(response.status, passed_headers(response))
+            head = ReplicaResponse(response.status, forwarded_headers(response))
             await _passed(sink.start(head), seen)
         progress.finished = True
         progress.handed_out = True
         await _passed(sink.finish(), seen)
 
     @staticmethod
-    async def _write(response: aiohttp.ClientResponse, sink: AnswerSink, whole: bytes) -> None:
+    async def _write(response: aiohttp.ClientResponse, sink: ResponseSink, whole: bytes) -> None:
         if not sink.started:
-            await sink.start(ReplicaAnswer(response.status, passed_headers(response)))
+            await sink.start(ReplicaResponse(response.status, forwarded_headers(response)))
         await sink.write(whole)
 
 
--- a/packages/heronladder-router/src/heronladder_router/request_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/request_tokens.py
@@ -114,4 +114,4 @@
         output = progress.cutter.events * per_event
         if not progress.finished:
             output += _TOKENS_AFTER_DISCONNECT
-        return bounds.prompt + min(bounds.most_out, output)
+        return bounds.prompt + min(bounds.max_output, output)
--- a/tests/test_region_choice.py
+++ b/tests/test_region_choice.py
@@ -4,14 +4,14 @@
 import unittest
 from collections import Counter
 
+from heronladder_router.cached_prompt_parts import CachedPromptParts, PromptPart
 from heronladder_router.decisions.cold_limit import ColdLimits
 from heronladder_router.decisions.placement import Placement, PlacementReason, PlacementView, place
 from heronladder_router.decisions.region_choice import RegionChoice
 from heronladder_router.decisions.sender_selection import KnownGateways
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.kept_parts import KeptParts, PromptPart
+from heronladder_router.placement_settings import PlacementSettings
 from heronladder_router.replica_state import FleetReplica, RequestProfile
-from heronladder_router.surroundings import Surroundings
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import REPLICA_KIND, ConfigurationStore
 from heronladder_runtime.logs import EventLog
@@ -30,7 +30,8 @@
         self.random = random.Random(1)
         self.replicas = [
             FleetReplica(
-                resources_pb2.Replica(id=f"{zone}-{number}", zone=zone), KeptParts(1_000_000)
+                resources_pb2.Replica(id=f"{zone}-{number}", zone=zone),
+                CachedPromptParts(1_000_000),
             )
             for zone in _REGIONS
             for number in range(replicas_per_zone)
@@ -94,7 +95,9 @@
 
     def test_a_zone_of_unknown_region_counts_as_local(self) -> None:
         fleet = _Fleet(0)
-        fleet.replicas = [FleetReplica(resources_pb2.Replica(id="r", zone="?"), KeptParts(0))]
+        fleet.replicas = [
+            FleetReplica(resources_pb2.Replica(id="r", zone="?"), CachedPromptParts(0))
+        ]
         self.assertEqual(fleet.place(RequestProfile(_SERVICE)).way, RegionChoice.LOCAL)
 
 
@@ -202,7 +205,7 @@
         clock = _Clock(random=random.Random(1))
         configuration = ConfigurationStore("gateway")
         replicas = FleetReplicas(
-            Surroundings("n-a", _REGIONS, _REMOTE_COST_MS, 3),
+            PlacementSettings("n-a", _REGIONS, _REMOTE_COST_MS, 3),
             ColdLimits("gateway", 1.5, 5, lambda: KnownGateways({"gateway"}, 1)),
             configuration,
             clock,
--- a/tests/test_replica_limit_reports.py
+++ b/tests/test_replica_limit_reports.py
@@ -4,6 +4,7 @@
 
 from heronladder_control.daemon_session import DaemonSession
 from heronladder_control.replica_limits import SharedReplicaLimits
+from heronladder_router.cached_prompt_parts import CachedPromptParts
 from heronladder_router.decisions.replica_limit import (
     LIMIT_WINDOW_S,
     LimitVerdict,
@@ -11,7 +12,6 @@
     share_without_leader,
 )
 from heronladder_router.decisions.sender_selection import KnownGateways
-from heronladder_router.kept_parts import KeptParts
 from heronladder_router.replica_limits import ReplicaLimits
 from heronladder_router.replica_state import FleetReplica
 from heronladder_runtime.clock import Environment
@@ -68,7 +68,9 @@
     def __init__(self, replicas: int = 2) -> None:
         self.clock = _Clock()
         self.replicas = {
-            name: FleetReplica(resources_pb2.Replica(id=name, service=_SERVICE), KeptParts(0))
+            name: FleetReplica(
+                resources_pb2.Replica(id=name, service=_SERVICE), CachedPromptParts(0)
+            )
             for name in (f"r{number}" for number in range(replicas))
         }
         self.first = self.replicas["r0"]
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -17,7 +17,7 @@
     next_waiter,
 )
 from heronladder_router.gateway_request import GatewayRequest
-from heronladder_router.place_queue import PlaceQueue
+from heronladder_router.replica_slot_queue import ReplicaSlotQueue
 from heronladder_router.replica_state import RequestProfile
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
@@ -133,7 +133,7 @@
         That happened to a request with 250 of 415 ms remaining.
         """
         clock, taken = _Clock(), [18]
-        queue = PlaceQueue(
+        queue = ReplicaSlotQueue(
             lambda profile: ([ReplicaSlots(6, taken[0])], True),
             lambda: 1,
             lambda: 0.0,
@@ -142,9 +142,9 @@
             EventLog("test", "g"),
             waits=True,
         )
-        queue.answered("s", 0.09)
+        queue.record_response_time("s", 0.09)
         for _ in range(2):
-            queue.answered("s", 0.4)
+            queue.record_response_time("s", 0.4)
 
         def request(number: int) -> GatewayRequest:
             route = SimpleNamespace(objective_ms=415, name="r")
@@ -166,7 +166,7 @@
         self.assertEqual(queue.waiting_count, 1)
         clock.now_s += 0.165
         taken[0] = 10
-        queue.room("s")
+        queue.grant_free_slots("s")
         self.assertEqual(queue.waiting_count, 0)
         await waits
 
@@ -293,10 +293,10 @@
             await self.fleet.request("/once/", Request_Id=f"w{number}")
         gateway = self.fleet.gateway.gateway
         assert gateway is not None
-        gateway.places._waits = True  # as the setting wait_for_places does
+        gateway.slot_queue._waits = True  # as the setting wait_for_places does
         # The recent responses were slow, as after the beginning of a burst.
         for _ in range(20):
-            gateway.places.answered(replica.heartbeat()["service"], 0.6)
+            gateway.slot_queue.record_response_time(replica.heartbeat()["service"], 0.6)
         loop = asyncio.get_running_loop()
 
         async def one(number: int) -> tuple[int, float, float, str]:
