--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -25,8 +25,8 @@
 )
 from heronladder_router.decisions.waiting import ReplicaPlaces
 from heronladder_router.evacuated_zones import EvacuatedZones
-from heronladder_router.far_sends import FarSends
 from heronladder_router.kept_parts import KeptParts
+from heronladder_router.remote_attempts import RemoteAttempts
 from heronladder_router.replica_availability import ReplicaAvailability
 from heronladder_router.replica_limits import ReplicaLimits
 from heronladder_router.replica_state import FleetReplica, RequestProfile
@@ -79,7 +79,7 @@
             measures_patience=where.measures_patience,
         )
         self._zones = EvacuatedZones()
-        self._far_sends = FarSends(environment)
+        self._remote_attempts = RemoteAttempts(environment)
         self.changed = Pulse()
         self.loads = SharedLoads(lambda: self._replicas.values(), environment)
         metrics = metrics or Metrics()
@@ -270,7 +270,7 @@
     @property
     def far_sends(self) -> int:
         """Requests that spilled to other regions in the last second."""
-        return self._far_sends.count
+        return self._remote_attempts.count
 
     def places_of(self, profile: RequestProfile) -> tuple[list[ReplicaPlaces], bool]:
         """Return the places of the replicas that a request may go to, and if sums are heard."""
@@ -333,7 +333,7 @@
 
     def spilled(self) -> None:
         """Note that a request goes to another region although this one has replicas for it."""
-        self._far_sends.add()
+        self._remote_attempts.add()
 
     def _count_cold_send(self, replica: FleetReplica) -> None:
         """Count all sends of the last second: the replica may be known for cold only then."""
--- a/packages/heronladder-router/src/heronladder_router/far_sends.py
+++ b/packages/heronladder-router/src/heronladder_router/remote_attempts.py
@@ -7,7 +7,7 @@
 _WINDOW_S = 1.0
 
 
-class FarSends:
+class RemoteAttempts:
     """Counts them over the last second.
 
     Args:
