--- a/packages/heronladder-router/src/heronladder_router/crash_reports.py
+++ b/packages/heronladder-router/src/heronladder_router/crash_reports.py
@@ -19,7 +19,7 @@
 
 from heronladder_router.crashing_requests import CrashingRequests
 from heronladder_router.gateway_request import GatewayRequest
-from heronladder_router.replica_connect import Listens, listens
+from heronladder_router.replica_connect_probe import ConnectOutcome, probe_connect
 from heronladder_router.replica_state import FleetReplica
 
 # Connections of a replica that ends are noticed to end within the first of these pauses; on a busy
@@ -109,7 +109,7 @@
             await asyncio.sleep(pause_s)
             if replica.in_flight:
                 continue  # what else it holds goes on
-            if await listens(loss.record.address) is Listens.REFUSES:
+            if await probe_connect(loss.record.address) is ConnectOutcome.REFUSES:
                 self._crashed(key, "refused")
             return
 
--- a/packages/heronladder-router/src/heronladder_router/replica_connect.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_connect_probe.py
@@ -9,7 +9,7 @@
 _LATE_S = 0.1
 
 
-class Listens(Enum):
+class ConnectOutcome(Enum):
     """What an address did with a connection."""
 
     ACCEPTS = "accepts"
@@ -18,7 +18,7 @@
     UNCLEAR = "unclear"  # this process was late itself, so it cannot tell
 
 
-async def listens(address: str) -> Listens:
+async def probe_connect(address: str) -> ConnectOutcome:
     """Open a connection to an address, and close it.
 
     Args:
@@ -33,7 +33,7 @@
             writer.close()
             await writer.wait_closed()
     except ConnectionRefusedError:
-        return Listens.REFUSES
+        return ConnectOutcome.REFUSES
     except (OSError, TimeoutError, ValueError):
-        return Listens.UNCLEAR if loop.time() > due_s + _LATE_S else Listens.SILENT
-    return Listens.ACCEPTS
+        return ConnectOutcome.UNCLEAR if loop.time() > due_s + _LATE_S else ConnectOutcome.SILENT
+    return ConnectOutcome.ACCEPTS
--- a/packages/heronladder-router/src/heronladder_router/unreached_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/unreached_replicas.py
@@ -12,7 +12,7 @@
 from heronladder_runtime.tasks import TaskGroupOwner
 
 from heronladder_router.fleet_replicas import FleetReplicas
-from heronladder_router.replica_connect import Listens, listens
+from heronladder_router.replica_connect_probe import ConnectOutcome, probe_connect
 from heronladder_router.replica_state import FleetReplica
 
 _FIRST_LOOK_S = 0.3  # less than the shortest suspicion, so that it does not lapse unseen
@@ -56,17 +56,17 @@
     async def _watch(self, replica: FleetReplica) -> None:
         pause_s = _FIRST_LOOK_S
         began_s = self._environment.monotonic()
-        found = Listens.UNCLEAR
+        found = ConnectOutcome.UNCLEAR
         try:
             while self._replicas.has(replica):
                 until_s = self._environment.monotonic() + 1.5 * pause_s + _SUSPECT_BEYOND_S
                 replica.suspect_until_s = max(replica.suspect_until_s, until_s)
                 await asyncio.sleep(self._environment.jitter(pause_s))
-                found = await listens(replica.record.address)
-                replica.refuses = found is Listens.REFUSES
-                if found is Listens.ACCEPTS:
+                found = await probe_connect(replica.record.address)
+                replica.refuses = found is ConnectOutcome.REFUSES
+                if found is ConnectOutcome.ACCEPTS:
                     replica.suspect_until_s = self._environment.monotonic()
-                if found in (Listens.ACCEPTS, Listens.UNCLEAR):
+                if found in (ConnectOutcome.ACCEPTS, ConnectOutcome.UNCLEAR):
                     break
                 pause_s = min(_LONGEST_LOOK_S, 2 * pause_s)
         finally:
--- a/tests/test_replica_connect.py
+++ b/tests/test_replica_connect_probe.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from heronladder_router.replica_connect import Listens, listens
+from heronladder_router.replica_connect_probe import ConnectOutcome, probe_connect
 from heronladder_tools.demo_fleet import free_addresses
 
 _NEVER_S = 30.0
@@ -15,19 +15,19 @@
     async def test_what_accepts_and_what_refuses_is_told_apart(self) -> None:
         server = await asyncio.start_server(lambda reader, writer: writer.close(), "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
-        self.assertIs(await listens(f"{host}:{port}"), Listens.ACCEPTS)
+        self.assertIs(await probe_connect(f"{host}:{port}"), ConnectOutcome.ACCEPTS)
         server.close()
         await server.wait_closed()
         (address,) = free_addresses(1)
-        self.assertIs(await listens(address), Listens.REFUSES)
-        self.assertIs(await listens("no address"), Listens.SILENT)
+        self.assertIs(await probe_connect(address), ConnectOutcome.REFUSES)
+        self.assertIs(await probe_connect("no address"), ConnectOutcome.SILENT)
 
     async def test_what_does_not_answer_is_silent(self) -> None:
         async def never(*_: object) -> None:
             await asyncio.sleep(_NEVER_S)
 
         with mock.patch("asyncio.open_connection", never):
-            self.assertIs(await listens("127.0.0.1:9"), Listens.SILENT)
+            self.assertIs(await probe_connect("127.0.0.1:9"), ConnectOutcome.SILENT)
 
     async def test_a_late_process_does_not_take_a_replica_for_silent(self) -> None:
         """One with too much to do gave up connections that had come about."""
@@ -37,7 +37,7 @@
             await asyncio.sleep(_NEVER_S)
 
         with mock.patch("asyncio.open_connection", late):
-            self.assertIs(await listens("127.0.0.1:9"), Listens.UNCLEAR)
+            self.assertIs(await probe_connect("127.0.0.1:9"), ConnectOutcome.UNCLEAR)
 
 
 if __name__ == "__main__":
