--- a/packages/heronladder-router/src/heronladder_router/replica_attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_attempt.py
@@ -7,7 +7,6 @@
 import aiohttp
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 
-from heronladder_router.answer_signals import read_signals
 from heronladder_router.attempt_outcomes import (
     AnswerProgress,
     ConnectionEndedError,
@@ -31,6 +30,7 @@
 from heronladder_router.replica_connections import ReplicaConnections
 from heronladder_router.replica_connector import HeadHeldBackError
 from heronladder_router.replica_state import FleetReplica
+from heronladder_router.response_signals import read_signals
 from heronladder_router.rollouts.version_gates import AnswerSeen
 from heronladder_router.unread_prompt import UnreadPrompt
 
--- a/packages/heronladder-router/src/heronladder_router/replica_availability.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_availability.py
@@ -9,10 +9,10 @@
 from heronladder_runtime.metrics import Metrics
 from heronladder_runtime.replica_limit import Incarnation
 
-from heronladder_router.answer_signals import AnswerSignals
 from heronladder_router.decisions.availability import Availability, AvailabilityView, judge
 from heronladder_router.decisions.come_back import ComeBackView, come_back
 from heronladder_router.replica_state import FleetReplica
+from heronladder_router.response_signals import ResponseSignals
 
 #: For so long one is left out whose address answered that it is another's. Each start of a replica
 #: is a new incarnation, so it does not come back; an answer in error costs no more than this.
@@ -99,7 +99,7 @@
 
     # ---- signals ----------------------------------------------------------
 
-    def observe(self, replica: FleetReplica, signals: AnswerSignals, request_id: str) -> None:
+    def observe(self, replica: FleetReplica, signals: ResponseSignals, request_id: str) -> None:
         """Take in what an answer of a replica says.
 
         Args:
--- a/packages/heronladder-router/src/heronladder_router/answer_signals.py
+++ b/packages/heronladder-router/src/heronladder_router/response_signals.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class AnswerSignals:
+class ResponseSignals:
     """Signals in the head of one answer.
 
     Attributes:
@@ -44,7 +44,7 @@
 
 def read_signals(
     status: int, headers: CIMultiDictProxy[str], names: GatewayNames, wall_s: float
-) -> AnswerSignals:
+) -> ResponseSignals:
     """Return the signals of an answer.
 
     Args:
@@ -55,9 +55,9 @@
     """
     not_run = names.not_run in headers
     if status == HTTPStatus.MISDIRECTED_REQUEST:
-        return AnswerSignals(misdirected=True, not_run=not_run)
+        return ResponseSignals(misdirected=True, not_run=not_run)
     malformed: list[str] = []
-    return AnswerSignals(
+    return ResponseSignals(
         not_run=not_run,
         leaving=_leaving(headers, names.leaving, malformed),
         back_off_s=_back_off_s(headers, wall_s, malformed) if _backs_off(status, not_run) else 0.0,
--- a/tests/back_off_run.py
+++ b/tests/back_off_run.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from heronladder_router.answer_signals import AnswerSignals
 from heronladder_router.decisions.availability import Availability
 from heronladder_router.decisions.placement import PlacementView, place
 from heronladder_router.kept_parts import KeptParts
 from heronladder_router.replica_availability import ReplicaAvailability
 from heronladder_router.replica_state import FleetReplica, RequestProfile
+from heronladder_router.response_signals import ResponseSignals
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
@@ -229,7 +229,7 @@
     ) -> None:
         known = gateway.replicas[replica.name]
         known.in_flight -= 1
-        signals = AnswerSignals(not_run=True, back_off_s=asks_s)
+        signals = ResponseSignals(not_run=True, back_off_s=asks_s)
         gateway.availability.observe(known, signals, str(request.number))
         self._send(gateway, request)
 
--- a/tests/test_answer_signals.py
+++ b/tests/test_response_signals.py
@@ -5,12 +5,12 @@
 from datetime import UTC, datetime
 from email.utils import format_datetime
 
-from heronladder_router.answer_signals import AnswerSignals, read_signals
 from heronladder_router.decisions.availability import Availability, AvailabilityView, judge
 from heronladder_router.gateway_names import GatewayNames
 from heronladder_router.kept_parts import KeptParts
 from heronladder_router.replica_availability import ReplicaAvailability
 from heronladder_router.replica_state import FleetReplica
+from heronladder_router.response_signals import ResponseSignals, read_signals
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
@@ -21,7 +21,7 @@
 _WALL_S = 1_764_000_000.0
 
 
-def _read(status: int, *headers: tuple[str, str]) -> AnswerSignals:
+def _read(status: int, *headers: tuple[str, str]) -> ResponseSignals:
     return read_signals(status, CIMultiDictProxy(CIMultiDict(headers)), _NAMES, _WALL_S)
 
 
@@ -69,14 +69,14 @@
 
     def test_an_answer_of_another_incarnation_says_nothing_of_this_one(self) -> None:
         signals = _read(421, ("Retry-After", "3"), ("Leaving", "1"), ("Limit", "2"))
-        self.assertEqual(signals, AnswerSignals(misdirected=True))
+        self.assertEqual(signals, ResponseSignals(misdirected=True))
 
     def test_leaving(self) -> None:
         for status in (200, 404, 500, 503):
             self.assertTrue(_read(status, ("Leaving", "1")).leaving)
         self.assertFalse(_read(200).leaving)
         for text in ("0", "", "no", "2"):
-            self.assertEqual(_read(200, ("Leaving", text)), AnswerSignals(malformed=("Leaving",)))
+            self.assertEqual(_read(200, ("Leaving", text)), ResponseSignals(malformed=("Leaving",)))
 
 
 class _Clock(Environment):
@@ -100,7 +100,7 @@
         self.replica = _replica("r0")
 
     def _ask(self, for_s: float, replica: FleetReplica | None = None) -> None:
-        signals = AnswerSignals(not_run=True, back_off_s=for_s)
+        signals = ResponseSignals(not_run=True, back_off_s=for_s)
         self.availability.observe(replica or self.replica, signals, "request")
 
     def _backs_off(self, replica: FleetReplica | None = None) -> bool:
@@ -111,7 +111,7 @@
         self._ask(8.0)
         self.clock.now_s += 1.0
         self._ask(0.5)
-        self.availability.observe(self.replica, AnswerSignals(), "served")
+        self.availability.observe(self.replica, ResponseSignals(), "served")
         self.clock.now_s = 107.9
         self.assertTrue(self._backs_off())
         self.clock.now_s = 108.0
