--- a/packages/heronladder-router/src/heronladder_router/attempt_outcomes.py
+++ b/packages/heronladder-router/src/heronladder_router/attempt_outcomes.py
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class Sends:
+class AttemptHistory:
     """Sends of one request so far."""
 
     tried: set[str] = field(default_factory=set)
@@ -50,7 +50,7 @@
     unreached: int = 0  # of those that were rejected: no connection to the replica came about
     runs: int = 0
     failure: ReplicaAnswer | None = None
-    lacking: Reason = Reason.NONE_KNOWN  # why no replica was left
+    no_replica_reason: Reason = Reason.NONE_KNOWN  # why no replica was left
 
     @property
     def count(self) -> int:
@@ -64,7 +64,7 @@
 
 
 @dataclass
-class AnswerProgress:
+class ResponseProgress:
     """How far the answer to a request has come, over all its sends.
 
     Attributes:
@@ -84,7 +84,7 @@
     cutter: EventCutter = field(default_factory=EventCutter)
     ran: bool = False
     finished: bool = False
-    handed_out: bool = False
+    success_delivered: bool = False
     sends: int = 0
     replica: str = ""
     suspected: bool = False
@@ -93,9 +93,9 @@
     last_event_s: float = 0.0
     longest_pause_s: float = 0.0
 
-    def passed_on(self, now_s: float) -> None:
+    def record_forwarded(self, now_s: float) -> None:
         """Note that events were passed on."""
-        self.handed_out = True
+        self.success_delivered = True
         if self.first_event_s is None:
             self.first_event_s = now_s
         else:
--- a/packages/heronladder-router/src/heronladder_router/dispatch_reports.py
+++ b/packages/heronladder-router/src/heronladder_router/dispatch_reports.py
@@ -3,7 +3,7 @@
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
 from heronladder_runtime.logs import EventLog
 
-from heronladder_router.attempt_outcomes import AnswerProgress
+from heronladder_router.attempt_outcomes import ResponseProgress
 from heronladder_router.decisions.placement import Placement
 from heronladder_router.fleet_replicas import FleetReplicas
 from heronladder_router.gateway_request import AnswerSink, GatewayRequest
@@ -75,7 +75,7 @@
     log: EventLog,
     request: GatewayRequest,
     sink: AnswerSink,
-    progress: AnswerProgress,
+    progress: ResponseProgress,
     reservation: Reservation | None,
     used: int,
     now_s: float,
--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -10,15 +10,15 @@
 from heronladder_runtime.metrics import Metrics
 
 from heronladder_router.attempt_outcomes import (
-    AnswerProgress,
+    AttemptHistory,
     ConnectionEndedError,
     HeldBackError,
     NoConnectionError,
     NotReachedError,
     NotRunError,
+    ResponseProgress,
     RunFailedError,
     RunLostError,
-    Sends,
 )
 from heronladder_router.crash_reports import CrashReports
 from heronladder_router.crashing_requests import CrashingRequests
@@ -104,7 +104,7 @@
         self._parts.replicas.limits.requested(request.profile.service)
         self._refuse_unplaceable(request)
         reservation = await self._tokens.reserve(request)
-        progress = AnswerProgress()
+        progress = ResponseProgress()
         try:
             async with asyncio.timeout_at(request.deadline_s):
                 await self._parts.places.admit(request)
@@ -126,21 +126,21 @@
         """
         if not self._parts.replicas.availability.any_unavailable:
             return
-        reason = self._place(request, Sends()).reason
+        reason = self._place(request, AttemptHistory()).reason
         if reason in (Reason.BACKING_OFF, Reason.LEAVING):
-            raise self._refusals.no_answer(request, Sends(lacking=reason))
+            raise self._refusals.no_answer(request, AttemptHistory(no_replica_reason=reason))
 
     # ---- sends ------------------------------------------------------------
 
     async def _send_until_answered(
-        self, request: GatewayRequest, sink: AnswerSink, progress: AnswerProgress
+        self, request: GatewayRequest, sink: AnswerSink, progress: ResponseProgress
     ) -> None:
-        sends = Sends()
+        sends = AttemptHistory()
         while True:
             placement = await self._next_placement(request, sends)
             replica = placement.replica
             if replica is None:
-                sends.lacking = placement.reason
+                sends.no_replica_reason = placement.reason
                 break
             self._log_send(request, replica, placement, sends, progress)
             try:
@@ -177,7 +177,7 @@
         request: GatewayRequest,
         replica: FleetReplica,
         sink: AnswerSink,
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> None:
         """Send once; what waits for a place hears of its end."""
         if request.bounds is not None:
@@ -191,14 +191,14 @@
         finally:
             self._parts.places.room(service)
 
-    def _may_run_again(self, request: GatewayRequest, sends: Sends) -> bool:
+    def _may_run_again(self, request: GatewayRequest, sends: AttemptHistory) -> bool:
         crashing = self._parts.crashing
         if crashing.is_suspect(request.fingerprint) or crashing.is_refused(request.fingerprint):
             return False  # each send may cost a replica
         route = request.matched.route
         return request.matched.may_run_twice and sends.runs < max(1, route.attempts)
 
-    async def _next_placement(self, request: GatewayRequest, sends: Sends) -> Placement:
+    async def _next_placement(self, request: GatewayRequest, sends: AttemptHistory) -> Placement:
         await self._wait_until_it_may_send(sends)
         placement = self._place(request, sends)
         if not sends.count and await self._passes(placement.reason, request):
@@ -224,13 +224,13 @@
             return True
         return False
 
-    def _place(self, request: GatewayRequest, sends: Sends) -> Placement:
+    def _place(self, request: GatewayRequest, sends: AttemptHistory) -> Placement:
         profile = request.profile
         if self._parts.crashing.is_suspect(request.fingerprint):
             profile = replace(profile, alone=request.fingerprint)
         return self._parts.replicas.place(profile, sends.tried)
 
-    async def _wait_until_it_may_send(self, sends: Sends) -> None:
+    async def _wait_until_it_may_send(self, sends: AttemptHistory) -> None:
         """Send by no list of replicas that is known to be superseded.
 
         Raises:
@@ -248,8 +248,8 @@
         request: GatewayRequest,
         replica: FleetReplica,
         placement: Placement,
-        sends: Sends,
-        progress: AnswerProgress,
+        sends: AttemptHistory,
+        progress: ResponseProgress,
     ) -> None:
         if placement.way.is_far:
             self._parts.metrics.add("requests_across", placement.way.value)
@@ -314,8 +314,8 @@
         self,
         request: GatewayRequest,
         sink: AnswerSink,
-        progress: AnswerProgress,
-        sends: Sends,
+        progress: ResponseProgress,
+        sends: AttemptHistory,
     ) -> None:
         if sink.started:
             raise StreamBrokenError(
@@ -329,7 +329,7 @@
 
     @staticmethod
     def _time_ran_out(
-        request: GatewayRequest, sink: AnswerSink, progress: AnswerProgress
+        request: GatewayRequest, sink: AnswerSink, progress: ResponseProgress
     ) -> HeronladderError:
         if sink.started:
             return StreamBrokenError(
--- a/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
@@ -1,6 +1,6 @@
 """What a caller is told whose request has no answer, and when it may come back."""
 
-from heronladder_router.attempt_outcomes import Sends
+from heronladder_router.attempt_outcomes import AttemptHistory
 from heronladder_router.decisions.placement import Reason
 from heronladder_router.errors import (
     AnswerLostError,
@@ -42,7 +42,7 @@
         self._replicas = replicas
         self._places = places
 
-    def no_answer(self, request: GatewayRequest, sends: Sends) -> CallerError:
+    def no_answer(self, request: GatewayRequest, sends: AttemptHistory) -> CallerError:
         """Return what to tell the caller, and when it may come back."""
         service = request.profile.service
         if sends.runs:
@@ -52,13 +52,15 @@
                 "no replica took the request", step="give_up", peer=service
             )
         else:
-            kind = _NOT_SENT.get(sends.lacking, NoBackendError)
-            error = kind(f"no replica: {sends.lacking.value}", step="give_up", peer=service)
+            kind = _NOT_SENT.get(sends.no_replica_reason, NoBackendError)
+            error = kind(
+                f"no replica: {sends.no_replica_reason.value}", step="give_up", peer=service
+            )
         error.retry_after_s = self._come_back_s(request, sends, error.retry_after_s)
         return error
 
     def _come_back_s(
-        self, request: GatewayRequest, sends: Sends, otherwise_s: float | None
+        self, request: GatewayRequest, sends: AttemptHistory, otherwise_s: float | None
     ) -> float | None:
         """Return when a caller may come back: when what kept its request out is expected to end."""
         service = request.profile.service
@@ -67,6 +69,6 @@
             return ends_s
         if sends.rejected and request.bounds is None:
             return self._places.come_back_s(service, otherwise_s)
-        if sends.lacking is Reason.LIMITED and not sends.rejected:
+        if sends.no_replica_reason is Reason.LIMITED and not sends.rejected:
             return self._replicas.limits.come_back_s(service)
         return otherwise_s
--- a/packages/heronladder-router/src/heronladder_router/replica_attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_attempt.py
@@ -8,11 +8,11 @@
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 
 from heronladder_router.attempt_outcomes import (
-    AnswerProgress,
     ConnectionEndedError,
     HeldBackError,
     NotReachedError,
     NotRunError,
+    ResponseProgress,
     RunFailedError,
     RunLostError,
 )
@@ -73,7 +73,7 @@
         request: GatewayRequest,
         replica: FleetReplica,
         sink: AnswerSink,
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> None:
         """Send the request and pass the answer on.
 
@@ -102,7 +102,7 @@
         request: GatewayRequest,
         replica: FleetReplica,
         sink: AnswerSink,
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> None:
         unread = self._replicas.sent(replica, request.profile)
         reading = UnreadPrompt(self._replicas, replica, unread, self._environment)
@@ -147,7 +147,7 @@
             seen.ended(self._environment.monotonic(), failed=failed)
 
     async def _head(
-        self, request: GatewayRequest, replica: FleetReplica, progress: AnswerProgress
+        self, request: GatewayRequest, replica: FleetReplica, progress: ResponseProgress
     ) -> aiohttp.ClientResponse:
         send = self._client.send(
             replica.record.address,
@@ -184,7 +184,7 @@
         ).for_s
 
     def _headers(
-        self, request: GatewayRequest, replica: FleetReplica, progress: AnswerProgress
+        self, request: GatewayRequest, replica: FleetReplica, progress: ResponseProgress
     ) -> list[tuple[str, str]]:
         left_s = max(0.0, request.deadline_s - self._environment.monotonic())
         headers = list(request.headers)
@@ -203,7 +203,7 @@
         replica: FleetReplica,
         response: aiohttp.ClientResponse,
         sink: AnswerSink,
-        progress: AnswerProgress,
+        progress: ResponseProgress,
         reading: UnreadPrompt,
         seen: AnswerSeen | None,
         sent_s: float,
@@ -250,7 +250,7 @@
         if answer.status >= _FIRST_SERVER_ERROR:
             raise RunFailedError(answer, step="send", peer=replica.name)
         progress.finished = True
-        progress.handed_out = success
+        progress.success_delivered = success
         await _passed(sink.whole(answer), seen)
 
     async def _pass_stream(
@@ -258,7 +258,7 @@
         request: GatewayRequest,
         response: aiohttp.ClientResponse,
         sink: AnswerSink,
-        progress: AnswerProgress,
+        progress: ResponseProgress,
         reading: UnreadPrompt,
         seen: AnswerSeen | None,
     ) -> None:
@@ -285,7 +285,7 @@
                 reading.read()
                 if seen is not None:
                     seen.came(self._environment.monotonic(), cutter.events - events)
-                progress.passed_on(self._environment.monotonic())
+                progress.record_forwarded(self._environment.monotonic())
                 await _passed(self._write(response, sink, whole), seen)
         if not cutter.clean:
             raise ConnectionEndedError("the stream ended within an event", step="read_stream")
@@ -293,7 +293,7 @@
             head = ReplicaAnswer(response.status, passed_headers(response))
             await _passed(sink.start(head), seen)
         progress.finished = True
-        progress.handed_out = True
+        progress.success_delivered = True
         await _passed(sink.finish(), seen)
 
     @staticmethod
--- a/packages/heronladder-router/src/heronladder_router/request_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/request_tokens.py
@@ -4,7 +4,7 @@
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.logs import EventLog
 
-from heronladder_router.attempt_outcomes import AnswerProgress
+from heronladder_router.attempt_outcomes import ResponseProgress
 from heronladder_router.errors import CallerError
 from heronladder_router.gateway_request import GatewayRequest
 from heronladder_router.host_routes import HostRouteTable
@@ -87,14 +87,14 @@
         beyond_s = max(0.0, self._link.quickest_round_trip_s - _NEAR_ROUND_TRIP_S)
         return min(_MOST_ADDED_S, _RESERVE_ROUND_TRIPS * beyond_s)
 
-    def used(self, request: GatewayRequest, progress: AnswerProgress) -> int:
+    def used(self, request: GatewayRequest, progress: ResponseProgress) -> int:
         """Return the most tokens that the tenant can have got.
 
         A run that ended before anything of it was handed out gave the tenant
         nothing and costs nothing: prepaid tokens are what a tenant gets.
         """
         bounds = request.bounds
-        if bounds is None or not progress.handed_out:
+        if bounds is None or not progress.success_delivered:
             return 0
         service = self._routes.services.get(request.profile.service)
         per_event = service.engine.tokens_per_event if service is not None else 0
