--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -41,7 +41,7 @@
 from heronladder_router.request_tokens import RequestTokens
 from heronladder_router.sliding_allowance import SlidingAllowance
 from heronladder_router.tokens.access import TokenAccess
-from heronladder_router.unreached_replicas import UnreachedReplicas
+from heronladder_router.unreachable_replicas import UnreachableReplicas
 
 _REJECTIONS = 3  # sends that were not run, over the route's attempts
 _REPLICA_WAIT_S = 0.2
@@ -66,7 +66,7 @@
     places: PlaceQueue
     crashing: CrashingRequests
     crash_reports: CrashReports
-    unreached: UnreachedReplicas
+    unreached: UnreachableReplicas
     environment: Environment
     metrics: Metrics
     log: EventLog
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -31,7 +31,7 @@
 from heronladder_router.sliding_allowance import SlidingAllowance
 from heronladder_router.surroundings import Surroundings
 from heronladder_router.tokens.access import LendingOptions, TokenAccess
-from heronladder_router.unreached_replicas import UnreachedReplicas
+from heronladder_router.unreachable_replicas import UnreachableReplicas
 
 _STOP_POLL_S = 0.02
 _LAST_RETURN_S = 0.8
@@ -147,7 +147,7 @@
         )
         self.leave_reports = LeaveReports(self.link, environment, self.metrics, self.log)
         self.replicas.availability.left = self.leave_reports.left
-        self.unreached = UnreachedReplicas(self.replicas, environment, self.log)
+        self.unreached = UnreachableReplicas(self.replicas, environment, self.log)
         self._client = ReplicaClient()
         self._connections = ReplicaConnections(environment, self.metrics)
         self.server = self._make_server()
--- a/packages/heronladder-router/src/heronladder_router/unreached_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/unreachable_replicas.py
@@ -21,7 +21,7 @@
 _MOST_WATCHED = 256  # a whole region of replicas, for a gateway
 
 
-class UnreachedReplicas:
+class UnreachableReplicas:
     """Looks after replicas that could not be connected to.
 
     Args:
