--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -122,9 +122,9 @@
             if not (replica.record.draining or replica.record.gone)
         ]
         self._of_service = {}
-        for replica in self.availability.kept(running):
+        for replica in self.availability.without_excluded(running):
             self._of_service.setdefault(replica.record.service, []).append(replica)
-        self._sorted_until_s = self.availability.next_return_s
+        self._sorted_until_s = self.availability.next_readmission_s
 
     def _read_services(self) -> None:
         fleet = self._configuration.fleet()
--- a/packages/heronladder-router/src/heronladder_router/replica_availability.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_availability.py
@@ -16,7 +16,7 @@
 
 #: For so long one is left out whose address answered that it is another's. Each start of a replica
 #: is a new incarnation, so it does not come back; an answer in error costs no more than this.
-MISDIRECTED_S = 10.0
+MISDIRECTED_EXCLUSION_S = 10.0
 _MOST_RECORDS = 4096
 #: Between two callers of one gateway that are told to return as a back-off ends, times gateways.
 _RETURN_PAUSE_S = 0.02
@@ -145,7 +145,7 @@
     def misdirected(self, replica: FleetReplica) -> None:
         """Leave out an incarnation: its address said that it is another's by now."""
         record = self._record(replica)
-        record.misdirected_until_s = self._environment.monotonic() + MISDIRECTED_S
+        record.misdirected_until_s = self._environment.monotonic() + MISDIRECTED_EXCLUSION_S
         record.misdirected_address = replica.record.address
         self._log.info(
             "replica_misdirected",
@@ -153,7 +153,7 @@
             peer=replica.name,
             address=replica.record.address,
             service=replica.record.service,
-            for_s=MISDIRECTED_S,
+            for_s=MISDIRECTED_EXCLUSION_S,
         )
         self._leave_out(replica)
 
@@ -205,14 +205,14 @@
         """Whether a replica said that it leaves."""
         return self.verdict(replica) is Availability.LEAVING
 
-    def kept(self, replicas: list[FleetReplica]) -> list[FleetReplica]:
+    def without_excluded(self, replicas: list[FleetReplica]) -> list[FleetReplica]:
         """Return the replicas that neither leave nor are misdirected: the others serve nobody."""
         if not self._left_out:
             return replicas
         return [replica for replica in replicas if self.verdict(replica) not in _LEFT_OUT_VERDICTS]
 
     @property
-    def next_return_s(self) -> float:
+    def next_readmission_s(self) -> float:
         """When a replica that was taken for misdirected is sent to again; inf: none is left out."""
         now_s = self._environment.monotonic()
         ends_s = (self._records[incarnation].misdirected_until_s for incarnation in self._left_out)
--- a/packages/heronladder-router/src/heronladder_router/replica_client.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_client.py
@@ -21,7 +21,7 @@
 _MAX_HEADER_BYTES = 65_536
 _ADDED_BY_LIBRARY = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 #: A replica notices within so long that a connection was closed, and accepts another one.
-CLOSING_S = 0.02
+CLOSE_DETECTION_S = 0.02
 
 
 class ReplicaNotReachedError(HeronladderError):
@@ -109,7 +109,7 @@
     async def _make_room(self, address: str, most_open: int) -> None:
         """Close kept connections that take up the share; their replica notices after a moment."""
         if self._open.close_resting(address, most_open):
-            await asyncio.sleep(CLOSING_S)
+            await asyncio.sleep(CLOSE_DETECTION_S)
 
     async def close(self) -> None:
         """Close all connections."""
--- a/packages/heronladder-router/src/heronladder_router/replica_connections.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_connections.py
@@ -11,7 +11,7 @@
 
 from heronladder_router.attempt_outcomes import NoConnectionError
 from heronladder_router.decisions.connection_share import expected_wait_s
-from heronladder_router.replica_client import CLOSING_S
+from heronladder_router.replica_client import CLOSE_DETECTION_S
 
 _NEWEST_SHARE = 0.2  # of the newest use in the time that a connection is held
 
@@ -96,7 +96,7 @@
             if keeps or address.used < share:
                 self._end(name)
             else:  # its replica may accept the next one before it has noticed the close
-                asyncio.get_running_loop().call_later(CLOSING_S, self._end, name)
+                asyncio.get_running_loop().call_later(CLOSE_DETECTION_S, self._end, name)
 
     async def _begin(self, name: str, address: _Address, wait_s: float) -> None:
         if address.used < address.share and not address.waiting:
--- a/tests/test_address_reuse.py
+++ b/tests/test_address_reuse.py
@@ -7,7 +7,7 @@
 import asyncio
 import unittest
 
-from heronladder_router.replica_availability import MISDIRECTED_S
+from heronladder_router.replica_availability import MISDIRECTED_EXCLUSION_S
 from platform_stand_ins import (
     END_OF_CHUNKS,
     Fleet,
@@ -73,7 +73,7 @@
         known = gateway.replicas._replicas["i-1"]
         record = gateway.replicas.availability._records[known.incarnation]
         left_s = record.misdirected_until_s - asyncio.get_running_loop().time()
-        self.assertLessEqual(left_s, MISDIRECTED_S)
+        self.assertLessEqual(left_s, MISDIRECTED_EXCLUSION_S)
         record.misdirected_until_s = asyncio.get_running_loop().time()
         gateway.replicas._sorted_until_s = record.misdirected_until_s
         self.assertEqual((await self.fleet.request("/once/", Request_Id="b")).status, 200)
