--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -212,9 +212,9 @@
         """Return whether new requests may be sent to a replica, as far as it says itself."""
         return self.availability.verdict(replica, registered=self.has(replica))
 
-    def back_off_ends_s(self, service: str) -> float | None:
+    def back_off_retry_after_s(self, service: str) -> float | None:
         """Return in how many seconds a caller may return; None unless all replicas back off."""
-        return self.availability.come_back_s(service, self.usable(service))
+        return self.availability.caller_retry_after_s(service, self.usable(service))
 
     def connection_share(self, service: str) -> int | None:
         """Return how many connections may be open to each replica; None: any number."""
--- a/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
@@ -64,11 +64,11 @@
     ) -> float | None:
         """Return when a caller may come back: when what kept its request out is expected to end."""
         service = request.profile.service
-        ends_s = self._replicas.back_off_ends_s(service)
+        ends_s = self._replicas.back_off_retry_after_s(service)
         if ends_s is not None:
             return ends_s
         if sends.rejected and request.bounds is None:
-            return self._places.come_back_s(service, otherwise_s)
+            return self._places.caller_retry_after_s(service, otherwise_s)
         if sends.no_replica_reason is Reason.LIMITED and not sends.rejected:
-            return self._replicas.limits.come_back_s(service)
+            return self._replicas.limits.caller_retry_after_s(service)
         return otherwise_s
--- a/packages/heronladder-router/src/heronladder_router/limit_demand.py
+++ b/packages/heronladder-router/src/heronladder_router/limit_demand.py
@@ -88,7 +88,9 @@
         """Note that a request waits no longer."""
         self._of(service).waiting -= 1
 
-    def come_back_s(self, service: str, per_s: float, gateways: int, now_s: float) -> float:
+    def caller_retry_after_s(
+        self, service: str, per_s: float, gateways: int, now_s: float
+    ) -> float:
         """Return when a refused caller may come back: one turn after the one told last.
 
         Args:
--- a/packages/heronladder-router/src/heronladder_router/place_queue.py
+++ b/packages/heronladder-router/src/heronladder_router/place_queue.py
@@ -206,7 +206,7 @@
             retry_after_s=self._told_s(queue, decided.expected_ms),
         )
 
-    def come_back_s(self, service: str, otherwise_s: float | None) -> float | None:
+    def caller_retry_after_s(self, service: str, otherwise_s: float | None) -> float | None:
         """Return when a caller may come back whom all replicas turned away.
 
         Args:
--- a/packages/heronladder-router/src/heronladder_router/replica_availability.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_availability.py
@@ -227,7 +227,7 @@
             and (replica.in_flight >= record.window)
         )
 
-    def come_back_s(self, service: str, replicas: Iterable[FleetReplica]) -> float | None:
+    def caller_retry_after_s(self, service: str, replicas: Iterable[FleetReplica]) -> float | None:
         """Return when a caller may come back for whom only replicas that back off are left.
 
         Callers are told moments of their own from the first end on, so that they do not all return
--- a/packages/heronladder-router/src/heronladder_router/replica_limits.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_limits.py
@@ -282,11 +282,11 @@
             self._beaten_s = now_s
             self.beat_now()
 
-    def come_back_s(self, service: str) -> float:
+    def caller_retry_after_s(self, service: str) -> float:
         """Return when a caller may come back for whom no rate-limited replica had room."""
         per_s = sum(limited.report.per_s or 0.0 for _, limited in self._of_service(service))
         now_s = self._environment.monotonic()
-        return self._demand.come_back_s(service, per_s, self.gateways().count, now_s)
+        return self._demand.caller_retry_after_s(service, per_s, self.gateways().count, now_s)
 
     # ---- reports to the leader ----------------------------------------------
 
--- a/tests/back_off_run.py
+++ b/tests/back_off_run.py
@@ -196,7 +196,7 @@
         return gateway.availability.is_window_full
 
     def _return_s(self, gateway: _Gateway) -> float:
-        told_s = gateway.availability.come_back_s(SERVICE, gateway.replicas.values())
+        told_s = gateway.availability.caller_retry_after_s(SERVICE, gateway.replicas.values())
         if told_s is None or not self.is_kept:
             return 0.3
         if self.is_spread:
--- a/tests/limit_run.py
+++ b/tests/limit_run.py
@@ -213,7 +213,7 @@
                 self._at(0.1, lambda: self._send_at_last(number))
             else:
                 self.refused += 1
-                limits.come_back_s(SERVICE)
+                limits.caller_retry_after_s(SERVICE)
             return
         granted = [one for one in open_to if limits.verdict(one) is LimitVerdict.GRANTED]
         # As placement does among equals: here at half of the requests that could.
--- a/tests/test_response_signals.py
+++ b/tests/test_response_signals.py
@@ -148,10 +148,10 @@
         self.assertLessEqual(max(told_s), 4.5)
         self.assertGreater(len(set(told_s)), 100)
         self.clock.now_s += 6.0
-        self.assertIsNone(self.availability.come_back_s("app", [self.replica, second]))
+        self.assertIsNone(self.availability.caller_retry_after_s("app", [self.replica, second]))
 
     def _told(self, second: FleetReplica) -> float:
-        after_s = self.availability.come_back_s("app", [self.replica, second])
+        after_s = self.availability.caller_retry_after_s("app", [self.replica, second])
         assert after_s is not None
         return after_s
 
