--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -202,7 +202,7 @@
             self._sort_by_service()
         return self._of_service.get(service, [])
 
-    def has(self, replica: FleetReplica) -> bool:
+    def is_registered(self, replica: FleetReplica) -> bool:
         """Whether a start of a replica is registered and not leaving."""
         record = replica.record
         is_newest = self._replicas.get(replica.name) is replica
@@ -210,7 +210,7 @@
 
     def availability_of(self, replica: FleetReplica) -> Availability:
         """Return whether new requests may be sent to a replica, as far as it says itself."""
-        return self.availability.verdict(replica, registered=self.has(replica))
+        return self.availability.verdict(replica, registered=self.is_registered(replica))
 
     def back_off_retry_after_s(self, service: str) -> float | None:
         """Return in how many seconds a caller may return; None unless all replicas back off."""
@@ -272,7 +272,7 @@
         """Requests that spilled to other regions in the last second."""
         return self._remote_attempts.count
 
-    def places_of(self, profile: RequestProfile) -> tuple[list[ReplicaPlaces], bool]:
+    def slots_of(self, profile: RequestProfile) -> tuple[list[ReplicaPlaces], bool]:
         """Return the places of the replicas that a request may go to, and if sums are heard."""
         usable = self.usable(profile.service)
         view = self._view(profile.service, self.versions.admitted(profile.service, usable))
@@ -331,7 +331,7 @@
         self.limits.sent(replica)
         return unread
 
-    def spilled(self) -> None:
+    def record_spillover(self) -> None:
         """Note that a request goes to another region although this one has replicas for it."""
         self._remote_attempts.add()
 
@@ -344,7 +344,7 @@
         sends.append(now_s)
 
     @staticmethod
-    def began(replica: FleetReplica, unread: int) -> None:
+    def record_prompt_read(replica: FleetReplica, unread: int) -> None:
         """Note that the first event of a request came, or that none will."""
         replica.unread_tokens -= unread
 
@@ -365,7 +365,7 @@
         replica.suspect_until_s = 0.0
         self.availability.succeeded(replica)
 
-    def busy(self, replica: FleetReplica) -> None:
+    def record_rejection(self, replica: FleetReplica) -> None:
         """Note that a replica had no room: others are preferred, longer with each time in a row."""
         now_s = self._environment.monotonic()
         pause_s = min(_LONGEST_REJECTING_S, _BUSY_S * 2**replica.rejections)
--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -255,7 +255,7 @@
             self._parts.metrics.add("requests_across", placement.way.value)
             self._parts.metrics.add("body_bytes_across", amount=len(request.body))
             if placement.way.is_spill:
-                self._parts.replicas.spilled()
+                self._parts.replicas.record_spillover()
         elif placement.way is Way.NEAR_SPILL_BOUND:
             self._parts.metrics.add("spills_held_back")
         progress.suspected = self._parts.crashing.is_suspect(request.fingerprint)
@@ -277,7 +277,7 @@
         self, request: GatewayRequest, replica: FleetReplica, error: HeronladderError
     ) -> None:
         if error.step == "rejected":
-            self._parts.replicas.busy(replica)
+            self._parts.replicas.record_rejection(replica)
         elif not (error.step == "misdirected" or isinstance(error, NoConnectionError)):
             unreached = isinstance(error, NotReachedError)
             self._parts.replicas.failed(replica, error.message, unreached=unreached)
--- a/packages/heronladder-router/src/heronladder_router/gateway_readiness.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_readiness.py
@@ -60,7 +60,7 @@
             return
         now_s = self._environment.monotonic()
         since_s = self._behind_since_s
-        own, others = self._loads.under_way()
+        own, others = self._loads.in_flight_totals()
         view = ReadinessView(
             limit_ms=self._limit_ms,
             link_ms=self._link.round_trip_s * MILLISECONDS_PER_SECOND,
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -223,7 +223,7 @@
 
     def _make_places(self) -> PlaceQueue:
         return PlaceQueue(
-            self.replicas.places_of,
+            self.replicas.slots_of,
             lambda: self.link.routers,
             lambda: self.link.round_trip_s,
             self._environment,
--- a/packages/heronladder-router/src/heronladder_router/shared_loads.py
+++ b/packages/heronladder-router/src/heronladder_router/shared_loads.py
@@ -57,7 +57,7 @@
             replica.others_in_flight = loads[replica.name].in_flight if known else 0
             replica.others_unread_tokens = loads[replica.name].unread_tokens if known else 0
 
-    def under_way(self) -> tuple[int, int | None]:
+    def in_flight_totals(self) -> tuple[int, int | None]:
         """Return the requests of this gateway, and of all others, that replicas hold.
 
         The others' are None where they are not known, or only those of the busiest replicas.
@@ -68,7 +68,7 @@
             return own, None
         return own, sum(replica.others_in_flight for replica in replicas)
 
-    def now_at(self, replica: FleetReplica) -> tuple[int, int]:
+    def load_at(self, replica: FleetReplica) -> tuple[int, int]:
         """Return the unread tokens and the requests at a replica, as far as they are known."""
         tokens, running = replica.unread_tokens, replica.in_flight
         if self.known:
--- a/packages/heronladder-router/src/heronladder_router/unreachable_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/unreachable_replicas.py
@@ -58,7 +58,7 @@
         began_s = self._environment.monotonic()
         found = ConnectOutcome.UNCLEAR
         try:
-            while self._replicas.has(replica):
+            while self._replicas.is_registered(replica):
                 until_s = self._environment.monotonic() + 1.5 * pause_s + _SUSPECT_BEYOND_S
                 replica.suspect_until_s = max(replica.suspect_until_s, until_s)
                 await asyncio.sleep(self._environment.jitter(pause_s))
--- a/packages/heronladder-router/src/heronladder_router/unread_prompt.py
+++ b/packages/heronladder-router/src/heronladder_router/unread_prompt.py
@@ -29,7 +29,7 @@
         self._tokens = tokens
         self._environment = environment
         self._sent_s = environment.monotonic()
-        self._ahead, self._running = replicas.loads.now_at(replica)
+        self._ahead, self._running = replicas.loads.load_at(replica)
         self._counted = False
 
     def read(self) -> None:
@@ -50,4 +50,4 @@
     def done(self) -> None:
         """Note that the prompt is read, or will not be."""
         tokens, self._tokens = self._tokens, 0
-        self._replicas.began(self._replica, tokens)
+        self._replicas.record_prompt_read(self._replica, tokens)
--- a/tests/test_distance.py
+++ b/tests/test_distance.py
@@ -208,8 +208,10 @@
             placement = replicas.place(profile, ())
             assert placement.replica is not None
             if placement.way.is_spill:
-                replicas.spilled()
-            replicas.began(placement.replica, replicas.sent(placement.replica, profile))
+                replicas.record_spillover()
+            replicas.record_prompt_read(
+                placement.replica, replicas.sent(placement.replica, profile)
+            )
             replicas.ended(placement.replica)
             return placement.way
 
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -56,7 +56,7 @@
     replica = gateway.place(profile, ()).replica
     assert replica is not None
     unread = gateway.sent(replica, profile)
-    gateway.began(replica, unread)
+    gateway.record_prompt_read(replica, unread)
     gateway.ended(replica)
     return replica.name
 
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -169,7 +169,7 @@
         gateway = fleet.gateway.gateway
         assert gateway is not None
         spills: list[None] = []
-        gateway.replicas.spilled = lambda: spills.append(None)  # type: ignore[method-assign]
+        gateway.replicas.record_spillover = lambda: spills.append(None)  # type: ignore[method-assign]
         for replica in gateway.replicas.usable(near.heartbeat()["service"]):
             replica.suspect_until_s = float("inf") if replica.record.zone == "z1" else 0.0
         got = await fleet.request("/any/")
