--- a/packages/heronladder-router/src/heronladder_router/decisions/placement.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/placement.py
@@ -140,9 +140,9 @@
     # One where nothing listens is none that may be sent to: it looks idle, and while it stood for a
     # replica of the own region, what may go to others was bound (stand-ins, the region's three
     # replicas crash, others idle: 12 to 25 refusals in each of ten runs, 1 to 4 without).
-    pool = [replica for replica in pool if not replica.refuses] or pool
-    if profile.alone:
-        pool = [_picked(profile.alone, _sound(view, pool) or pool)]
+    pool = [replica for replica in pool if not replica.refuses_connections] or pool
+    if profile.isolation_key:
+        pool = [_picked(profile.isolation_key, _sound(view, pool) or pool)]
     near, far = split(pool, view.zone, view.zone_regions)
     sound_near, sound_far = _sound(view, near), _sound(view, far)
 
--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -227,7 +227,7 @@
     def _place(self, request: GatewayRequest, sends: AttemptHistory) -> Placement:
         profile = request.profile
         if self._parts.crashing.is_suspect(request.fingerprint):
-            profile = replace(profile, alone=request.fingerprint)
+            profile = replace(profile, isolation_key=request.fingerprint)
         return self._parts.replicas.place(profile, sends.tried)
 
     async def _wait_until_it_may_send(self, sends: AttemptHistory) -> None:
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -191,7 +191,7 @@
         limits = self.replicas.limits
         limits.gateway = self.options.name
         limits.gateways = self._gateways_known
-        limits.leader_heard_s = lambda: self.link.standing.last_contact_s
+        limits.last_leader_contact_s = lambda: self.link.standing.last_contact_s
         limits.beat_now = self.link.beat_now
         handlers.replica_limits = limits.take
         self.metrics.gauge("replicas_leaving", lambda: self.replicas.availability.leaving)
--- a/packages/heronladder-router/src/heronladder_router/replica_client.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_client.py
@@ -108,7 +108,7 @@
 
     async def _make_room(self, address: str, most_open: int) -> None:
         """Close kept connections that take up the share; their replica notices after a moment."""
-        if self._open.close_resting(address, most_open):
+        if self._open.close_idle(address, most_open):
             await asyncio.sleep(CLOSE_DETECTION_S)
 
     async def close(self) -> None:
--- a/packages/heronladder-router/src/heronladder_router/replica_connector.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_connector.py
@@ -47,7 +47,7 @@
         self.keep_alive_s = math.inf  # for how long its replica keeps it open at rest
 
     @property
-    def is_resting(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether it is kept after an answer; a new one is about to be used."""
         return not self._awaiting_answer and self._rests_since_s > -math.inf
 
@@ -109,10 +109,10 @@
         if not of_address:
             self._by_address.pop(address, None)
 
-    def close_resting(self, address: str, most: int) -> bool:
+    def close_idle(self, address: str, most: int) -> bool:
         """Close connections at rest until no more than ``most`` are open; return if any was."""
         of_address = self._by_address.get(address, ())
-        resting = [connection for connection in of_address if connection.is_resting]
+        resting = [connection for connection in of_address if connection.is_idle]
         excess = resting[: max(0, len(of_address) - most)]
         for connection in excess:
             connection.close()
--- a/packages/heronladder-router/src/heronladder_router/replica_limits.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_limits.py
@@ -101,7 +101,7 @@
         self._answered_s = float("-inf")  # when that heartbeat was sent
         self.gateway = ""
         self.gateways: Callable[[], GatewaysKnown] = lambda: GatewaysKnown((), 1)
-        self.leader_heard_s: Callable[[], float] = lambda: float("-inf")
+        self.last_leader_contact_s: Callable[[], float] = lambda: float("-inf")
         self.beat_now: Callable[[], None] = lambda: None
 
     @property
@@ -245,7 +245,7 @@
         limited.sends_s.append(now_s)
 
     def _silent_s(self) -> float:
-        return self._environment.monotonic() - self.leader_heard_s()
+        return self._environment.monotonic() - self.last_leader_contact_s()
 
     # ---- what waits, and who is refused -----------------------------------
 
--- a/packages/heronladder-router/src/heronladder_router/replica_state.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_state.py
@@ -39,7 +39,7 @@
     failures: int = 0
     rejections: int = 0
     unreached: bool = False
-    refuses: bool = False
+    refuses_connections: bool = False
     suspect_until_s: float = 0.0
     cold_until_s: float = 0.0
     cold_sends_s: deque[float] = field(default_factory=deque)
@@ -79,7 +79,7 @@
     prompt_tokens: int = 0
     regions: frozenset[str] | None = None
     route: str = ""
-    alone: str = ""
+    isolation_key: str = ""
 
     @property
     def shared_tokens(self) -> int:
--- a/packages/heronladder-router/src/heronladder_router/unreachable_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/unreachable_replicas.py
@@ -63,14 +63,14 @@
                 replica.suspect_until_s = max(replica.suspect_until_s, until_s)
                 await asyncio.sleep(self._environment.jitter(pause_s))
                 found = await probe_connect(replica.record.address)
-                replica.refuses = found is ConnectOutcome.REFUSES
+                replica.refuses_connections = found is ConnectOutcome.REFUSES
                 if found is ConnectOutcome.ACCEPTS:
                     replica.suspect_until_s = self._environment.monotonic()
                 if found in (ConnectOutcome.ACCEPTS, ConnectOutcome.UNCLEAR):
                     break
                 pause_s = min(_LONGEST_LOOK_S, 2 * pause_s)
         finally:
-            replica.refuses = False  # nobody looks whether it still does
+            replica.refuses_connections = False  # nobody looks whether it still does
             self._watched.discard(id(replica))
         self._log.info(
             "replica_looked_after",
--- a/tests/limit_run.py
+++ b/tests/limit_run.py
@@ -113,7 +113,7 @@
         limits.gateway = f"g{number}"
         names = frozenset(f"g{other}" for other in range(self.gateways))
         limits.gateways = lambda: GatewaysKnown(names, self.gateways)
-        limits.leader_heard_s = lambda: self.observed_s[number]
+        limits.last_leader_contact_s = lambda: self.observed_s[number]
         limits.beat_now = lambda: self._at(0.0, lambda: self._beat(number))
         self.replicas[number], self.limited[number] = replicas, limits
         self.observed_s[number] = self.clock.now_s
--- a/tests/test_distance.py
+++ b/tests/test_distance.py
@@ -150,11 +150,11 @@
         fleet = _Fleet()
         for replica in fleet.of_region("n"):
             replica.suspect_until_s = 20.0
-            replica.refuses = True
+            replica.refuses_connections = True
         found = [fleet.place(RequestProfile(_SERVICE), may_spill=False) for _ in range(50)]
         self.assertEqual({one.way for one in found}, {Way.FAR_NONE_NEAR})
         for replica in fleet.replicas:
-            replica.refuses = True
+            replica.refuses_connections = True
         self.assertIsNotNone(fleet.place(RequestProfile(_SERVICE)).replica)
 
     def test_suspects_of_all_regions_are_compared_as_ever(self) -> None:
--- a/tests/test_replica_limit_reports.py
+++ b/tests/test_replica_limit_reports.py
@@ -81,8 +81,8 @@
         )
         self.limits.gateway = "g0"
         self.limits.gateways = lambda: GatewaysKnown(frozenset({"g0"}), 1)
-        self.limits.leader_heard_s = lambda: self.leader_heard_s
-        self.leader_heard_s = self.clock.now_s
+        self.limits.last_leader_contact_s = lambda: self.last_leader_contact_s
+        self.last_leader_contact_s = self.clock.now_s
         self.term = 1
         self.metrics = Metrics()
         self.leader = SharedReplicaLimits(
@@ -104,7 +104,7 @@
         self.leader.observe("g0", heartbeat.replica_limits)
         self.leader.fill(self.session, frame)
         self.clock.now_s += late_s
-        self.leader_heard_s = self.clock.now_s
+        self.last_leader_contact_s = self.clock.now_s
         self.limits.take(frame, sent_s)
         return frame
 
@@ -144,7 +144,7 @@
         self.parts.grant_one()
         self.assertIs(self.limits.verdict(self.first), LimitVerdict.GRANTED)
         self.clock.now_s += GRANT_HOLDS_S
-        self.parts.leader_heard_s = self.clock.now_s
+        self.parts.last_leader_contact_s = self.clock.now_s
         self.assertIs(self.limits.verdict(self.first), LimitVerdict.NOT_GRANTED)
 
     def test_a_grant_that_came_late_is_void(self) -> None:
--- a/tests/test_unreached_replicas.py
+++ b/tests/test_unreached_replicas.py
@@ -81,7 +81,9 @@
         await replica.stop()
         await self._ask(1.0)
         self.assertEqual(self.role.unreached.count, 1)
-        refusing = [one.name for one in self.role.replicas.usable(SERVICE) if one.refuses]
+        refusing = [
+            one.name for one in self.role.replicas.usable(SERVICE) if one.refuses_connections
+        ]
         self.assertEqual(refusing, [replica.identity])
         again = StandInReplica(replica.identity, _serve)
         again._server = await asyncio.start_server(again._serve, host, int(port))
