--- a/packages/heronladder-router/src/heronladder_router/evacuated_zones.py
+++ b/packages/heronladder-router/src/heronladder_router/evacuated_zones.py
@@ -30,7 +30,7 @@
         self.evacuated: frozenset[str] = frozenset()
         self._ended: dict[str, bool] = {}  # by zone on record: whether it was taken back
 
-    def take(self, on_record: Mapping[str, resources_pb2.Evacuation]) -> ZoneChange:
+    def update(self, on_record: Mapping[str, resources_pb2.Evacuation]) -> ZoneChange:
         """Take in what is on record, by zone.
 
         A zone may have been taken back while this gateway was cut off, or before it started.
--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -142,7 +142,7 @@
 
         It may have been taken back while this gateway was cut off, or before it started.
         """
-        change = self._zones.take(self._configuration.evacuations())
+        change = self._zones.update(self._configuration.evacuations())
         for zone in change.restored:
             self._log.info("zone_restored", step="replicas", peer=zone)
             for replica in self._replicas.values():
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -193,7 +193,7 @@
         limits.gateways = self._gateways_known
         limits.last_leader_contact_s = lambda: self.link.standing.last_contact_s
         limits.beat_now = self.link.beat_now
-        handlers.replica_limits = limits.take
+        handlers.replica_limits = limits.apply_frame
         self.metrics.gauge("replicas_leaving", lambda: self.replicas.availability.leaving)
         self.metrics.gauge("replicas_backing_off", lambda: self.replicas.availability.backing_off)
         self.metrics.gauge("replicas_limited", lambda: limits.count)
--- a/packages/heronladder-router/src/heronladder_router/limit_demand.py
+++ b/packages/heronladder-router/src/heronladder_router/limit_demand.py
@@ -51,7 +51,9 @@
         """Count a request."""
         self._of(service).requests_s.append(now_s)
 
-    def ask(self, service: str, limited: int, usable: int, held: int, now_s: float) -> int:
+    def attempts_to_request(
+        self, service: str, limited: int, usable: int, held: int, now_s: float
+    ) -> int:
         """Return how many sends to ask for, and remember that they are asked for.
 
         Args:
@@ -68,7 +70,7 @@
         demand.asked = sends_wanted(requests, demand.waiting, limited, usable, held)
         return demand.asked
 
-    def answered(self, service: str, granted: int, now_s: float) -> None:
+    def record_granted(self, service: str, granted: int, now_s: float) -> None:
         """Take in how many sends the leader granted, of those asked for."""
         demand = self._of(service)
         if granted < demand.asked:
--- a/packages/heronladder-router/src/heronladder_router/replica_limits.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_limits.py
@@ -135,7 +135,7 @@
         if sent_s > limited.named_s:
             self._set(incarnation, limited, LimitReport(None, now_s), "answer")
 
-    def take(self, frame: control_pb2.ControlFrame, sent_s: float) -> None:
+    def apply_frame(self, frame: control_pb2.ControlFrame, sent_s: float) -> None:
         """Take in what the leader says with the answer to a heartbeat.
 
         Args:
@@ -163,7 +163,7 @@
         if not self._limited:
             return
         for service in self._demand.services():
-            self._demand.answered(service, granted.get(service, 0), now_s)
+            self._demand.record_granted(service, granted.get(service, 0), now_s)
         self._answered_s = sent_s
         self._answered.give()
 
@@ -314,7 +314,7 @@
                 limited.drop_old(now_s)
             held = sum(len(limited.grants_s) for _, limited in of_service)
             usable = len(self._usable(service))
-            sends = self._demand.ask(service, len(of_service), usable, held, now_s)
+            sends = self._demand.attempts_to_request(service, len(of_service), usable, held, now_s)
             if sends:
                 wanted |= {incarnation: (service, sends) for incarnation, _ in of_service}
         return wanted
--- a/tests/limit_run.py
+++ b/tests/limit_run.py
@@ -188,7 +188,7 @@
         if self._is_away(number):
             return
         self.observed_s[number] = self.clock.now_s
-        self.limited[number].take(frame, sent_s)
+        self.limited[number].apply_frame(frame, sent_s)
 
     def _request(self) -> None:
         from_s, to_s, times = self.burst
--- a/tests/test_replica_limit_reports.py
+++ b/tests/test_replica_limit_reports.py
@@ -105,7 +105,7 @@
         self.leader.fill(self.session, frame)
         self.clock.now_s += late_s
         self.last_leader_contact_s = self.clock.now_s
-        self.limits.take(frame, sent_s)
+        self.limits.apply_frame(frame, sent_s)
         return frame
 
     def grant_one(self) -> None:
