--- a/tests/back_off_run.py
+++ b/tests/back_off_simulation.py
@@ -75,7 +75,7 @@
 
 
 @dataclass
-class BackOffRun:
+class BackOffSimulation:
     """One run.
 
     Attributes:
@@ -135,7 +135,7 @@
     def _at(self, after_s: float, event: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self.clock.now_s + after_s, next(self._order), event))
 
-    def run(self) -> "BackOffRun":
+    def run(self) -> "BackOffSimulation":
         """Play the run."""
         self._arrive()
         while self._events:
--- a/tests/limit_run.py
+++ b/tests/limit_simulation.py
@@ -35,7 +35,7 @@
 
 
 @dataclass
-class LimitRun:
+class LimitSimulation:
     """One run.
 
     Attributes:
@@ -140,7 +140,7 @@
 
     # ---- what happens -----------------------------------------------------
 
-    def run(self) -> "LimitRun":
+    def run(self) -> "LimitSimulation":
         """Play it."""
         for number in range(self.gateways):
             self._at(self.source.random() * _HEARTBEAT_S, lambda n=number: self._beats(n))
--- a/tests/test_limit_runs.py
+++ b/tests/test_limit_runs.py
@@ -8,13 +8,13 @@
 import heronladder_control.replica_limits as shared
 from heronladder_router.decisions.replica_limit import LimitVerdict
 from heronladder_router.replica_limits import ReplicaLimits
-from limit_run import LimitRun
+from limit_simulation import LimitSimulation
 
 _SEEDS = range(40)
 _LARGE_SEEDS = range(1000, 1004)  # 300 gateways
 
 
-def draw(seed: int, gateways: int | None = None) -> tuple[LimitRun, frozenset[int]]:
+def draw(seed: int, gateways: int | None = None) -> tuple[LimitSimulation, frozenset[int]]:
     """Return a run with troubles, and the gateways that had some of their own."""
     source = random.Random(seed)
     count = gateways or source.choice((3, 6, 12, 30, 30))
@@ -44,7 +44,7 @@
         }
     if source.random() < 0.5:
         more["burst"] = (source.uniform(3, 9), source.uniform(9, 14), source.choice((3.0, 8.0)))
-    run = LimitRun(count, seed=seed, weights=lambda number: 1 / (1 + number) ** skew, **more)
+    run = LimitSimulation(count, seed=seed, weights=lambda number: 1 / (1 + number) ** skew, **more)
     return run, frozenset(troubled)
 
 
@@ -71,12 +71,12 @@
     def test_what_is_taken_is_used(self) -> None:
         """At 6 and 30 gateways, all replicas rate-limited: callers ask for three times as much."""
         for gateways in (6, 30):
-            run = LimitRun(gateways, [1.7] * 6, 0, 30.0).run()
+            run = LimitSimulation(gateways, [1.7] * 6, 0, 30.0).run()
             used = sum(run.used_share(name) for name in run.named) / len(run.named)
             self.assertGreater(used, 0.6, f"{gateways} gateways")
 
     def test_the_end_of_a_need_is_noticed_also_by_gateways_with_few_requests(self) -> None:
-        run = LimitRun(300, [1.7], 5, 30.0, seconds=60.0, changes={10.0: None}).run()
+        run = LimitSimulation(300, [1.7], 5, 30.0, seconds=60.0, changes={10.0: None}).run()
         last = [at_s for at_s, _ in run.arrivals["r0"] if at_s > run.clock.now_s - 10.0]
         self.assertGreater(len(last), 30, "a sixth of 300 requests, or near it")
 
@@ -99,7 +99,7 @@
     def test_grants_that_never_run_out(self) -> None:
         def play() -> list[str]:
             """30 gateways that use few of their grants get much at once."""
-            return LimitRun(30, [1.7], 5, 3.0, burst=(15.0, 20.0, 100.0)).run().broken()
+            return LimitSimulation(30, [1.7], 5, 3.0, burst=(15.0, 20.0, 100.0)).run().broken()
 
         self.assertEqual(play(), [])
         with mock.patch.object(shared._Shared, "holds_s", lambda *_: 1000.0):
@@ -108,7 +108,7 @@
     def test_a_leader_that_saves_what_nobody_asked_for(self) -> None:
         def play() -> list[str]:
             """Gateways get next to nothing for a while, and then much at once."""
-            return LimitRun(6, [1.7], 0, 0.5, burst=(12.0, 18.0, 200.0)).run().broken()
+            return LimitSimulation(6, [1.7], 0, 0.5, burst=(12.0, 18.0, 200.0)).run().broken()
 
         self.assertEqual(play(), [])
         with mock.patch.object(shared, "_SAVED_S", 1000.0):
