--- a/packages/heronladder-router/src/heronladder_router/replica_attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one replica, and what its answer means."""
+"""Makes one attempt: sends a request to one replica and interprets the response."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -35,23 +35,25 @@
 from heronladder_router.unread_prompt import UnreadPrompt
 
 _EVENT_STREAM = "text/event-stream"
-_PROMISES = frozenset({408, 429, 503})  # to a caller they say: not run, and never will be
+# These statuses tell a caller that the request did not run and never will.
+_NOT_RUN_STATUSES = frozenset({408, 429, 503})
 _FIRST_ERROR_STATUS = 400
-_FIRST_SERVER_ERROR = 500
-_FIRST_REDIRECT = 300
-_LONGEST_GAP_S = 2.0
-_CONNECTION_WAIT_SHARE = 0.75  # of the objective
+_FIRST_SERVER_ERROR_STATUS = 500
+_FIRST_REDIRECT_STATUS = 300
+_EVENT_GAP_TIMEOUT_S = 2.0  # between two events of a stream
+# Fraction of the latency objective that may be spent waiting for a connection.
+_CONNECTION_WAIT_FRACTION = 0.75
 
 
 class ReplicaAttempts:
-    """Sends requests to replicas.
+    """Makes single attempts at sending requests to replicas.
 
     Args:
-        client: HTTP to replicas.
-        connections: Hands out connections to replicas.
-        replicas: All replicas.
-        names: Header names.
-        environment: Time.
+        client: HTTP client for replicas.
+        connections: Limits the connections to each replica.
+        replicas: All registered replicas.
+        names: Header names of the deployment.
+        environment: Source of time.
     """
 
     def __init__(
@@ -75,12 +77,18 @@
         sink: AnswerSink,
         progress: ResponseProgress,
     ) -> None:
-        """Send the request and pass the answer on.
+        """Send the request to the replica and forward its response to the caller.
+
+        Args:
+            request: The request.
+            replica: The replica to send it to.
+            sink: Receives the response.
+            progress: State of the response over all attempts; updated in place.
 
         Raises:
-            NotRunError: If it was not run.
-            RunLostError: If it may have been run and the answer is not whole.
-            RunFailedError: If the replica's answer is a failure that may be tried again.
+            NotRunError: If the replica did not run the request.
+            RunLostError: If the replica may have run it and the response is incomplete.
+            RunFailedError: If the response is a failure after which a retry is possible.
         """
         connection = self._connections.use(
             replica.record.address,
@@ -92,9 +100,15 @@
             await self._make(request, replica, sink, progress)
 
     def _connection_wait_s(self, request: GatewayRequest) -> float:
-        """Return how long a connection may be waited for, so that an answer is still in time."""
+        """Return how long to wait for a connection so that the response is still in time.
+
+        Returns:
+            The time in seconds.
+        """
         objective_s = request.matched.route.objective_ms / MILLISECONDS_PER_SECOND
-        last_s = min(request.deadline_s, request.arrived_s + _CONNECTION_WAIT_SHARE * objective_s)
+        last_s = min(
+            request.deadline_s, request.arrived_s + _CONNECTION_WAIT_FRACTION * objective_s
+        )
         return max(0.0, last_s - self._environment.monotonic())
 
     async def _make(
@@ -115,20 +129,22 @@
         ran_before = progress.ran
         sent_s = self._environment.monotonic()
         try:
-            response = await self._head(request, replica, progress)
-            await self._take(request, replica, response, sink, progress, reading, seen, sent_s)
+            response = await self._receive_head(request, replica, progress)
+            await self._process_response(
+                request, replica, response, sink, progress, reading, seen, sent_s
+            )
             self._replicas.succeeded(replica)
-            self._count(seen, failed=False)
+            self._record_result(seen, failed=False)
         except NotRunError:
             progress.ran = ran_before
             if seen is not None:
                 seen.not_run()
             raise
         except (RunLostError, RunFailedError):
-            self._count(seen, failed=True)
+            self._record_result(seen, failed=True)
             raise
         except (ReplicaLostError, aiohttp.ClientError, OSError) as error:
-            self._count(seen, failed=True)
+            self._record_result(seen, failed=True)
             raise ConnectionEndedError(
                 repr(error), step="read_answer", peer=replica.name
             ) from error
@@ -140,13 +156,14 @@
             reading.done()
             self._replicas.ended(replica)
             if response is not None:
-                response.close()  # a connection whose answer was whole is back in the pool
+                # No effect after a complete response: its connection is already in the pool.
+                response.close()
 
-    def _count(self, seen: AnswerSeen | None, *, failed: bool) -> None:
+    def _record_result(self, seen: AnswerSeen | None, *, failed: bool) -> None:
         if seen is not None:
             seen.ended(self._environment.monotonic(), failed=failed)
 
-    async def _head(
+    async def _receive_head(
         self, request: GatewayRequest, replica: FleetReplica, progress: ResponseProgress
     ) -> aiohttp.ClientResponse:
         send = self._client.send(
@@ -163,13 +180,13 @@
         try:
             if not request.matched.may_run_twice or progress.cutter.events:
                 return await send
-            async with asyncio.timeout(self._patience_s(request)):
+            async with asyncio.timeout(self._attempt_timeout_s(request)):
                 return await send
         except TimeoutError as error:
-            waited_s = self._patience_s(request)
+            waited_s = self._attempt_timeout_s(request)
             self._replicas.speeds.given_up(replica, waited_s)
             raise RunLostError(
-                f"no answer began in time ({waited_s:.2f} s)", step="send", peer=replica.name
+                f"no response headers within {waited_s:.2f} s", step="send", peer=replica.name
             ) from error
         except HeadHeldBackError as error:
             verdict = self._replicas.availability_of(replica).value
@@ -177,7 +194,7 @@
         except ReplicaNotReachedError as error:
             raise NotReachedError(error.message, step="connect", peer=replica.name) from error
 
-    def _patience_s(self, request: GatewayRequest) -> float:
+    def _attempt_timeout_s(self, request: GatewayRequest) -> float:
         objective_s = request.matched.route.objective_ms / MILLISECONDS_PER_SECOND
         return patience(
             objective_s, self._replicas.speeds.first_events(request.profile.service)
@@ -195,9 +212,9 @@
             headers.append((self._names.last_event_id, last_id))
         return headers
 
-    # ---- answers ----------------------------------------------------------
+    # ---- responses --------------------------------------------------------
 
-    async def _take(
+    async def _process_response(
         self,
         request: GatewayRequest,
         replica: FleetReplica,
@@ -212,48 +229,55 @@
         signals = read_signals(response.status, response.headers, self._names, wall_s)
         identity = response.headers.get(self._names.request_id)
         is_own = identity in (None, request.request_id)
-        # An extra answer to an earlier request tells of its replica, and nothing of this request.
-        # The earlier one may have been meant for another incarnation.
+        # A stray response to an earlier request carries valid signals about the replica, but says
+        # nothing about this request. A misdirected one is ignored: the earlier request may have
+        # been meant for another incarnation.
         if is_own or not signals.misdirected:
             self._replicas.availability.observe(replica, signals, request.request_id)
         if not is_own:
-            raise RunLostError("the answer is of another request", step="send", peer=replica.name)
+            raise RunLostError(
+                f"response belongs to another request: {identity}", step="send", peer=replica.name
+            )
         if signals.leaving and seen is not None:
-            seen.spoiled = True  # what a replica fails as it ends says nothing of its version
+            seen.spoiled = True  # failures during shutdown are no evidence about the version
         if not signals.misdirected:
             self._replicas.limits.observe(replica, signals.limit, sent_s)
         if signals.misdirected or signals.not_run:
             await response.read()
             raise NotRunError(
-                f"rejected with {response.status}",
+                f"request rejected with status {response.status}",
                 step="misdirected" if signals.misdirected else "rejected",
                 peer=replica.name,
             )
         if identity is None:
-            raise RunLostError("the answer names no request", step="send", peer=replica.name)
-        if response.status in _PROMISES and not request.matched.may_run_twice:
-            # Passed on, its status would have the caller repeat what may have run.
+            raise RunLostError("response has no request id", step="send", peer=replica.name)
+        if response.status in _NOT_RUN_STATUSES and not request.matched.may_run_twice:
+            # Forwarding the status would make the caller retry a request that may have run.
             raise RunLostError(
-                f"failed with {response.status}", step="unpromised", peer=replica.name
+                f"request failed with status {response.status}",
+                step="unpromised",
+                peer=replica.name,
             )
-        success = response.status < _FIRST_REDIRECT
+        success = response.status < _FIRST_REDIRECT_STATUS
         if success and self._names.signature not in response.headers:
-            raise RunLostError("the answer is not signed", step="send", peer=replica.name)
+            raise RunLostError("response has no signature", step="send", peer=replica.name)
         if success and response.content_type == _EVENT_STREAM:
-            await self._pass_stream(request, response, sink, progress, reading, seen)
+            await self._forward_stream(request, response, sink, progress, reading, seen)
             return
         if seen is not None:
             seen.came(self._environment.monotonic())
         answer = ReplicaAnswer(response.status, passed_headers(response), await response.read())
         if sink.started:
-            raise RunLostError("the stream did not go on", step="resume", peer=replica.name)
-        if answer.status >= _FIRST_SERVER_ERROR:
+            raise RunLostError(
+                "replica did not resume the stream", step="resume", peer=replica.name
+            )
+        if answer.status >= _FIRST_SERVER_ERROR_STATUS:
             raise RunFailedError(answer, step="send", peer=replica.name)
         progress.finished = True
         progress.success_delivered = success
-        await _passed(sink.whole(answer), seen)
+        await _forward(sink.whole(answer), seen)
 
-    async def _pass_stream(
+    async def _forward_stream(
         self,
         request: GatewayRequest,
         response: aiohttp.ClientResponse,
@@ -266,16 +290,16 @@
         cutter.drop_rest()
         content = response.content
         while True:
-            patience_s = _LONGEST_GAP_S if cutter.events else self._patience_s(request)
+            timeout_s = _EVENT_GAP_TIMEOUT_S if cutter.events else self._attempt_timeout_s(request)
             resumable = request.matched.may_run_twice
             try:
-                async with asyncio.timeout(patience_s if resumable else None):
+                async with asyncio.timeout(timeout_s if resumable else None):
                     chunk = await content.readany()
             except TimeoutError as error:
                 if not cutter.events:
-                    reading.given_up(patience_s)
+                    reading.given_up(timeout_s)
                 raise RunLostError(
-                    f"the stream stalled ({patience_s:.2f} s)", step="read_stream"
+                    f"stream stalled: no data within {timeout_s:.2f} s", step="read_stream"
                 ) from error
             if not chunk:
                 break
@@ -286,15 +310,15 @@
                 if seen is not None:
                     seen.came(self._environment.monotonic(), cutter.events - events)
                 progress.record_forwarded(self._environment.monotonic())
-                await _passed(self._write(response, sink, whole), seen)
+                await _forward(self._write(response, sink, whole), seen)
         if not cutter.clean:
-            raise ConnectionEndedError("the stream ended within an event", step="read_stream")
+            raise ConnectionEndedError("stream ended in the middle of an event", step="read_stream")
         if not sink.started:
             head = ReplicaAnswer(response.status, passed_headers(response))
-            await _passed(sink.start(head), seen)
+            await _forward(sink.start(head), seen)
         progress.finished = True
         progress.success_delivered = True
-        await _passed(sink.finish(), seen)
+        await _forward(sink.finish(), seen)
 
     @staticmethod
     async def _write(response: aiohttp.ClientResponse, sink: AnswerSink, whole: bytes) -> None:
@@ -303,10 +327,10 @@
         await sink.write(whole)
 
 
-async def _passed(passing_on: Coroutine[Any, Any, None], seen: AnswerSeen | None) -> None:
-    """Pass something on to the caller; what fails there is no fault of the replica's version."""
+async def _forward(sending: Coroutine[Any, Any, None], seen: AnswerSeen | None) -> None:
+    """Await a write to the caller; a failure there is no evidence about the replica's version."""
     try:
-        await passing_on
+        await sending
     except BaseException:
         if seen is not None:
             seen.spoiled = True
--- a/packages/heronladder-router/src/heronladder_router/replica_client.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to replicas, with bytes, path and query as they came."""
+"""HTTP client for replicas that sends bodies, paths and queries unchanged."""
 
 import asyncio
 import math
@@ -19,13 +19,14 @@
 _CONNECT_TIMEOUT_S = 0.6
 _KEEP_ALIVE_TIMEOUT = re.compile(r"\btimeout=([0-9]{1,9})\b")
 _MAX_HEADER_BYTES = 65_536
-_ADDED_BY_LIBRARY = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-#: A replica notices within so long that a connection was closed, and accepts another one.
+# Headers that aiohttp would add to requests that lack them.
+_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+#: Time within which a replica notices that a connection was closed and accepts another one.
 CLOSE_DETECTION_S = 0.02
 
 
 class ReplicaNotReachedError(HeronladderError):
-    """No connection came about: nothing was sent."""
+    """No connection could be opened: nothing was sent."""
 
 
 class ReplicaLostError(HeronladderError):
@@ -33,11 +34,10 @@
 
 
 class ReplicaClient:
-    """Sends requests to replicas, over kept connections where that is safe.
+    """Sends requests to replicas, over pooled connections where that is safe.
 
-    A replica may close a kept connection just as a request is sent on it, and
-    nobody can say then whether the request ran. So one that must not run twice
-    gets a connection of its own.
+    A replica may close an idle connection just as a request is sent on it. It is then unknown
+    whether the request ran. A request that must not run twice therefore gets a new connection.
     """
 
     def __init__(self) -> None:
@@ -51,13 +51,14 @@
                 connector=StrictConnector(self._open, keep=keep),
                 auto_decompress=False,
                 cookie_jar=aiohttp.DummyCookieJar(),
-                skip_auto_headers=_ADDED_BY_LIBRARY,
+                skip_auto_headers=_AUTO_HEADERS,
                 timeout=aiohttp.ClientTimeout(total=None, sock_connect=_CONNECT_TIMEOUT_S),
                 max_line_size=_MAX_HEADER_BYTES,
                 max_field_size=_MAX_HEADER_BYTES,
             )
-            # By itself aiohttp sends GET, PUT, DELETE and the like again when their
-            # connection fails: runs that nobody counts, twice what may run once.
+            # By default aiohttp retries idempotent methods (GET, PUT, DELETE, ...) when a pooled
+            # connection fails. Such retries would not be counted, and would run a request twice
+            # that may run only once.
             session._retry_connection = False
             self._sessions[keep] = session
         return session
@@ -74,27 +75,32 @@
         may_write: Callable[[], bool] = lambda: True,
         most_open: int | None = None,
     ) -> aiohttp.ClientResponse:
-        """Send a request and return the head of its answer.
+        """Send a request and return once the response headers have arrived.
 
         Args:
             address: IP:port of the replica.
             method: HTTP method.
             target: Path and query, exactly as they are to be sent.
-            headers: All headers but those of the connection.
-            body: The whole body.
-            may_run_twice: Whether a kept connection may be used.
-            may_write: Whether the head may be written, asked as the connection is there.
-            most_open: Connections that may be open to the replica with this one; None: any number.
+            headers: All headers except hop-by-hop headers.
+            body: The complete body.
+            may_run_twice: Whether a pooled connection may be used.
+            may_write: Called once the connection is open; returns whether the request may still
+                be sent.
+            most_open: Connections that may be open to the replica, including this one; None for
+                no limit.
+
+        Returns:
+            The response; its body is not read yet.
 
         Raises:
-            HeadHeldBackError: If it may not; nothing was sent.
-            ReplicaNotReachedError: If nothing was sent.
-            ReplicaLostError: If something may have been.
+            HeadHeldBackError: If ``may_write`` returned false; nothing was sent.
+            ReplicaNotReachedError: If no connection could be opened; nothing was sent.
+            ReplicaLostError: If the connection failed after something may have been sent.
         """
         url = URL(f"http://{address}{target}", encoded=True)
         may_write_head.set(may_write)
         if most_open is not None and not may_run_twice:
-            await self._make_room(address, most_open - 1)
+            await self._close_excess_idle(address, most_open - 1)
         try:
             response = await self._session(keep=may_run_twice).request(
                 method, url, headers=headers, data=body or None, allow_redirects=False
@@ -106,8 +112,8 @@
         used_connection.get().keep_alive_s = _keep_alive_s(response.headers.get("Keep-Alive", ""))
         return response
 
-    async def _make_room(self, address: str, most_open: int) -> None:
-        """Close kept connections that take up the share; their replica notices after a moment."""
+    async def _close_excess_idle(self, address: str, most_open: int) -> None:
+        """Close idle connections above the limit, and wait until the replica has noticed."""
         if self._open.close_idle(address, most_open):
             await asyncio.sleep(CLOSE_DETECTION_S)
 
@@ -118,6 +124,6 @@
 
 
 def _keep_alive_s(text: str) -> float:
-    """Return for how long a ``Keep-Alive`` says that a connection is kept; inf if it says none."""
+    """Return the timeout of a ``Keep-Alive`` header in seconds; inf if it has none."""
     found = _KEEP_ALIVE_TIMEOUT.search(text)
     return float(found.group(1)) if found is not None else math.inf
--- a/packages/heronladder-router/src/heronladder_router/replica_state.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_state.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of one replica, and what a request asks of one."""
+"""State that a gateway keeps of each replica, and what a request requires of a replica."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -12,24 +12,25 @@
 
 @dataclass
 class FleetReplica:
-    """One incarnation of a replica.
+    """One incarnation of a replica, as this gateway knows it.
 
     Attributes:
-        record: What it told of itself.
-        in_flight: Requests of this gateway that it holds.
-        unread_tokens: Prompt tokens sent to it whose first event has not come.
-        parts: What it is taken to keep of earlier prompts.
-        failures: Failures in a row.
-        rejections: Requests in a row that it turned away unrun.
-        unreached: Whether no connection to it came about the last time.
-        refuses: Whether its machine said, when asked again, that nothing listens there.
-        suspect_until_s: Until when others are preferred.
-        cold_until_s: Until when it is taken for cold.
-        cold_sends_s: When this gateway sent to it while it was cold, for as long as that counts.
-        others_in_flight: Requests of other gateways, as control told last.
-        others_unread_tokens: Prompt tokens of theirs that are not read yet.
-        busy_until_s: Until when it is taken for full: it turned a request away unrun.
-        pace: How slow it is beside the others of its service.
+        record: Its registration.
+        in_flight: Requests from this gateway in flight at the replica.
+        unread_tokens: Prompt tokens of requests whose first event has not arrived.
+        parts: Parts of earlier prompts that its prefix cache is assumed to hold.
+        failures: Consecutive failures.
+        rejections: Consecutive requests that it rejected without running them.
+        unreached: Whether the last connection attempt to it failed.
+        refuses_connections: Whether the last probe found that nothing listens at its address.
+        suspect_until_s: Time until which other replicas are preferred.
+        cold_until_s: Time until which its caches are assumed to be cold.
+        cold_sends_s: Times of recent attempts of this gateway; they count against the limit for
+            cold replicas.
+        others_in_flight: Requests from other gateways in flight, as last reported by control.
+        others_unread_tokens: Prompt tokens of those requests that are not processed yet.
+        busy_until_s: Time until which it is assumed to have no free slot, after a rejection.
+        pace: Its measured speed relative to the other replicas of its service.
     """
 
     record: resources_pb2.Replica
@@ -55,23 +56,23 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The incarnation, also where a replica keeps its id over starts."""
+        """Key of the incarnation; unique even if a replica keeps its id across restarts."""
         return (self.record.id, self.record.start_ms)
 
 
 @dataclass(frozen=True)
 class RequestProfile:
-    """What is asked of a replica.
+    """Requirements of a request on its replica, and its expected cost.
 
     Attributes:
-        service: Service it must be of.
-        parts: Parts of the prompt; empty for a plain request.
-        prompt_tokens: Tokens of the whole prompt.
-        regions: Regions it must be in; None: any.
-        route: Name of its route.
-        alone: Fingerprint of a request that may crash replicas: it goes to the one that this
-            picks, so that gateways that each get it put one replica at risk, not several, and
-            two such requests mostly do not meet; empty: any replica.
+        service: Service that the replica must belong to.
+        parts: Parts of the prompt; empty if the request has no prompt.
+        prompt_tokens: Number of tokens of the whole prompt.
+        regions: Regions that the replica may be in; None for any.
+        route: Name of the route of the request.
+        isolation_key: Fingerprint of a request that may crash replicas; empty for any other
+            request. All gateways derive the same replica from it, so that the request puts one
+            replica at risk instead of several, and two such requests mostly go to different ones.
     """
 
     service: str
@@ -83,5 +84,5 @@
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of the parts that other requests may share."""
+        """Number of tokens in the parts that other requests may share."""
         return sum(part.tokens for part in self.parts[:-1])
