--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -146,7 +146,7 @@
             self.link, self.crashing, environment, self.metrics, self.log
         )
         self.leave_reports = LeaveReports(self.link, environment, self.metrics, self.log)
-        self.replicas.availability.left = self.leave_reports.left
+        self.replicas.availability.on_leaving = self.leave_reports.on_leaving
         self.unreached = UnreachableReplicas(self.replicas, environment, self.log)
         self._client = ReplicaClient()
         self._connections = ReplicaConnections(environment, self.metrics)
--- a/packages/heronladder-router/src/heronladder_router/leave_reports.py
+++ b/packages/heronladder-router/src/heronladder_router/leave_reports.py
@@ -47,7 +47,7 @@
         """Stop all background tasks."""
         await self._tasks.stop()
 
-    def left(self, replica: FleetReplica) -> None:
+    def on_leaving(self, replica: FleetReplica) -> None:
         """Report in the background that an incarnation leaves, unless control knows."""
         self._tasks.start(f"leave-{replica.name}", self._report(replica))
 
--- a/packages/heronladder-router/src/heronladder_router/replica_availability.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_availability.py
@@ -67,7 +67,7 @@
 
     Attributes:
         gateways: Returns the number of gateways.
-        left: Called with a replica that announces for the first time that it leaves.
+        on_leaving: Called with a replica that announces for the first time that it leaves.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         self._excluded: set[Incarnation] = set()  # leaving or misdirected
         self._latest_retry_s: dict[str, float] = {}  # latest retry time given out, by service
         self.gateways: Callable[[], int] = lambda: 1
-        self.left: Callable[[FleetReplica], None] = lambda _replica: None
+        self.on_leaving: Callable[[FleetReplica], None] = lambda _replica: None
 
     @property
     def any_unavailable(self) -> bool:
@@ -147,7 +147,7 @@
         self._record(replica).leaving = True
         self._metrics.add("replicas_left", replica.record.service)
         self._exclude(replica)
-        self.left(replica)
+        self.on_leaving(replica)
 
     def misdirected(self, replica: FleetReplica) -> None:
         """Exclude an incarnation whose address answered that it now belongs to another one."""
--- a/packages/heronladder-router/src/heronladder_router/service_speeds.py
+++ b/packages/heronladder-router/src/heronladder_router/service_speeds.py
@@ -41,7 +41,7 @@
         """Return the measured speed of a service's replicas."""
         return self._measured.get(service, MeasuredSpeed()).speed()
 
-    def first_event(self, replica: FleetReplica, seen: FirstEvent) -> None:
+    def record_first_event(self, replica: FleetReplica, seen: FirstEvent) -> None:
         """Record the first event of a stream.
 
         Args:
--- a/packages/heronladder-router/src/heronladder_router/unread_prompt.py
+++ b/packages/heronladder-router/src/heronladder_router/unread_prompt.py
@@ -38,7 +38,7 @@
             return
         self._counted = True
         took_ms = (self._environment.monotonic() - self._sent_s) * MILLISECONDS_PER_SECOND
-        self._replicas.speeds.first_event(
+        self._replicas.speeds.record_first_event(
             self._replica, FirstEvent(self._ahead, self._running - 1, took_ms)
         )
         self.done()
--- a/tests/test_speed.py
+++ b/tests/test_speed.py
@@ -125,7 +125,7 @@
         replica.free_s = max(replica.free_s, began_s) + tokens * replica.token_ms / 1000
         first_s = replica.free_s + 0.02 + 0.003 * replica.requests
 
-        def first_event() -> None:
+        def record_first_event() -> None:
             replica.unread -= tokens
             chosen.unread_tokens -= tokens
             took_ms = (self.now_s - began_s) * 1000
@@ -142,7 +142,7 @@
             replica.requests -= 1
             chosen.in_flight -= 1
 
-        self._at(first_s, first_event)
+        self._at(first_s, record_first_event)
 
 
 class SlowThirdTest(unittest.TestCase):
@@ -205,11 +205,11 @@
         replicas = FleetReplicas(where, cold, store, _Clock(), EventLog("test", "g"))
         replica = FleetReplica(resources_pb2.Replica(id="r", service=_SERVICE), KeptParts(0))
         for _ in range(20):
-            replicas.speeds.first_event(replica, FirstEvent(500, 2, 1_300))
+            replicas.speeds.record_first_event(replica, FirstEvent(500, 2, 1_300))
         self.assertEqual(replicas.speeds.speed(_SERVICE), Speed())
         self.assertEqual(replica.pace, ReplicaPace())
         link_s = 0.01
-        replicas.speeds.first_event(replica, FirstEvent(500, 2, 1_300))
+        replicas.speeds.record_first_event(replica, FirstEvent(500, 2, 1_300))
         self.assertGreater(replicas.speeds.speed(_SERVICE).token_ms, Speed().token_ms)
 
 
