--- a/tests/back_off_simulation.py
+++ b/tests/back_off_simulation.py
@@ -24,14 +24,14 @@
 from heronladder_schema.v1 import resources_pb2
 
 SERVICE = "app"
-SHEDS_S = (2.0, 5.0)
-UNDER_WAY_S = 0.5
-_WAY_S = 0.001
-_WORK_S = 0.1
-_QUEUE = 6
-_SENDS = 3
-_TRIES = 2
-_FULL_ASKS_S = 0.5
+OVERLOAD_S = (2.0, 5.0)
+IN_FLIGHT_S = 0.5
+_LINK_DELAY_S = 0.001
+_SERVICE_TIME_S = 0.1
+_MAX_QUEUED = 6
+_MAX_ATTEMPTS = 3
+_MAX_TRIES = 2
+_FULL_BACK_OFF_S = 0.5
 
 
 class Clock(Environment):
@@ -95,11 +95,11 @@
     replicas: int = 6
     slots: int = 6
     load: float = 0.7
-    asks_s: float = 3.0
+    requested_back_off_s: float = 3.0
     seconds: float = 12.0
     seed: int = 1
-    is_spread: bool = True
-    is_kept: bool = True
+    spreads_retries: bool = True
+    respects_back_off: bool = True
 
     def __post_init__(self) -> None:
         self.source = random.Random(self.seed)
@@ -113,7 +113,7 @@
         self.fleet = [self._gateway(f"g{number}") for number in range(self.gateways)]
         self.served_s: list[float] = []
         self.outcomes: Counter[str] = Counter()
-        self.shed_after = 0
+        self.rejected_after_overload = 0
 
     def _gateway(self, name: str) -> _Gateway:
         availability = ReplicaAvailability(self.clock, Metrics(), EventLog("gateway", name))
@@ -128,11 +128,11 @@
     @property
     def per_s(self) -> float:
         """Requests of new callers a second."""
-        return self.load * self.replicas * self.slots / _WORK_S
+        return self.load * self.replicas * self.slots / _SERVICE_TIME_S
 
     # ---- time -------------------------------------------------------------
 
-    def _at(self, after_s: float, event: Callable[[], None]) -> None:
+    def _schedule(self, after_s: float, event: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self.clock.now_s + after_s, next(self._order), event))
 
     def run(self) -> "BackOffSimulation":
@@ -149,17 +149,17 @@
         if self.clock.now_s > self.seconds:
             return
         self._try(_Request(next(self._numbers)))
-        self._at(self.source.expovariate(self.per_s), self._arrive)
+        self._schedule(self.source.expovariate(self.per_s), self._arrive)
 
     def _try(self, request: _Request) -> None:
         self._send(self.source.choice(self.fleet), request)
 
     def _refuse(self, request: _Request, after_s: float) -> None:
-        if request.tries >= _TRIES:
+        if request.tries >= _MAX_TRIES:
             self.outcomes["refused"] += 1
             return
         again = _Request(request.number, request.tries + 1)
-        self._at(after_s, lambda: self._try(again))
+        self._schedule(after_s, lambda: self._try(again))
 
     # ---- a gateway --------------------------------------------------------
 
@@ -177,68 +177,77 @@
             is_window_full=self._is_window_full(gateway),
         )
         chosen = place(view, RequestProfile(SERVICE), request.tried, self.source).replica
-        if chosen is None or request.sends >= _SENDS:
-            self._refuse(request, self._return_s(gateway))
+        if chosen is None or request.sends >= _MAX_ATTEMPTS:
+            self._refuse(request, self._retry_after_s(gateway))
             return
         request.sends += 1
         request.tried.add(chosen.name)
         chosen.in_flight += 1
-        self._at(_WAY_S, lambda: self._reach(self.all[chosen.name], gateway, request))
+        self._schedule(
+            _LINK_DELAY_S, lambda: self._receive_request(self.all[chosen.name], gateway, request)
+        )
 
     def _verdict(self, gateway: _Gateway) -> Callable[[FleetReplica], Availability]:
-        if not self.is_kept:
+        if not self.respects_back_off:
             return lambda _replica: Availability.AVAILABLE
         return gateway.availability.verdict
 
     def _is_window_full(self, gateway: _Gateway) -> Callable[[FleetReplica], bool]:
-        if not (self.is_kept and self.is_spread):
+        if not (self.respects_back_off and self.spreads_retries):
             return lambda _replica: False
         return gateway.availability.is_window_full
 
-    def _return_s(self, gateway: _Gateway) -> float:
-        told_s = gateway.availability.caller_retry_after_s(SERVICE, gateway.replicas.values())
-        if told_s is None or not self.is_kept:
+    def _retry_after_s(self, gateway: _Gateway) -> float:
+        retry_after_s = gateway.availability.caller_retry_after_s(
+            SERVICE, gateway.replicas.values()
+        )
+        if retry_after_s is None or not self.respects_back_off:
             return 0.3
-        if self.is_spread:
-            return told_s
+        if self.spreads_retries:
+            return retry_after_s
         records = gateway.availability._records.values()
         now_s = self.clock.now_s
         return min(one.back_off_until_s for one in records if one.back_off_until_s > now_s) - now_s
 
     # ---- a replica --------------------------------------------------------
 
-    def _reach(self, replica: _Replica, gateway: _Gateway, request: _Request) -> None:
+    def _receive_request(self, replica: _Replica, gateway: _Gateway, request: _Request) -> None:
         now_s = self.clock.now_s
         replica.arrivals.append((now_s, gateway.name))
-        if SHEDS_S[0] <= now_s < SHEDS_S[1]:
-            self._shed(replica, gateway, request, self.asks_s)
+        if OVERLOAD_S[0] <= now_s < OVERLOAD_S[1]:
+            self._reject(replica, gateway, request, self.requested_back_off_s)
         elif replica.running < replica.slots:
-            self._begin(replica, gateway, request)
-        elif len(replica.waiting) < _QUEUE:
+            self._start(replica, gateway, request)
+        elif len(replica.waiting) < _MAX_QUEUED:
             replica.waiting.append((gateway, request))
         else:
-            self._shed(replica, gateway, request, _FULL_ASKS_S)
+            self._reject(replica, gateway, request, _FULL_BACK_OFF_S)
 
-    def _shed(self, replica: _Replica, gateway: _Gateway, request: _Request, asks_s: float) -> None:
-        self.shed_after += self.clock.now_s >= SHEDS_S[1]
-        replica.asked.append((self.clock.now_s, gateway.name, asks_s))
-        self._at(_WAY_S, lambda: self._rejected(replica, gateway, request, asks_s))
+    def _reject(
+        self, replica: _Replica, gateway: _Gateway, request: _Request, requested_back_off_s: float
+    ) -> None:
+        self.rejected_after_overload += self.clock.now_s >= OVERLOAD_S[1]
+        replica.asked.append((self.clock.now_s, gateway.name, requested_back_off_s))
+        self._schedule(
+            _LINK_DELAY_S,
+            lambda: self._receive_rejection(replica, gateway, request, requested_back_off_s),
+        )
 
-    def _rejected(
-        self, replica: _Replica, gateway: _Gateway, request: _Request, asks_s: float
+    def _receive_rejection(
+        self, replica: _Replica, gateway: _Gateway, request: _Request, requested_back_off_s: float
     ) -> None:
         known = gateway.replicas[replica.name]
         known.in_flight -= 1
-        signals = ResponseSignals(not_run=True, back_off_s=asks_s)
+        signals = ResponseSignals(not_run=True, back_off_s=requested_back_off_s)
         gateway.availability.observe(known, signals, str(request.number))
         self._send(gateway, request)
 
-    def _begin(self, replica: _Replica, gateway: _Gateway, request: _Request) -> None:
+    def _start(self, replica: _Replica, gateway: _Gateway, request: _Request) -> None:
         replica.running += 1
-        took_s = _WORK_S * self.source.uniform(0.8, 1.2)
-        self._at(took_s, lambda: self._ran(replica, gateway, request))
+        took_s = _SERVICE_TIME_S * self.source.uniform(0.8, 1.2)
+        self._schedule(took_s, lambda: self._finish(replica, gateway, request))
 
-    def _ran(self, replica: _Replica, gateway: _Gateway, request: _Request) -> None:
+    def _finish(self, replica: _Replica, gateway: _Gateway, request: _Request) -> None:
         replica.running -= 1
         known = gateway.replicas[replica.name]
         known.in_flight -= 1
@@ -246,15 +255,15 @@
         self.outcomes["served"] += 1
         self.served_s.append(self.clock.now_s)
         if replica.waiting:
-            self._begin(replica, *replica.waiting.pop(0))
+            self._start(replica, *replica.waiting.pop(0))
 
     # ---- what is judged ---------------------------------------------------
 
-    def most_while_backed_off(self) -> int:
+    def max_attempts_during_back_off(self) -> int:
         """Return the most requests that a gateway sent in one of the times it was asked for."""
         return max(
             (
-                self._sent_in(replica, *asked)
+                self._attempts_during(replica, *asked)
                 for replica in self.all.values()
                 for asked in replica.asked
             ),
@@ -262,17 +271,19 @@
         )
 
     @staticmethod
-    def _sent_in(replica: _Replica, at_s: float, gateway: str, asks_s: float) -> int:
+    def _attempts_during(
+        replica: _Replica, at_s: float, gateway: str, requested_back_off_s: float
+    ) -> int:
         return sum(
             1
             for arrived_s, by in replica.arrivals
-            if by == gateway and at_s + UNDER_WAY_S < arrived_s < at_s + asks_s
+            if by == gateway and at_s + IN_FLIGHT_S < arrived_s < at_s + requested_back_off_s
         )
 
-    def used_again_s(self, share: float = 0.9) -> float:
+    def recovery_s(self, share: float = 0.9) -> float:
         """Return how long after the shedding ended so much of what comes is served a second."""
         for step in range(80):
-            from_s = SHEDS_S[1] + step * 0.1
+            from_s = OVERLOAD_S[1] + step * 0.1
             served = sum(1 for moment_s in self.served_s if from_s <= moment_s < from_s + 0.5)
             if served >= share * self.per_s * 0.5:
                 return step * 0.1
--- a/tests/limit_simulation.py
+++ b/tests/limit_simulation.py
@@ -114,42 +114,44 @@
         names = frozenset(f"g{other}" for other in range(self.gateways))
         limits.gateways = lambda: GatewaysKnown(names, self.gateways)
         limits.last_leader_contact_s = lambda: self.observed_s[number]
-        limits.beat_now = lambda: self._at(0.0, lambda: self._beat(number))
+        limits.beat_now = lambda: self._schedule(0.0, lambda: self._send_heartbeat(number))
         self.replicas[number], self.limited[number] = replicas, limits
         self.observed_s[number] = self.clock.now_s
         record = ledger_pb2.DaemonRecord(name=f"g{number}")
         self.sessions[number] = DaemonSession(control_pb2.Hello(daemon=record))
 
-    def _at(self, in_s: float, what: Callable[[], None]) -> None:
+    def _schedule(self, in_s: float, what: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self.clock.now_s + in_s, next(self._order), what))
 
     @property
-    def since_s(self) -> float:
+    def elapsed_s(self) -> float:
         return self.clock.now_s - self.began_s
 
     def _within(self, spans: list[tuple[float, float]]) -> bool:
-        return any(from_s <= self.since_s < to_s for from_s, to_s in spans)
+        return any(from_s <= self.elapsed_s < to_s for from_s, to_s in spans)
 
-    def _is_away(self, number: int) -> bool:
+    def _is_disconnected(self, number: int) -> bool:
         spans = [self.cut[number]] if number in self.cut else []
-        return self._within(spans + self.leaderless) or self._is_still(number)
+        return self._within(spans + self.leaderless) or self._is_frozen(number)
 
-    def _is_still(self, number: int) -> bool:
+    def _is_frozen(self, number: int) -> bool:
         stands = number in self.frozen and self._within([self.frozen[number]])
-        return stands or self.since_s < self.starts.get(number, 0.0)
+        return stands or self.elapsed_s < self.starts.get(number, 0.0)
 
     # ---- what happens -----------------------------------------------------
 
     def run(self) -> "LimitSimulation":
         """Play it."""
         for number in range(self.gateways):
-            self._at(self.source.random() * _HEARTBEAT_S, lambda n=number: self._beats(n))
+            self._schedule(
+                self.source.random() * _HEARTBEAT_S, lambda n=number: self._heartbeat_loop(n)
+            )
         for at_s, limit in self.changes.items():
-            self._at(at_s, lambda to=limit: self.limit_now.update(r0=to))
+            self._schedule(at_s, lambda to=limit: self.limit_now.update(r0=to))
         for _, to_s in self.leaderless:
-            self._at(to_s, self._elect)
-        self._at(0.0, self._request)
-        while self._events and self.since_s < self.seconds:
+            self._schedule(to_s, self._elect)
+        self._schedule(0.0, self._caller_request)
+        while self._events and self.elapsed_s < self.seconds:
             self.clock.now_s, _, what = heapq.heappop(self._events)
             what()
         return self
@@ -160,71 +162,73 @@
             record = ledger_pb2.DaemonRecord(name=f"g{number}")
             self.sessions[number] = DaemonSession(control_pb2.Hello(daemon=record))
 
-    def _way_s(self) -> float:
+    def _link_delay_s(self) -> float:
         return self.source.uniform(0.001, 0.02)
 
-    def _beats(self, number: int) -> None:
-        self._at(_HEARTBEAT_S, lambda: self._beats(number))
-        self._beat(number)
+    def _heartbeat_loop(self, number: int) -> None:
+        self._schedule(_HEARTBEAT_S, lambda: self._heartbeat_loop(number))
+        self._send_heartbeat(number)
 
-    def _beat(self, number: int) -> None:
-        if self._is_still(number):
+    def _send_heartbeat(self, number: int) -> None:
+        if self._is_frozen(number):
             return
         heartbeat = control_pb2.Heartbeat()
         self.limited[number].fill_heartbeat(heartbeat)
         self.heartbeat_bytes += heartbeat.ByteSize()
-        if not self._is_away(number):
+        if not self._is_disconnected(number):
             sent_s = self.clock.now_s
-            self._at(self._way_s(), lambda: self._answer(number, heartbeat, sent_s))
+            self._schedule(
+                self._link_delay_s(), lambda: self._leader_respond(number, heartbeat, sent_s)
+            )
 
-    def _answer(self, number: int, heartbeat: control_pb2.Heartbeat, sent_s: float) -> None:
+    def _leader_respond(self, number: int, heartbeat: control_pb2.Heartbeat, sent_s: float) -> None:
         self.leader.observe(f"g{number}", heartbeat.replica_limits)
         frame = control_pb2.ControlFrame()
         self.leader.fill(self.sessions[number], frame)
         self.frame_bytes += frame.ByteSize()
-        self._at(self._way_s(), lambda: self._take(number, frame, sent_s))
+        self._schedule(self._link_delay_s(), lambda: self._receive_frame(number, frame, sent_s))
 
-    def _take(self, number: int, frame: control_pb2.ControlFrame, sent_s: float) -> None:
-        if self._is_away(number):
+    def _receive_frame(self, number: int, frame: control_pb2.ControlFrame, sent_s: float) -> None:
+        if self._is_disconnected(number):
             return
         self.observed_s[number] = self.clock.now_s
         self.limited[number].apply_frame(frame, sent_s)
 
-    def _request(self) -> None:
+    def _caller_request(self) -> None:
         from_s, to_s, times = self.burst
-        rate = self.per_s * (times if from_s <= self.since_s < to_s else 1.0)
-        self._at(self.source.expovariate(rate), self._request)
+        rate = self.per_s * (times if from_s <= self.elapsed_s < to_s else 1.0)
+        self._schedule(self.source.expovariate(rate), self._caller_request)
         numbers = list(range(self.gateways))
         number = self.source.choices(numbers, [self.weights(one) for one in numbers])[0]
-        if not self._is_still(number):
+        if not self._is_frozen(number):
             self._send(number, may_wait=True)
 
     def _send(self, number: int, *, may_wait: bool) -> None:
         limits, replicas = self.limited[number], self.replicas[number]
         if may_wait:
             limits.requested(SERVICE)
-        open_to = []
+        eligible = []
         for replica in replicas.values():
             verdict = limits.verdict(replica)
             if verdict is None or verdict.may_send:
-                open_to.append(replica)
-        if not open_to:
+                eligible.append(replica)
+        if not eligible:
             if may_wait and limits.begin_wait(SERVICE):
-                self._at(0.1, lambda: self._send_at_last(number))
+                self._schedule(0.1, lambda: self._send_after_wait(number))
             else:
                 self.refused += 1
                 limits.caller_retry_after_s(SERVICE)
             return
-        granted = [one for one in open_to if limits.verdict(one) is LimitVerdict.GRANTED]
+        granted = [one for one in eligible if limits.verdict(one) is LimitVerdict.GRANTED]
         # As placement does among equals: here at half of the requests that could.
         prefers = granted and self.source.random() < 0.5
-        replica = self.source.choice(granted if prefers else open_to)
+        replica = self.source.choice(granted if prefers else eligible)
         limits.sent(replica)
         self.sent += 1
         sent_s = self.clock.now_s
-        self._at(self._way_s(), lambda: self._arrive(number, replica, sent_s))
+        self._schedule(self._link_delay_s(), lambda: self._arrive(number, replica, sent_s))
 
-    def _send_at_last(self, number: int) -> None:
+    def _send_after_wait(self, number: int) -> None:
         self.limited[number].end_wait(SERVICE)
         self._send(number, may_wait=False)
 
@@ -236,15 +240,17 @@
             named.append((self.clock.now_s, limit))
         text = None if limit is None else str(limit)
         took_s = self.source.uniform(0.02, 0.3)
-        self._at(took_s, lambda: self._hear(number, replica, text, sent_s))
+        self._schedule(took_s, lambda: self._receive_response(number, replica, text, sent_s))
 
-    def _hear(self, number: int, replica: FleetReplica, text: str | None, sent_s: float) -> None:
-        if not self._is_still(number):
+    def _receive_response(
+        self, number: int, replica: FleetReplica, text: str | None, sent_s: float
+    ) -> None:
+        if not self._is_frozen(number):
             self.limited[number].observe(replica, text, sent_s)
 
     # ---- the book ---------------------------------------------------------
 
-    def _judged(self, name: str, excused: frozenset[int]) -> list[tuple[float, int, float]]:
+    def _window_totals(self, name: str, excused: frozenset[int]) -> list[tuple[float, int, float]]:
         """Return what a replica got in the four seconds up to each send, and what it may get.
 
         A report takes a second to come round. So while it changes the larger limit counts, and
@@ -253,49 +259,49 @@
         counted = [
             at_s
             for at_s, by in self.arrivals.get(name, [])
-            if by not in excused and self._bound_since(name, at_s)
+            if by not in excused and self._is_limit_known(name, at_s)
         ]
         judged = []
         first = 0
         for last, end_s in enumerate(counted):
             while counted[first] <= end_s - WINDOW_S:
                 first += 1
-            limit = self._largest(name, end_s - WINDOW_S - _SHARED_S, end_s)
+            limit = self._largest_limit(name, end_s - WINDOW_S - _SHARED_S, end_s)
             judged.append((end_s, last - first + 1, allowed(limit)))
         return judged
 
-    def _bound_since(self, name: str, at_s: float) -> bool:
+    def _is_limit_known(self, name: str, at_s: float) -> bool:
         """Whether all gateways could know at a moment that a replica names a limit."""
-        named = [since_s for since_s, limit in self.named[name] if since_s <= at_s]
+        named = [elapsed_s for elapsed_s, limit in self.named[name] if elapsed_s <= at_s]
         if not named or self.named[name][len(named) - 1][1] is None:
             return False
         began_s = named[-1]
-        for since_s, limit in reversed(self.named[name][: len(named)]):
+        for elapsed_s, limit in reversed(self.named[name][: len(named)]):
             if limit is None:
                 break
-            began_s = since_s
+            began_s = elapsed_s
         return at_s >= began_s + _SHARED_S
 
-    def _largest(self, name: str, from_s: float, to_s: float) -> float:
-        limits = [limit for since_s, limit in self.named[name] if from_s <= since_s <= to_s]
-        before = [limit for since_s, limit in self.named[name] if since_s < from_s][-1:]
+    def _largest_limit(self, name: str, from_s: float, to_s: float) -> float:
+        limits = [limit for elapsed_s, limit in self.named[name] if from_s <= elapsed_s <= to_s]
+        before = [limit for elapsed_s, limit in self.named[name] if elapsed_s < from_s][-1:]
         return max(limit for limit in [*limits, *before, 0.0] if limit is not None)
 
     def most(self, name: str, excused: frozenset[int] = frozenset()) -> int:
         """Return the most that a replica got in four seconds, once its report could be round."""
-        return max((got for _, got, _ in self._judged(name, excused)), default=0)
+        return max((got for _, got, _ in self._window_totals(name, excused)), default=0)
 
-    def broken(self, excused: frozenset[int] = frozenset()) -> list[str]:
+    def violations(self, excused: frozenset[int] = frozenset()) -> list[str]:
         """Return which replicas got more than they may, with the first time each."""
         found = []
         for name in self.named:
-            for end_s, got, may in self._judged(name, excused):
+            for end_s, got, may in self._window_totals(name, excused):
                 if got > may:
                     found.append(f"{name}: {got} of {may:g} at {end_s - self.began_s:.2f} s")
                     break
         return found
 
-    def used_share(self, name: str) -> float:
+    def used_fraction(self, name: str) -> float:
         """Return what part of its limit a replica got, after the first seconds."""
         limit = self.limit_now[name]
         assert limit
--- a/tests/test_address_reuse.py
+++ b/tests/test_address_reuse.py
@@ -42,7 +42,7 @@
     async def asyncTearDown(self) -> None:
         await self.fleet.stop()
 
-    async def test_an_incarnation_whose_address_is_another_s_is_asked_no_more(self) -> None:
+    async def test_a_misdirected_incarnation_is_excluded(self) -> None:
         reused = await self.fleet.add_replica("i-gone", _as_named)
         reused.identity = "i-of-another-service"
         sound = await self.fleet.add_replica("i-sound", _as_named)
@@ -54,7 +54,7 @@
         self.assertEqual(len(sound.received), 30)
         self.assertEqual(len(reused.received), 1)
 
-    async def test_alone_it_is_not_asked_again_either(self) -> None:
+    async def test_a_misdirected_only_replica_is_excluded(self) -> None:
         reused = await self.fleet.add_replica("i-gone", _as_named)
         reused.identity = "i-of-another-service"
         for number in range(5):
@@ -63,7 +63,7 @@
             self.assertGreater(float(got.headers["Retry-After"]), 0)
         self.assertEqual(len(reused.received), 1)
 
-    async def test_one_that_was_wrongly_left_out_comes_back(self) -> None:
+    async def test_a_wrongly_excluded_replica_is_used_again(self) -> None:
         replica = await self.fleet.add_replica("i-1", _as_named)
         replica.identity = "for a moment"
         self.assertEqual((await self.fleet.request("/once/")).status, 503)
@@ -78,7 +78,7 @@
         gateway.replicas._sorted_until_s = record.misdirected_until_s
         self.assertEqual((await self.fleet.request("/once/", Request_Id="b")).status, 200)
 
-    async def test_every_send_names_the_incarnation_also_those_of_a_resumed_stream(self) -> None:
+    async def test_every_attempt_names_the_incarnation_also_when_resuming(self) -> None:
         async def breaks(replica: StandInReplica, received: Received) -> bytes:
             if "last-event-id" in received.headers:
                 return stream_head(received) + event(2) + END_OF_CHUNKS
--- a/tests/test_cold_replicas.py
+++ b/tests/test_cold_replicas.py
@@ -37,7 +37,7 @@
 
 
 class ShareTest(unittest.TestCase):
-    def test_the_bound_is_of_the_settings(self) -> None:
+    def test_the_bound_follows_from_the_settings(self) -> None:
         self.assertEqual(bound_per_s(_BEARS_PER_S, 1.5, 5), _BOUND)
 
     def test_all_gateways_together_stay_within_half_of_the_bound(self) -> None:
@@ -62,7 +62,7 @@
                     total += share_per_s(f"r{trial}", name, known, _BOUND)
             self.assertLessEqual(total, _BOUND)
 
-    def test_a_gateway_that_knows_only_a_number_sends_by_chance(self) -> None:
+    def test_a_gateway_that_knows_only_the_count_sends_at_random(self) -> None:
         known = GatewaysKnown((), 30)
         senders = [
             sum(share_per_s(f"r{number}", name, known, _BOUND) for name in _names(30))
@@ -106,14 +106,14 @@
         return chosen.name
 
 
-def _busiest_second(moments: list[float]) -> int:
-    return max(sum(1 for other in moments if at <= other < at + 1.0) for at in moments)
+def _busiest_second(times_s: list[float]) -> int:
+    return max(sum(1 for other in times_s if at <= other < at + 1.0) for at in times_s)
 
 
-class ReturnOfAZoneTest(unittest.TestCase):
+class RestoredZoneTest(unittest.TestCase):
     """A zone of idle, cold replicas looks the least loaded to every gateway."""
 
-    def _play(self, bears_per_s: float) -> int:
+    def _simulate(self, bears_per_s: float) -> int:
         gateways = [_Gateway(f"front-{number}", 30, number) for number in range(30)]
         source = random.Random(7)
         sent: dict[str, list[float]] = {}
@@ -124,12 +124,12 @@
             sent.setdefault(name, []).append(now_s)
         return max(_busiest_second(sent.get(f"r{number}", [0.0])) for number in (0, 3, 6))
 
-    def test_none_gets_more_than_it_may_in_any_second(self) -> None:
+    def test_no_replica_exceeds_the_bound_in_any_second(self) -> None:
         """23 and 24 requests reached cold replicas in a second in which 20 were allowed."""
-        self.assertGreater(self._play(bears_per_s=0.0), _BOUND)  # as any other replica
-        self.assertLessEqual(self._play(bears_per_s=_BEARS_PER_S), _BOUND)
+        self.assertGreater(self._simulate(bears_per_s=0.0), _BOUND)  # as any other replica
+        self.assertLessEqual(self._simulate(bears_per_s=_BEARS_PER_S), _BOUND)
 
-    def test_a_cold_replica_that_could_take_work_gets_some(self) -> None:
+    def test_cold_replicas_get_some_requests(self) -> None:
         gateways = [_Gateway(f"front-{number}", 30, number) for number in range(30)]
         sent = [
             gateway.send(100.0 + WINDOW_S * turn, bears_per_s=_BEARS_PER_S)
@@ -139,7 +139,7 @@
         for name in ("r0", "r3", "r6"):
             self.assertGreaterEqual(sent.count(name), 3)
 
-    def test_when_all_are_cold_the_reason_says_so(self) -> None:
+    def test_the_reason_if_all_replicas_are_cold(self) -> None:
         gateway = _Gateway("front-0", 30, 1)
         gateway.replicas = gateway.replicas[:1]
         view = PlacementView(
@@ -183,33 +183,33 @@
 class ColdReportsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = _Clock()
-        self.words = ColdReports(self.clock)
+        self.reports = ColdReports(self.clock)
         self.recorded = _replica(3000)
-        self.words.known(self.recorded)
+        self.reports.known(self.recorded)
 
-    def test_a_countdown_is_no_news(self) -> None:
+    def test_a_countdown_is_not_a_change(self) -> None:
         self.clock.now_s += 1.2
-        self.assertFalse(self.words.is_news(_replica(1800), self.recorded))
+        self.assertFalse(self.reports.is_news(_replica(1800), self.recorded))
 
-    def test_one_that_turns_cold_again_is(self) -> None:
+    def test_turning_cold_again_is_a_change(self) -> None:
         self.clock.now_s += 1.2
-        self.assertTrue(self.words.is_news(_replica(3000), self.recorded))
+        self.assertTrue(self.reports.is_news(_replica(3000), self.recorded))
 
-    def test_a_warm_one_that_turns_cold_is(self) -> None:
-        self.words.known(_replica())
-        self.assertTrue(self.words.is_news(_replica(2500), _replica()))
+    def test_a_warm_replica_turning_cold_is_a_change(self) -> None:
+        self.reports.known(_replica())
+        self.assertTrue(self.reports.is_news(_replica(2500), _replica()))
 
-    def test_a_word_from_before_it_turned_cold_does_not_warm_it(self) -> None:
+    def test_an_outdated_report_does_not_mark_it_as_warm(self) -> None:
         self.clock.now_s += 1.0
-        self.assertFalse(self.words.is_news(_replica(0), self.recorded))
+        self.assertFalse(self.reports.is_news(_replica(0), self.recorded))
         self.clock.now_s += 2.0
-        self.assertTrue(self.words.is_news(_replica(0), self.recorded))
+        self.assertTrue(self.reports.is_news(_replica(0), self.recorded))
 
-    def test_a_new_leader_counts_from_its_first_word(self) -> None:
-        words = ColdReports(self.clock)
-        self.assertFalse(words.is_news(_replica(0), self.recorded))
+    def test_a_new_leader_counts_from_its_first_report(self) -> None:
+        reports = ColdReports(self.clock)
+        self.assertFalse(reports.is_news(_replica(0), self.recorded))
         self.clock.now_s += 3.0
-        self.assertTrue(words.is_news(_replica(0), self.recorded))
+        self.assertTrue(reports.is_news(_replica(0), self.recorded))
 
 
 class ColdReplicaTest(unittest.IsolatedAsyncioTestCase):
@@ -244,7 +244,7 @@
         self.assertLessEqual(self.served.count("cold"), 2)
         self.assertGreaterEqual(self.served.count("cold"), 1)
 
-    async def test_when_none_is_warm_the_rest_is_told_when_to_come_back(self) -> None:
+    async def test_if_all_are_cold_excess_requests_get_retry_after(self) -> None:
         replica = await self.fleet.add_replica("cold", self._script, coldRemainingMs=3000)
         statuses = await self._burst(10)
         self.assertEqual(statuses.count(200), 2)
@@ -265,7 +265,7 @@
             while set(await self._burst(10)) == {200}:
                 await asyncio.sleep(0.05)
 
-    async def test_a_zone_that_is_taken_back_may_be_cold(self) -> None:
+    async def test_replicas_of_a_restored_zone_may_be_cold(self) -> None:
         await self.fleet.add_replica("there", self._script, zone="z2")
         await self.fleet.add_replica("here", self._script, zone="z1")
         for call in ("Start", "Stop"):
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -73,7 +73,7 @@
 
 
 class StartsTest(unittest.TestCase):
-    def test_a_replica_whose_start_becomes_known_keeps_what_it_holds(self) -> None:
+    def test_learning_the_start_time_keeps_cached_parts(self) -> None:
         """A release raises the cluster version: all replicas tell starts that were not known."""
         gateway = _gateway("zone-0", 1)
         profile = _plan(1, 1)
@@ -95,7 +95,7 @@
             profile = _plan(subject, subject)
             self.assertEqual(_send(first, profile), _send(second, profile))
 
-    def test_a_replica_that_is_known_to_keep_it_goes_before_the_expected_one(self) -> None:
+    def test_a_replica_known_to_cache_a_part_is_preferred(self) -> None:
         gateway = _gateway("zone-0", 1)
         expected = _send(gateway, _plan(7, 1))
         gateway.failed(next(r for r in gateway.usable(_SERVICE) if r.name == expected), "test")
@@ -127,7 +127,7 @@
         }
         self.gateway.loads.update_others(told)
 
-    def test_a_replica_that_others_keep_busy_is_passed_over(self) -> None:
+    def test_a_replica_loaded_by_other_gateways_is_avoided(self) -> None:
         profile = RequestProfile(_SERVICE, parse_parts("own1:600"), 600)
         busy = {f"replica_{number}": 40_000 for number in range(8)}
         self._told(**busy)
@@ -136,19 +136,19 @@
         self.assertGreater(chosen.count("replica-8"), 60)
         self.assertLess(chosen.count("replica-8"), 130)  # and is not taken by all at once
 
-    def test_a_busy_owner_of_shared_parts_is_passed_over_when_waiting_costs_more(self) -> None:
+    def test_a_loaded_replica_with_cached_parts_is_avoided_if_waiting_costs_more(self) -> None:
         owner = _send(self.gateway, _plan(7, 1))
         self.assertEqual(_send(self.gateway, _plan(7, 2)), owner)
         self._told(**{owner.replace("-", "_"): 60_000})
         self.assertNotEqual(_send(self.gateway, _plan(7, 3)), owner)
 
-    def test_old_sums_are_not_used(self) -> None:
+    def test_stale_totals_are_not_used(self) -> None:
         owner = _send(self.gateway, _plan(7, 1))
         self._told(**{owner.replace("-", "_"): 60_000})
         self.gateway.loads.updated_s -= 5
         self.assertEqual(_send(self.gateway, _plan(7, 2)), owner)
 
-    def test_a_gateway_tells_what_it_has_under_way(self) -> None:
+    def test_a_heartbeat_reports_the_load_of_its_gateway(self) -> None:
         replica = self.gateway.place(
             RequestProfile(_SERVICE, parse_parts("own1:600"), 600), ()
         ).replica
@@ -161,8 +161,8 @@
         self.assertEqual((load.in_flight, load.unread_tokens), (1, 600))
 
 
-class LoadSumsTest(unittest.TestCase):
-    def test_each_router_hears_the_sum_of_the_others_whatever_came_before(self) -> None:
+class LoadTotalsTest(unittest.TestCase):
+    def test_each_router_receives_the_total_of_the_others(self) -> None:
         source = random.Random(3)
         sums = ReplicaLoads()
         newest: dict[str, dict[str, tuple[int, int]]] = {}
@@ -192,7 +192,7 @@
                 self.assertEqual(load.in_flight, sum(count for count, _ in others))
                 self.assertEqual(load.unread_tokens, sum(tokens for _, tokens in others))
 
-    def test_a_replica_that_one_of_many_routers_told_of_is_told_at_once(self) -> None:
+    def test_a_report_by_one_of_many_routers_is_forwarded_at_once(self) -> None:
         """Only after a quarter of the routers had told: a request went where it had to wait."""
         sums = ReplicaLoads()
         for router in range(40):
@@ -203,7 +203,7 @@
         sums.fill("g0", frame)
         self.assertEqual(frame.replica_loads["r1"].in_flight, 7)
 
-    def test_only_the_busiest_replicas_are_told(self) -> None:
+    def test_only_the_busiest_replicas_are_included(self) -> None:
         sums = ReplicaLoads()
         told = {f"r{n}": control_pb2.ReplicaLoad(in_flight=n + 1) for n in range(MOST_TOLD + 9)}
         sums.observe("a", told)
--- a/tests/test_limit_runs.py
+++ b/tests/test_limit_runs.py
@@ -14,7 +14,9 @@
 _LARGE_SEEDS = range(1000, 1004)  # 300 gateways
 
 
-def draw(seed: int, gateways: int | None = None) -> tuple[LimitSimulation, frozenset[int]]:
+def random_simulation(
+    seed: int, gateways: int | None = None
+) -> tuple[LimitSimulation, frozenset[int]]:
     """Return a run with troubles, and the gateways that had some of their own."""
     source = random.Random(seed)
     count = gateways or source.choice((3, 6, 12, 30, 30))
@@ -48,43 +50,43 @@
     return run, frozenset(troubled)
 
 
-def broken(seeds: range) -> int:
+def violations(seeds: range) -> int:
     """Return how many runs broke the bound."""
     found = 0
     for seed in seeds:
-        run, troubled = draw(seed)
-        found += bool(run.run().broken(troubled))
+        run, troubled = random_simulation(seed)
+        found += bool(run.run().violations(troubled))
     return found
 
 
-class SumTest(unittest.TestCase):
-    def test_it_is_kept_with_leaders_lost_cuts_and_limits_that_change(self) -> None:
+class TotalRateTest(unittest.TestCase):
+    def test_the_limit_holds_with_failures_and_changing_limits(self) -> None:
         for seed in _SEEDS:
-            run, troubled = draw(seed)
-            self.assertEqual(run.run().broken(troubled), [], f"seed {seed}")
+            run, troubled = random_simulation(seed)
+            self.assertEqual(run.run().violations(troubled), [], f"seed {seed}")
 
-    def test_it_is_kept_by_three_hundred_gateways(self) -> None:
+    def test_the_limit_holds_with_300_gateways(self) -> None:
         for seed in _LARGE_SEEDS:
-            run, troubled = draw(seed, gateways=300)
-            self.assertEqual(run.run().broken(troubled), [], f"seed {seed}")
+            run, troubled = random_simulation(seed, gateways=300)
+            self.assertEqual(run.run().violations(troubled), [], f"seed {seed}")
 
-    def test_what_is_taken_is_used(self) -> None:
+    def test_most_of_the_limit_is_used(self) -> None:
         """At 6 and 30 gateways, all replicas rate-limited: callers ask for three times as much."""
         for gateways in (6, 30):
             run = LimitSimulation(gateways, [1.7] * 6, 0, 30.0).run()
-            used = sum(run.used_share(name) for name in run.named) / len(run.named)
+            used = sum(run.used_fraction(name) for name in run.named) / len(run.named)
             self.assertGreater(used, 0.6, f"{gateways} gateways")
 
-    def test_the_end_of_a_need_is_noticed_also_by_gateways_with_few_requests(self) -> None:
+    def test_gateways_with_few_requests_notice_the_end_of_a_limit(self) -> None:
         run = LimitSimulation(300, [1.7], 5, 30.0, seconds=60.0, changes={10.0: None}).run()
         last = [at_s for at_s, _ in run.arrivals["r0"] if at_s > run.clock.now_s - 10.0]
         self.assertGreater(len(last), 30, "a sixth of 300 requests, or near it")
 
 
-class BreakageTest(unittest.TestCase):
+class BrokenRuleTest(unittest.TestCase):
     """What keeps the sum is needed: without it runs break it."""
 
-    def test_each_gateway_by_itself(self) -> None:
+    def test_gateways_without_coordination_are_detected(self) -> None:
         def alone(limits: ReplicaLimits, replica: Any) -> LimitVerdict | None:
             limited = limits._limited.get((replica.record.id, replica.record.start_ms))
             if limited is None or limited.report.per_s is None:
@@ -94,21 +96,21 @@
             return LimitVerdict.ONE_OF_FEW if sent < limited.report.per_s else None
 
         with mock.patch.object(ReplicaLimits, "verdict", alone):
-            self.assertGreater(broken(_SEEDS), 10)
+            self.assertGreater(violations(_SEEDS), 10)
 
-    def test_grants_that_never_run_out(self) -> None:
+    def test_grants_that_never_expire_are_detected(self) -> None:
         def play() -> list[str]:
             """30 gateways that use few of their grants get much at once."""
-            return LimitSimulation(30, [1.7], 5, 3.0, burst=(15.0, 20.0, 100.0)).run().broken()
+            return LimitSimulation(30, [1.7], 5, 3.0, burst=(15.0, 20.0, 100.0)).run().violations()
 
         self.assertEqual(play(), [])
         with mock.patch.object(shared._Shared, "holds_s", lambda *_: 1000.0):
             self.assertNotEqual(play(), [])
 
-    def test_a_leader_that_saves_what_nobody_asked_for(self) -> None:
+    def test_a_leader_that_accumulates_unused_grants_is_detected(self) -> None:
         def play() -> list[str]:
             """Gateways get next to nothing for a while, and then much at once."""
-            return LimitSimulation(6, [1.7], 0, 0.5, burst=(12.0, 18.0, 200.0)).run().broken()
+            return LimitSimulation(6, [1.7], 0, 0.5, burst=(12.0, 18.0, 200.0)).run().violations()
 
         self.assertEqual(play(), [])
         with mock.patch.object(shared, "_SAVED_S", 1000.0):
--- a/tests/test_replica_back_off.py
+++ b/tests/test_replica_back_off.py
@@ -35,7 +35,7 @@
                 self.assert_backed_off(fleet)
                 self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
 
-    async def test_some_requests_are_turned_away(self) -> None:
+    async def test_some_requests_are_rejected(self) -> None:
         """What it served after the refusal ends nothing of the time that it asked for."""
         fleet = await self.start(3, 4)
         fleet.replicas[0].retry_after = "3"
@@ -145,7 +145,7 @@
                 await asyncio.sleep(0.02)
         fleet.replicas.append(signalling)
 
-    async def test_a_new_incarnation_is_bound_by_nothing(self) -> None:
+    async def test_a_new_incarnation_has_no_back_off(self) -> None:
         fleet = await self.start(1, 1)
         fleet.replicas[0].retry_after = "30"
         judged = await fleet.ask(20.0, 0.5)
--- a/tests/test_replica_client.py
+++ b/tests/test_replica_client.py
@@ -52,7 +52,7 @@
             await asyncio.sleep(_SETTLE_S)
         return bodies
 
-    async def test_a_connection_that_its_replica_is_about_to_close_is_not_used(self) -> None:
+    async def test_an_expiring_connection_is_not_used(self) -> None:
         """The request may meet the close on its way, and then nobody knows whether it ran."""
 
         async def keeps(replica: StandInReplica, received: Received) -> bytes:
@@ -64,19 +64,19 @@
                 await self._send_twice(replica, may_run_twice=True)
                 self.assertEqual(replica.connections, connections)
 
-    async def test_a_connection_is_kept_after_a_whole_answer(self) -> None:
+    async def test_a_connection_is_reused_after_a_complete_response(self) -> None:
         """3,309 connections for 3,409 requests: empty data was taken for stray bytes."""
         for script in (_done, _stream):
             replica = StandInReplica("i-1", script)
             await self._send_twice(replica, may_run_twice=True)
             self.assertEqual(replica.connections, 1)
 
-    async def test_a_request_that_must_not_run_twice_has_a_connection_of_its_own(self) -> None:
+    async def test_a_request_that_must_not_run_twice_gets_a_new_connection(self) -> None:
         replica = StandInReplica("i-1", _done)
         await self._send_twice(replica, may_run_twice=False)
         self.assertEqual(replica.connections, 2)
 
-    async def test_a_connection_with_stray_bytes_is_given_up(self) -> None:
+    async def test_a_connection_with_stray_bytes_is_closed(self) -> None:
         replica = StandInReplica("i-1", _twice)
         bodies = await self._send_twice(replica, may_run_twice=True)
         self.assertEqual(bodies, [b"done", b"done"])
--- a/tests/test_replica_connect_probe.py
+++ b/tests/test_replica_connect_probe.py
@@ -11,8 +11,8 @@
 _NEVER_S = 30.0
 
 
-class ListensTest(unittest.IsolatedAsyncioTestCase):
-    async def test_what_accepts_and_what_refuses_is_told_apart(self) -> None:
+class ConnectProbeTest(unittest.IsolatedAsyncioTestCase):
+    async def test_accepting_and_refusing_addresses_are_distinguished(self) -> None:
         server = await asyncio.start_server(lambda reader, writer: writer.close(), "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         self.assertIs(await probe_connect(f"{host}:{port}"), ConnectOutcome.ACCEPTS)
@@ -22,14 +22,14 @@
         self.assertIs(await probe_connect(address), ConnectOutcome.REFUSES)
         self.assertIs(await probe_connect("no address"), ConnectOutcome.SILENT)
 
-    async def test_what_does_not_answer_is_silent(self) -> None:
+    async def test_an_unresponsive_address_is_silent(self) -> None:
         async def never(*_: object) -> None:
             await asyncio.sleep(_NEVER_S)
 
         with mock.patch("asyncio.open_connection", never):
             self.assertIs(await probe_connect("127.0.0.1:9"), ConnectOutcome.SILENT)
 
-    async def test_a_late_process_does_not_take_a_replica_for_silent(self) -> None:
+    async def test_event_loop_lag_makes_the_outcome_unclear(self) -> None:
         """One with too much to do gave up connections that had come about."""
 
         async def late(*_: object) -> None:
--- a/tests/test_replica_connections.py
+++ b/tests/test_replica_connections.py
@@ -13,7 +13,7 @@
 
 
 class ShareTest(unittest.TestCase):
-    def test_the_sum_stays_within_what_is_accepted(self) -> None:
+    def test_the_total_stays_within_the_accepted_connections(self) -> None:
         for accepted in range(1, 400):
             for gateways in range(1, accepted + 1):
                 share = connection_share(accepted, gateways)
@@ -21,7 +21,7 @@
                 self.assertLessEqual(share * gateways, accepted)
                 self.assertGreaterEqual(share, 1)
 
-    def test_enough_is_used(self) -> None:
+    def test_most_accepted_connections_are_used(self) -> None:
         for accepted, gateways in ((6, 6), (6, 3), (6, 2), (370, 6), (370, 30), (96, 30)):
             share = connection_share(accepted, gateways)
             assert share is not None
@@ -30,11 +30,11 @@
     def test_more_gateways_than_connections_have_one_each(self) -> None:
         self.assertEqual(connection_share(6, 30), 1)
 
-    def test_a_service_without_a_bound(self) -> None:
+    def test_a_service_without_a_connection_limit(self) -> None:
         self.assertIsNone(connection_share(0, 6))
 
 
-class HandingOutTest(unittest.IsolatedAsyncioTestCase):
+class ConnectionQueueTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.connections = ReplicaConnections(Environment(), Metrics())
         self.used = self.most = 0
@@ -48,11 +48,11 @@
             finally:
                 self.used -= 1
 
-    async def test_never_more_than_the_share(self) -> None:
+    async def test_open_connections_stay_within_the_share(self) -> None:
         await asyncio.gather(*(self._use(0.01) for _ in range(30)))
         self.assertEqual((self.most, self.connections.waiting), (2, 0))
 
-    async def test_the_first_to_come_is_the_first_to_go(self) -> None:
+    async def test_waiting_requests_are_served_in_order(self) -> None:
         order: list[int] = []
 
         async def one(number: int) -> None:
@@ -63,7 +63,7 @@
         await asyncio.gather(*(one(number) for number in range(10)))
         self.assertEqual(order, list(range(10)))
 
-    async def test_who_waits_in_vain_is_told_so_in_time(self) -> None:
+    async def test_waiting_fails_within_the_time_limit(self) -> None:
         holds = [asyncio.create_task(self._use(0.5)) for _ in range(2)]
         await asyncio.sleep(0)
         began_s = asyncio.get_running_loop().time()
@@ -74,7 +74,7 @@
         with self.assertRaises(NoConnectionError):  # the times are known by now
             await asyncio.gather(*(self._use(0.3, wait_s=0.2) for _ in range(8)))
 
-    async def test_what_is_given_up_at_any_moment_loses_none(self) -> None:
+    async def test_cancellation_at_any_time_leaks_no_connection(self) -> None:
         for pause_s in (0.0, 0.004, 0.005, 0.0051, 0.006):
             tasks = [asyncio.create_task(self._use(0.005)) for _ in range(20)]
             await asyncio.sleep(pause_s)
--- a/tests/test_replica_limit_changes.py
+++ b/tests/test_replica_limit_changes.py
@@ -19,7 +19,7 @@
         self.assert_within(limited)
         self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
 
-    async def test_a_need_that_ends_and_returns(self) -> None:
+    async def test_a_limit_that_ends_and_returns(self) -> None:
         limited = await self.start(3, 2)
         bounded = limited.replicas[0]
         bounded.limit = "1.7"
@@ -48,7 +48,7 @@
         self.assert_within(limited)
         self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
 
-    async def test_what_is_no_number_names_no_limit(self) -> None:
+    async def test_a_malformed_value_is_not_a_limit(self) -> None:
         limited = await self.start(1, 2)
         bounded = limited.replicas[0]
         for text in ("nan", "inf", "-1", "soon", "1,7"):
--- a/tests/test_replica_limit_reports.py
+++ b/tests/test_replica_limit_reports.py
@@ -36,33 +36,33 @@
         return self.now_s
 
 
-class NewestWordTest(unittest.TestCase):
-    def test_the_later_one_counts(self) -> None:
+class NewestReportTest(unittest.TestCase):
+    def test_the_later_report_wins(self) -> None:
         early, late = LimitReport(1.0, 5.0), LimitReport(3.0, 6.0)
         self.assertEqual(newest(early, late), late)
         self.assertEqual(newest(late, early), late)
         self.assertEqual(newest(early, LimitReport(None, 6.0)), LimitReport(None, 6.0))
         self.assertEqual(newest(None, early), early)
 
-    def test_of_two_at_one_time_the_stricter(self) -> None:
+    def test_of_simultaneous_reports_the_stricter_wins(self) -> None:
         """Over ways of different length it is not known which one was said last."""
         low, high, none = LimitReport(1.0, 5.0), LimitReport(3.0, 5.1), LimitReport(None, 5.1)
         for first, second in ((low, high), (high, low), (low, none), (none, low)):
             self.assertEqual(newest(first, second), low)
 
-    def test_a_rising_limit_is_believed_where_answers_come_often(self) -> None:
+    def test_a_raised_limit_is_accepted_with_frequent_responses(self) -> None:
         report = LimitReport(1.0, 5.0)
         for number in range(30):
             report = newest(report, LimitReport(3.0, 5.0 + 0.01 * number))
         self.assertEqual(report.per_s, 3.0)
 
-    def test_numbers(self) -> None:
+    def test_limit_values_are_parsed(self) -> None:
         self.assertEqual([read_limit(text) for text in ("1.7", "0", " 20 ")], [1.7, 0.0, 20.0])
         for text in ("", "nan", "inf", "-0.1", "many", "1e999"):
             self.assertIsNone(read_limit(text), text)
 
 
-class _Parts:
+class _GatewayAndLeader:
     """One gateway and one leader with a clock of their own."""
 
     def __init__(self, replicas: int = 2) -> None:
@@ -118,21 +118,21 @@
 
 class GrantTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.parts = _Parts()
-        self.clock, self.limits, self.first = self.parts.clock, self.parts.limits, self.parts.first
+        self.setup = _GatewayAndLeader()
+        self.clock, self.limits, self.first = self.setup.clock, self.setup.limits, self.setup.first
 
-    def test_nothing_is_told_or_asked_while_no_replica_is_in_need(self) -> None:
-        frame = self.parts.beat()
+    def test_nothing_is_exchanged_while_no_replica_has_a_limit(self) -> None:
+        frame = self.setup.beat()
         self.assertEqual(frame.ByteSize(), 0)
         self.assertIsNone(self.limits.verdict(self.first))
 
-    def test_nothing_goes_to_a_replica_in_need_before_the_leader_grants_it(self) -> None:
+    def test_a_limited_replica_needs_a_grant(self) -> None:
         self.limits.observe(self.first, "1.7", self.clock.now_s)
         self.assertIs(self.limits.verdict(self.first), LimitVerdict.NOT_GRANTED)
-        self.assertIsNone(self.limits.verdict(self.parts.replicas["r1"]))
+        self.assertIsNone(self.limits.verdict(self.setup.replicas["r1"]))
 
     def test_a_grant_is_used_once(self) -> None:
-        self.parts.grant_one()
+        self.setup.grant_one()
         sends = 0
         while self.limits.verdict(self.first) is LimitVerdict.GRANTED:
             self.limits.sent(self.first)
@@ -140,121 +140,121 @@
         self.assertGreaterEqual(sends, 1)
         self.assertLessEqual(sends, 2)
 
-    def test_a_grant_runs_out_also_while_the_machine_is_suspended(self) -> None:
-        self.parts.grant_one()
+    def test_a_grant_expires_while_the_machine_is_suspended(self) -> None:
+        self.setup.grant_one()
         self.assertIs(self.limits.verdict(self.first), LimitVerdict.GRANTED)
         self.clock.now_s += GRANT_HOLDS_S
-        self.parts.last_leader_contact_s = self.clock.now_s
+        self.setup.last_leader_contact_s = self.clock.now_s
         self.assertIs(self.limits.verdict(self.first), LimitVerdict.NOT_GRANTED)
 
-    def test_a_grant_that_came_late_is_void(self) -> None:
+    def test_a_late_grant_is_void(self) -> None:
         """Frames that a cut held up came with what the leader had granted seconds before."""
         self.limits.observe(self.first, "1.7", self.clock.now_s)
         for _ in range(4):
             self.clock.now_s += 0.3
             self.limits.observe(self.first, "1.7", self.clock.now_s)
-            frame = self.parts.beat(late_s=GRANT_HOLDS_S)
+            frame = self.setup.beat(late_s=GRANT_HOLDS_S)
         self.assertTrue(frame.replica_grants)
         self.assertIs(self.limits.verdict(self.first), LimitVerdict.NOT_GRANTED)
 
-    def test_a_new_leader_waits_until_its_predecessors_grants_have_run_out(self) -> None:
-        self.parts.grant_one()
-        self.parts.term += 1
+    def test_a_new_leader_waits_for_old_grants_to_expire(self) -> None:
+        self.setup.grant_one()
+        self.setup.term += 1
         began_s = self.clock.now_s
-        while not self.parts.beat().replica_grants:
+        while not self.setup.beat().replica_grants:
             self.clock.now_s += 0.1
         self.assertGreaterEqual(self.clock.now_s - began_s, GRANT_HOLDS_S)
 
-    def test_where_nobody_hears_of_a_replica_a_send_is_granted_that_holds_longer(self) -> None:
+    def test_without_recent_responses_a_longer_grant_is_given(self) -> None:
         """Sends ran out unused at gateways with few requests, and the end was never noticed."""
         self.limits.observe(self.first, "1.7", self.clock.now_s)
         longest_ms = 0
         for _ in range(40):
             self.clock.now_s += 0.3
-            frame = self.parts.beat()
+            frame = self.setup.beat()
             longest_ms = max([longest_ms, *(grant.holds_ms for grant in frame.replica_grants)])
         self.assertGreater(longest_ms, 5_000)
 
-    def test_a_limit_of_zero_lets_the_end_of_the_need_be_noticed(self) -> None:
+    def test_the_end_of_a_limit_of_zero_can_be_noticed(self) -> None:
         self.limits.observe(self.first, "0", self.clock.now_s)
         sends = 0
         for _ in range(200):
             self.clock.now_s += 0.3
-            self.parts.beat()
+            self.setup.beat()
             if self.limits.verdict(self.first) is LimitVerdict.GRANTED:
                 self.limits.sent(self.first)
                 sends += 1
         self.assertIn(sends, range(2, 8))  # in 60 s
 
-    def test_more_replicas_than_go_into_one_frame_are_told_one_after_another(self) -> None:
+    def test_replicas_beyond_one_frame_follow_in_later_frames(self) -> None:
         reports = [
             control_pb2.ReplicaLimit(replica=f"x{number}", per_s=1.0)
             for number in range(2 * MOST_REPORTS + 1)
         ]
-        self.parts.leader.observe("g1", reports)
+        self.setup.leader.observe("g1", reports)
         told: set[str] = set()
         for _ in range(3):
             frame = control_pb2.ControlFrame()
-            self.parts.leader.fill(self.parts.session, frame)
+            self.setup.leader.fill(self.setup.session, frame)
             self.assertLessEqual(len(frame.replica_limits), MOST_REPORTS)
             told |= {message.replica for message in frame.replica_limits}
         self.assertEqual(len(told), 2 * MOST_REPORTS + 1)
 
-    def test_a_number_that_is_none_is_not_taken_from_a_gateway(self) -> None:
+    def test_an_invalid_limit_from_a_gateway_is_ignored(self) -> None:
         bad = [
             control_pb2.ReplicaLimit(replica="r0", per_s=value) for value in (-1.0, float("nan"))
         ]
-        self.parts.leader.observe("g1", bad)
-        self.assertEqual(self.parts.metrics.counters["replica_limits_malformed", ""], 2)
+        self.setup.leader.observe("g1", bad)
+        self.assertEqual(self.setup.metrics.counters["replica_limits_malformed", ""], 2)
 
 
-class EndOfANeedTest(unittest.TestCase):
+class EndOfLimitTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.parts = _Parts()
-        self.clock, self.limits, self.first = self.parts.clock, self.parts.limits, self.parts.first
+        self.setup = _GatewayAndLeader()
+        self.clock, self.limits, self.first = self.setup.clock, self.setup.limits, self.setup.first
         self.limits.observe(self.first, "1.7", self.clock.now_s)
 
-    def test_an_answer_begun_after_the_last_that_named_it_ends_it(self) -> None:
+    def test_a_later_response_without_limit_ends_it(self) -> None:
         sent_s = self.clock.now_s + 0.1
         self.clock.now_s += 0.3
         self.limits.observe(self.first, None, sent_s)
         self.assertIsNone(self.limits.verdict(self.first))
 
-    def test_a_late_answer_to_an_earlier_request_does_not(self) -> None:
+    def test_a_late_response_to_an_earlier_request_does_not_end_it(self) -> None:
         """The head of a slow stream came after answers that named the limit."""
         sent_s = self.clock.now_s - 0.1
         self.clock.now_s += 5.0
         self.limits.observe(self.first, None, sent_s)
         self.assertIsNotNone(self.limits.verdict(self.first))
 
-    def test_a_malformed_number_does_not(self) -> None:
+    def test_a_malformed_limit_does_not_end_it(self) -> None:
         self.clock.now_s += 1.0
         self.limits.observe(self.first, "soon", self.clock.now_s - 0.1)
         self.assertIsNotNone(self.limits.verdict(self.first))
 
-    def test_all_gateways_hear_of_it_and_of_its_return(self) -> None:
-        other = _Parts()
-        other.clock, other.leader, other.session = self.clock, self.parts.leader, self.parts.session
-        session = self.parts.new_session("g1")
+    def test_all_gateways_learn_of_its_end_and_return(self) -> None:
+        other = _GatewayAndLeader()
+        other.clock, other.leader, other.session = self.clock, self.setup.leader, self.setup.session
+        session = self.setup.new_session("g1")
 
         def told() -> list[bool]:
             frame = control_pb2.ControlFrame()
-            self.parts.leader.fill(session, frame)
+            self.setup.leader.fill(session, frame)
             return [message.ended for message in frame.replica_limits]
 
-        self.parts.beat()
+        self.setup.beat()
         self.assertEqual(told(), [False])
         self.clock.now_s += 1.0
         self.limits.observe(self.first, None, self.clock.now_s - 0.1)
-        self.parts.beat()
+        self.setup.beat()
         self.assertEqual(told(), [True])
         self.clock.now_s += 1.0
         self.limits.observe(self.first, "0.5", self.clock.now_s - 0.1)
-        self.parts.beat()
+        self.setup.beat()
         self.assertEqual(told(), [False])
         self.assertEqual(told(), [])
 
-    def test_a_later_start_of_a_replica_has_no_limit(self) -> None:
+    def test_a_restarted_replica_has_no_limit(self) -> None:
         self.first.record.start_ms = 7
         self.assertIsNone(self.limits.verdict(self.first))
 
@@ -270,14 +270,14 @@
 
 
 class DemandTest(unittest.TestCase):
-    def test_what_waits_is_asked_for_and_little_ahead_of_it(self) -> None:
+    def test_requested_grants_if_all_replicas_are_limited(self) -> None:
         all_limited = {"limited": 6, "usable": 6}
         self.assertEqual(sends_wanted(1, 1, **all_limited, held=0), 1)
         self.assertEqual(sends_wanted(1, 0, **all_limited, held=0), 0)
         self.assertEqual(sends_wanted(10, 0, **all_limited, held=4), 5)
         self.assertEqual(sends_wanted(0, 0, **all_limited, held=0), 0)
 
-    def test_beside_others_only_the_part_that_would_go_there(self) -> None:
+    def test_requested_grants_if_some_replicas_are_limited(self) -> None:
         self.assertEqual(sends_wanted(12, 0, limited=1, usable=6, held=0), 2)
         self.assertEqual(sends_wanted(1, 0, limited=1, usable=6, held=0), 1)
 
--- a/tests/test_response_signals.py
+++ b/tests/test_response_signals.py
@@ -42,24 +42,24 @@
                 signals = _read(503, ("Retry-After", text), ("Not-Run", "1"))
                 self.assertEqual((signals.back_off_s, signals.malformed), (seconds, ()))
 
-    def test_dates_go_by_the_senders_clock(self) -> None:
+    def test_dates_are_relative_to_the_senders_clock(self) -> None:
         ahead_s = _WALL_S + 7_200  # the replica's clock is two hours ahead
         dated = _read(503, ("Date", _date(ahead_s)), ("Retry-After", _date(ahead_s + 4)))
         self.assertEqual(dated.back_off_s, 4.0)
         self.assertEqual(_read(503, ("Retry-After", _date(_WALL_S + 5))).back_off_s, 5.0)
         self.assertEqual(_read(503, ("Retry-After", _date(_WALL_S - 5))).back_off_s, 0.0)
 
-    def test_what_cannot_be_read_asks_for_nothing(self) -> None:
+    def test_malformed_values_request_no_back_off(self) -> None:
         for text in ("", "-1", "nan", "inf", "soon", "1e3", "1,5", "3s", "9" * 400, "٣"):
             with self.subTest(text=text):
                 signals = _read(503, ("Retry-After", text))
                 self.assertEqual((signals.back_off_s, signals.malformed), (0.0, ("Retry-After",)))
 
-    def test_the_longest_of_several_counts(self) -> None:
+    def test_the_longest_of_several_values_applies(self) -> None:
         signals = _read(503, ("Retry-After", "2"), ("Retry-After", "soon"), ("Retry-After", "5"))
         self.assertEqual((signals.back_off_s, signals.malformed), (5.0, ("Retry-After",)))
 
-    def test_which_statuses_speak_of_the_replica(self) -> None:
+    def test_only_some_statuses_request_back_off(self) -> None:
         """A 429 that may have run is the application's answer to one of its callers."""
         asked = ("Retry-After", "3")
         self.assertEqual(_read(503, asked).back_off_s, 3.0)
@@ -67,7 +67,7 @@
         for status in (200, 301, 429, 500, 504):
             self.assertEqual(_read(status, asked).back_off_s, 0.0, status)
 
-    def test_an_answer_of_another_incarnation_says_nothing_of_this_one(self) -> None:
+    def test_a_misdirected_response_carries_no_other_signals(self) -> None:
         signals = _read(421, ("Retry-After", "3"), ("Leaving", "1"), ("Limit", "2"))
         self.assertEqual(signals, ResponseSignals(misdirected=True))
 
@@ -107,7 +107,7 @@
         verdict = self.availability.verdict(replica or self.replica)
         return verdict is Availability.BACKING_OFF
 
-    def test_the_latest_end_counts(self) -> None:
+    def test_the_latest_end_of_back_off_applies(self) -> None:
         self._ask(8.0)
         self.clock.now_s += 1.0
         self._ask(0.5)
@@ -117,16 +117,16 @@
         self.clock.now_s = 108.0
         self.assertFalse(self._backs_off())
 
-    def test_it_binds_one_incarnation(self) -> None:
+    def test_back_off_applies_to_one_incarnation(self) -> None:
         self._ask(8.0)
         self.assertFalse(self._backs_off(_replica("r1")))
         self.assertFalse(self._backs_off(_replica("r0", start_ms=5)))
 
-    def test_a_replica_that_is_not_registered_comes_first(self) -> None:
+    def test_unregistered_takes_precedence(self) -> None:
         view = AvailabilityView(1.0, registered=False, back_off_until_s=2.0)
         self.assertIs(judge(view), Availability.UNREGISTERED)
 
-    def test_afterwards_it_gets_one_request_then_more(self) -> None:
+    def test_the_window_grows_after_back_off(self) -> None:
         self._ask(3.0)
         self.clock.now_s += 3.0
         self.replica.in_flight = 1
@@ -139,7 +139,7 @@
         self.replica.in_flight = 50
         self.assertFalse(self.availability.is_window_full(self.replica), "all of its slots")
 
-    def test_callers_are_told_moments_of_their_own(self) -> None:
+    def test_callers_get_different_retry_times(self) -> None:
         second = _replica("r1")
         self._ask(3.0)
         self._ask(5.0, second)
--- a/tests/test_unreached_replicas.py
+++ b/tests/test_unreached_replicas.py
@@ -40,7 +40,7 @@
             await asyncio.sleep(0.02)
         return statuses
 
-    async def test_dead_replicas_cost_requests_nothing_once_they_are_known(self) -> None:
+    async def test_known_dead_replicas_do_not_affect_requests(self) -> None:
         """They look idle: each time their suspicion lapsed, requests went to them first.
 
         With six of seven dead one request met four of them in a row, and was refused with «no
@@ -54,7 +54,7 @@
         self.assertEqual(set(statuses), {200})
         self.assertEqual(self.role.metrics.counters["sends_failed", "NotReachedError"], failed)
 
-    async def test_a_try_that_reached_no_replica_needs_no_repeat(self) -> None:
+    async def test_an_unreachable_replica_uses_no_retry(self) -> None:
         """«no replica took the request» after one refused connection, with others idle.
 
         The repeats that a gateway may make were used up, by tries at replicas that had crashed.
