--- a/tests/back_off_simulation.py
+++ b/tests/back_off_simulation.py
@@ -1,8 +1,9 @@
-"""Gateways and replicas that shed for a while in virtual time, with the product's own decisions.
+"""Simulation in virtual time of gateways and overloaded replicas, with the production decisions.
 
-All replicas of a plain service turn requests away for three seconds and ask for back-off; after
-that they shed only what is over their places and a short queue. A refused caller comes back once,
-when it was told to. Links take a millisecond each way; gateways hear nothing of each other's load.
+All replicas of a service reject requests for three seconds and ask for back-off. After that they
+reject only requests that exceed their slots and a short queue. A refused caller retries once, at
+the time that it was given. Links delay each direction by a millisecond. Gateways do not know each
+other's load.
 """
 
 import heapq
@@ -45,7 +46,16 @@
 
 @dataclass
 class _Replica:
-    """A replica, its work, and what it asked whom for."""
+    """A simulated replica.
+
+    Attributes:
+        name: Its id.
+        slots: Requests that it runs at once.
+        running: Requests that run now.
+        waiting: Queued requests with their gateways.
+        asked: Rejections: time, gateway and requested back-off in seconds.
+        arrivals: Time and gateway of each request that arrived.
+    """
 
     name: str
     slots: int
@@ -57,7 +67,7 @@
 
 @dataclass
 class _Gateway:
-    """What one gateway knows."""
+    """A simulated gateway and its state."""
 
     name: str
     availability: ReplicaAvailability
@@ -66,7 +76,7 @@
 
 @dataclass
 class _Request:
-    """One try of a caller."""
+    """One try of a caller: a request, with its attempts at replicas."""
 
     number: int
     tries: int = 1
@@ -76,19 +86,19 @@
 
 @dataclass
 class BackOffSimulation:
-    """One run.
+    """One simulation.
 
     Attributes:
-        gateways: How many.
-        replicas: How many.
+        gateways: Number of gateways.
+        replicas: Number of replicas.
         slots: Requests that a replica runs at once.
-        load: Requests that come, as a share of what the replicas bear.
-        asks_s: Time that shedding replicas ask for.
-        seconds: How long.
-        seed: Of all choices.
-        is_spread: Whether refused callers are told moments of their own, and a replica that is
-            back gets one request at first.
-        is_kept: Whether back-off is kept at all.
+        load: Rate of new requests, as a fraction of the capacity of the replicas.
+        requested_back_off_s: Back-off that overloaded replicas ask for.
+        seconds: Time during which new requests arrive.
+        seed: Seed of the random numbers.
+        spreads_retries: Whether refused callers get different retry times, and a replica gets one
+            request at first after its back-off.
+        respects_back_off: Whether gateways respect back-off at all.
     """
 
     gateways: int = 6
@@ -127,7 +137,7 @@
 
     @property
     def per_s(self) -> float:
-        """Requests of new callers a second."""
+        """New requests per second, without retries."""
         return self.load * self.replicas * self.slots / _SERVICE_TIME_S
 
     # ---- time -------------------------------------------------------------
@@ -136,7 +146,7 @@
         heapq.heappush(self._events, (self.clock.now_s + after_s, next(self._order), event))
 
     def run(self) -> "BackOffSimulation":
-        """Play the run."""
+        """Run the simulation until no events are left."""
         self._arrive()
         while self._events:
             self.clock.now_s, _, event = heapq.heappop(self._events)
@@ -257,10 +267,10 @@
         if replica.waiting:
             self._start(replica, *replica.waiting.pop(0))
 
-    # ---- what is judged ---------------------------------------------------
+    # ---- results ----------------------------------------------------------
 
     def max_attempts_during_back_off(self) -> int:
-        """Return the most requests that a gateway sent in one of the times it was asked for."""
+        """Return the largest number of attempts of one gateway during one requested back-off."""
         return max(
             (
                 self._attempts_during(replica, *asked)
@@ -281,10 +291,10 @@
         )
 
     def recovery_s(self, share: float = 0.9) -> float:
-        """Return how long after the shedding ended so much of what comes is served a second."""
+        """Return the time from the end of the overload until ``share`` of the load is served."""
         for step in range(80):
             from_s = OVERLOAD_S[1] + step * 0.1
-            served = sum(1 for moment_s in self.served_s if from_s <= moment_s < from_s + 0.5)
+            served = sum(1 for served_s in self.served_s if from_s <= served_s < from_s + 0.5)
             if served >= share * self.per_s * 0.5:
                 return step * 0.1
         return float("inf")
--- a/tests/limit_simulation.py
+++ b/tests/limit_simulation.py
@@ -1,6 +1,7 @@
-"""Gateways, a leader and rate-limited replicas in virtual time, with the product's own decisions.
+"""Simulation in virtual time of gateways, a leader and rate-limited replicas.
 
-Way there and back take some milliseconds; the book counts what each replica gets in sum.
+It uses the production decisions. Messages take up to 20 ms in each direction. The simulation
+records every arrival at a replica and checks the totals against the limits.
 """
 
 import heapq
@@ -24,7 +25,7 @@
 
 SERVICE = "app"
 _HEARTBEAT_S = 0.3
-_SHARED_S = 1.0
+_SHARED_S = 1.0  # time until all gateways know a new limit
 
 
 class _Clock(Environment):
@@ -36,21 +37,22 @@
 
 @dataclass
 class LimitSimulation:
-    """One run.
+    """One simulation. All times are in seconds from its start.
 
     Attributes:
-        gateways: How many.
-        limits: Requests a second of each replica that is rate-limited.
-        healthy: Replicas beside them.
-        per_s: Requests of all callers a second.
-        seconds: How long.
-        seed: Of all choices.
-        weights: Gives the part of the requests that a gateway gets.
-        leaderless: Spans without a leader, in seconds from the start.
-        cut: Gateways that are cut from control, and from when to when.
-        changes: New limits of the first replica, by when.
-        burst: Times as many requests, from when to when.
-        wakes: Gateways that stand still, and from when to when.
+        gateways: Number of gateways.
+        limits: Limit of each rate-limited replica, in requests per second.
+        healthy: Number of replicas without a limit.
+        per_s: Requests of all callers per second.
+        seconds: Duration.
+        seed: Seed of the random numbers.
+        weights: Returns the relative rate of requests at a gateway.
+        leaderless: Intervals without a leader.
+        cut: Intervals in which gateways are disconnected from control, by gateway.
+        changes: New limits of the first replica, by time.
+        burst: Interval, and the factor by which it has more requests.
+        frozen: Intervals in which gateways are suspended, by gateway.
+        starts: Start times of gateways that start late.
     """
 
     gateways: int
@@ -74,7 +76,8 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
         self.arrivals: dict[str, list[tuple[float, int]]] = {}
-        self.named: dict[str, list[tuple[float, float | None]]] = {}  # since when which limit
+        # Limits announced by each replica, with their start times.
+        self.named: dict[str, list[tuple[float, float | None]]] = {}
         self.sent = self.refused = self.served_by_healthy = 0
         self.heartbeat_bytes = self.frame_bytes = 0
         self.limit_now: dict[str, float | None] = {
@@ -91,7 +94,7 @@
         for number in range(self.gateways):
             self._add_gateway(number)
 
-    # ---- parts ------------------------------------------------------------
+    # ---- setup ------------------------------------------------------------
 
     def _make_leader(self) -> SharedReplicaLimits:
         return SharedReplicaLimits(
@@ -138,10 +141,10 @@
         stands = number in self.frozen and self._within([self.frozen[number]])
         return stands or self.elapsed_s < self.starts.get(number, 0.0)
 
-    # ---- what happens -----------------------------------------------------
+    # ---- events -----------------------------------------------------------
 
     def run(self) -> "LimitSimulation":
-        """Play it."""
+        """Run the simulation to its end."""
         for number in range(self.gateways):
             self._schedule(
                 self.source.random() * _HEARTBEAT_S, lambda n=number: self._heartbeat_loop(n)
@@ -220,7 +223,7 @@
                 limits.caller_retry_after_s(SERVICE)
             return
         granted = [one for one in eligible if limits.verdict(one) is LimitVerdict.GRANTED]
-        # As placement does among equals: here at half of the requests that could.
+        # Like placement among equal replicas, prefer one with a grant; here for half of them.
         prefers = granted and self.source.random() < 0.5
         replica = self.source.choice(granted if prefers else eligible)
         limits.sent(replica)
@@ -248,13 +251,16 @@
         if not self._is_frozen(number):
             self.limited[number].observe(replica, text, sent_s)
 
-    # ---- the book ---------------------------------------------------------
+    # ---- results ----------------------------------------------------------
 
     def _window_totals(self, name: str, excused: frozenset[int]) -> list[tuple[float, int, float]]:
-        """Return what a replica got in the four seconds up to each send, and what it may get.
+        """Return how many requests a replica got in the four seconds up to each arrival.
 
-        A report takes a second to come round. So while it changes the larger limit counts, and
-        nothing is judged until a second after the replica named one again.
+        A report reaches all gateways within a second. Therefore the larger limit applies while a
+        limit changes, and nothing is checked until a second after a replica announced a limit.
+
+        Returns:
+            End of the window, number of requests in it, and the number allowed.
         """
         counted = [
             at_s
@@ -271,7 +277,7 @@
         return judged
 
     def _is_limit_known(self, name: str, at_s: float) -> bool:
-        """Whether all gateways could know at a moment that a replica names a limit."""
+        """Return whether all gateways could know at a time that a replica has a limit."""
         named = [elapsed_s for elapsed_s, limit in self.named[name] if elapsed_s <= at_s]
         if not named or self.named[name][len(named) - 1][1] is None:
             return False
@@ -288,11 +294,11 @@
         return max(limit for limit in [*limits, *before, 0.0] if limit is not None)
 
     def most(self, name: str, excused: frozenset[int] = frozenset()) -> int:
-        """Return the most that a replica got in four seconds, once its report could be round."""
+        """Return the most requests in four seconds, once all gateways could know the limit."""
         return max((got for _, got, _ in self._window_totals(name, excused)), default=0)
 
     def violations(self, excused: frozenset[int] = frozenset()) -> list[str]:
-        """Return which replicas got more than they may, with the first time each."""
+        """Return the replicas that got more than allowed, with the first time of each."""
         found = []
         for name in self.named:
             for end_s, got, may in self._window_totals(name, excused):
@@ -302,7 +308,7 @@
         return found
 
     def used_fraction(self, name: str) -> float:
-        """Return what part of its limit a replica got, after the first seconds."""
+        """Return the fraction of its limit that a replica got, after the first seconds."""
         limit = self.limit_now[name]
         assert limit
         from_s = self.named[name][0][0] + 2 * _SHARED_S
--- a/tests/test_address_reuse.py
+++ b/tests/test_address_reuse.py
@@ -1,7 +1,7 @@
-"""Addresses of replicas that are gone belong to other services soon: none is taken for the other.
+"""Reuse of replica addresses by other services.
 
-Every send names the incarnation that it means; whoever else is there answers 421, has not
-run it, and is asked no more for that incarnation.
+Every attempt names the intended incarnation. Any other replica at the address responds with 421 and
+does not run the request, and gateways stop sending to the old incarnation.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 
 async def _as_named(replica: StandInReplica, received: Received) -> bytes:
-    """Answer as a replica does that is asked for by its name, or for another."""
+    """Respond as a replica that checks the name in the request."""
     if received.headers.get("expect-instance") != replica.identity:
         return b"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"
     return answer(received)
@@ -50,7 +50,7 @@
             path = ("/once/", "/safe/", "/stream/")[number % 3]
             got = await self.fleet.request(path, Request_Id=f"u{number}")
             self.assertEqual((got.status, got.body), (200, b"done"))
-            await asyncio.sleep(0.05)  # past the first pause of one that merely failed
+            await asyncio.sleep(0.05)  # longer than the first suspicion after a failure
         self.assertEqual(len(sound.received), 30)
         self.assertEqual(len(reused.received), 1)
 
--- a/tests/test_back_off_runs.py
+++ b/tests/test_back_off_runs.py
@@ -1,4 +1,4 @@
-"""Many gateways before replicas that all shed for three seconds, in virtual time."""
+"""Back-off of many gateways from replicas that all reject for three seconds, in virtual time."""
 
 import unittest
 
@@ -18,7 +18,7 @@
         self.assertGreater(run.max_attempts_during_back_off(), 20)
 
     def test_spreading_retries_serves_more_requests(self) -> None:
-        """At six gateways: each has a sixth of all callers, who would return in one instant."""
+        """Each of six gateways has a sixth of all callers, which would otherwise retry at once."""
         spread = BackOffSimulation(6, load=0.95).run()
         at_once = BackOffSimulation(6, load=0.95, spreads_retries=False).run()
         self.assertGreater(spread.outcomes["served"], at_once.outcomes["served"])
--- a/tests/test_cold_replicas.py
+++ b/tests/test_cold_replicas.py
@@ -1,4 +1,4 @@
-"""Cold replicas: what all gateways together send to one in any second, and who is told."""
+"""Limits on the requests of all gateways to a cold replica, and reports of cold replicas."""
 
 import asyncio
 import random
@@ -49,7 +49,7 @@
                 self.assertGreaterEqual(sum(shares), min(count, 4))
 
     def test_two_views_of_the_gateways_stay_within_the_bound(self) -> None:
-        """Those cut from control know other gateways than the rest."""
+        """Gateways that are disconnected from control may know another set of gateways."""
         source = random.Random(1)
         everyone = sorted(_names(60))
         for trial in range(50):
@@ -73,7 +73,7 @@
 
 
 class _Gateway:
-    """One gateway's view of a zone of replicas that came back cold."""
+    """One gateway's view of a restored zone whose replicas are cold."""
 
     def __init__(self, name: str, gateways: int, seed: int) -> None:
         known = GatewaysKnown(_names(gateways), gateways)
@@ -111,7 +111,7 @@
 
 
 class RestoredZoneTest(unittest.TestCase):
-    """A zone of idle, cold replicas looks the least loaded to every gateway."""
+    """To every gateway, the idle and cold replicas of a restored zone look least loaded."""
 
     def _simulate(self, bears_per_s: float) -> int:
         gateways = [_Gateway(f"front-{number}", 30, number) for number in range(30)]
@@ -125,8 +125,8 @@
         return max(_busiest_second(sent.get(f"r{number}", [0.0])) for number in (0, 3, 6))
 
     def test_no_replica_exceeds_the_bound_in_any_second(self) -> None:
-        """23 and 24 requests reached cold replicas in a second in which 20 were allowed."""
-        self.assertGreater(self._simulate(bears_per_s=0.0), _BOUND)  # as any other replica
+        """Guards against 23 and 24 requests in a second at cold replicas, with 20 allowed."""
+        self.assertGreater(self._simulate(bears_per_s=0.0), _BOUND)  # like any other replica
         self.assertLessEqual(self._simulate(bears_per_s=_BEARS_PER_S), _BOUND)
 
     def test_cold_replicas_get_some_requests(self) -> None:
@@ -173,7 +173,7 @@
         self.assertEqual(self._place(None), "in-south-1")
         self.assertEqual(self._place(frozenset({"north"})), "in-north-1")
         self.assertIsNone(self._place(frozenset({"west"})))
-        self.assertIsNone(self._place(frozenset()))  # route and tenant have none in common
+        self.assertIsNone(self._place(frozenset()))  # route and tenant share no region
 
 
 def _replica(cold_ms: int = 0) -> resources_pb2.Replica:
@@ -236,11 +236,11 @@
         return [got.status for got in await asyncio.gather(*requests)]
 
     async def test_a_cold_replica_gets_its_share_and_the_rest_goes_elsewhere(self) -> None:
-        """A gateway sent all to one that had just come back: it was the least loaded."""
+        """A replica that has just come back is the least loaded and would get all requests."""
         await self.fleet.add_replica("warm", self._script)
         await self.fleet.add_replica("cold", self._script, coldRemainingMs=3000)
         self.assertEqual(set(await self._burst(40)), {200})
-        # Without settings for it, all gateways may send what it bears, one group of two half.
+        # By default all gateways may send what it can process, each of two groups half of that.
         self.assertLessEqual(self.served.count("cold"), 2)
         self.assertGreaterEqual(self.served.count("cold"), 1)
 
@@ -261,7 +261,7 @@
             "/api/Replicas.Heartbeat/cold",
             replica.heartbeat(coldRemainingMs=2000, sequence=9),
         )
-        async with asyncio.timeout(5):  # it turned cold once more
+        async with asyncio.timeout(5):  # it becomes cold again
             while set(await self._burst(10)) == {200}:
                 await asyncio.sleep(0.05)
 
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -1,4 +1,4 @@
-"""Which replica a gateway chooses, and that gateways agree without asking each other."""
+"""Placement by a gateway, and agreement between gateways without communication."""
 
 import random
 import unittest
@@ -26,7 +26,7 @@
 
 
 def _gateway(zone: str, seed: int) -> FleetReplicas:
-    """Return what a gateway of a zone knows: nine replicas over three zones."""
+    """Return the state of a gateway in a zone, with nine replicas in three zones."""
     configuration = ConfigurationStore("gateway")
     environment = _Clock(random=random.Random(seed))
     cold = ColdLimits("gateway", 1.5, 5, lambda: GatewaysKnown({"gateway"}, 1))
@@ -46,13 +46,13 @@
     return replicas
 
 
-def _plan(subject: int, request: int, subject_tokens: int = 4_870) -> RequestProfile:
+def _profile(subject: int, request: int, subject_tokens: int = 4_870) -> RequestProfile:
     parts = parse_parts(f"menu:512,{subject:x}:{subject_tokens},own{request}:6000")
     return RequestProfile(_SERVICE, parts, 6_512 + subject_tokens)
 
 
 def _send(gateway: FleetReplicas, profile: RequestProfile) -> str:
-    """Choose a replica and have it finish at once."""
+    """Send a request to the chosen replica and complete it at once."""
     replica = gateway.place(profile, ()).replica
     assert replica is not None
     unread = gateway.sent(replica, profile)
@@ -62,7 +62,7 @@
 
 
 def _learn_starts(gateway: FleetReplicas, start_ms: int) -> None:
-    """Have all replicas' records tell when they started."""
+    """Set the start time in the records of all replicas."""
     configuration = gateway._configuration
     update = control_pb2.ConfigUpdate(revision=start_ms)
     for record in configuration.replicas():
@@ -74,11 +74,11 @@
 
 class StartsTest(unittest.TestCase):
     def test_learning_the_start_time_keeps_cached_parts(self) -> None:
-        """A release raises the cluster version: all replicas tell starts that were not known."""
+        """After a rise of the cluster version, replicas report start times that were unknown."""
         gateway = _gateway("zone-0", 1)
-        profile = _plan(1, 1)
+        profile = _profile(1, 1)
         _send(gateway, profile)
-        for start_ms, is_kept in ((5, True), (6, False)):  # with 6 all have started again
+        for start_ms, is_kept in ((5, True), (6, False)):  # a different start time is a restart
             _learn_starts(gateway, start_ms)
             kept = [one.parts.kept_tokens(profile.parts) for one in gateway._replicas.values()]
             self.assertEqual(any(kept), is_kept)
@@ -86,36 +86,44 @@
 
 class SharedPartsTest(unittest.TestCase):
     def test_gateways_send_a_shared_part_to_one_replica(self) -> None:
-        """191 of 258 thousand tokens read again on a quiet day: its head was kept elsewhere too."""
+        """Gateways that know only the common first part at many replicas choose the same one.
+
+        Otherwise prompts are processed again: once 191,000 of 258,000 tokens at low load.
+        """
         first, second = _gateway("zone-0", 1), _gateway("zone-1", 2)
-        for request in range(200):  # by now each replica keeps the part that all begin with
-            _send(first, _plan(1_000 + request, request))
-            _send(second, _plan(2_000 + request, request))
+        for request in range(200):  # afterwards each replica caches the first part
+            _send(first, _profile(1_000 + request, request))
+            _send(second, _profile(2_000 + request, request))
         for subject in range(50):
-            profile = _plan(subject, subject)
+            profile = _profile(subject, subject)
             self.assertEqual(_send(first, profile), _send(second, profile))
 
     def test_a_replica_known_to_cache_a_part_is_preferred(self) -> None:
         gateway = _gateway("zone-0", 1)
-        expected = _send(gateway, _plan(7, 1))
+        expected = _send(gateway, _profile(7, 1))
         gateway.failed(next(r for r in gateway.usable(_SERVICE) if r.name == expected), "test")
-        keeper = _send(gateway, _plan(7, 2))
+        keeper = _send(gateway, _profile(7, 2))
         self.assertNotEqual(keeper, expected)
         other = _gateway("zone-0", 2)
         other.failed(next(r for r in other.usable(_SERVICE) if r.name == expected), "test")
-        self.assertEqual(_send(other, _plan(7, 3)), keeper)  # all fall back on the same one
+        self.assertEqual(
+            _send(other, _profile(7, 3)), keeper
+        )  # all gateways fall back to the same replica
 
     def test_a_small_part_does_not_outweigh_a_long_wait(self) -> None:
         gateway = _gateway("zone-0", 1)
-        small = _plan(7, 1, subject_tokens=80)
+        small = _profile(7, 1, subject_tokens=80)
         expected = _send(gateway, small)
         busy = next(r for r in gateway.usable(_SERVICE) if r.name == expected)
-        busy.unread_tokens = 60_000  # more than a second of reading
-        self.assertNotEqual(_send(gateway, _plan(7, 2, subject_tokens=80)), expected)
+        busy.unread_tokens = 60_000  # takes more than a second to process
+        self.assertNotEqual(_send(gateway, _profile(7, 2, subject_tokens=80)), expected)
 
 
 class SharedLoadTest(unittest.TestCase):
-    """23 gateways saw a 23rd of a replica's load each: 14 in 100 streams were late in calm."""
+    """A gateway takes the load of other gateways into account.
+
+    If each of 23 gateways knows only its own requests, 14 of 100 streams are late at normal load.
+    """
 
     def setUp(self) -> None:
         self.gateway = _gateway("zone-0", 1)
@@ -132,21 +140,21 @@
         busy = {f"replica_{number}": 40_000 for number in range(8)}
         self._told(**busy)
         chosen = [_send(self.gateway, profile) for _ in range(200)]
-        # The idle one is among four of nine drawn at random in 4 of 9 cases.
+        # Four of nine replicas are sampled, so the idle one is a candidate in 4 of 9 cases.
         self.assertGreater(chosen.count("replica-8"), 60)
-        self.assertLess(chosen.count("replica-8"), 130)  # and is not taken by all at once
+        self.assertLess(chosen.count("replica-8"), 130)  # not every request goes there
 
     def test_a_loaded_replica_with_cached_parts_is_avoided_if_waiting_costs_more(self) -> None:
-        owner = _send(self.gateway, _plan(7, 1))
-        self.assertEqual(_send(self.gateway, _plan(7, 2)), owner)
+        owner = _send(self.gateway, _profile(7, 1))
+        self.assertEqual(_send(self.gateway, _profile(7, 2)), owner)
         self._told(**{owner.replace("-", "_"): 60_000})
-        self.assertNotEqual(_send(self.gateway, _plan(7, 3)), owner)
+        self.assertNotEqual(_send(self.gateway, _profile(7, 3)), owner)
 
     def test_stale_totals_are_not_used(self) -> None:
-        owner = _send(self.gateway, _plan(7, 1))
+        owner = _send(self.gateway, _profile(7, 1))
         self._told(**{owner.replace("-", "_"): 60_000})
         self.gateway.loads.updated_s -= 5
-        self.assertEqual(_send(self.gateway, _plan(7, 2)), owner)
+        self.assertEqual(_send(self.gateway, _profile(7, 2)), owner)
 
     def test_a_heartbeat_reports_the_load_of_its_gateway(self) -> None:
         replica = self.gateway.place(
@@ -193,7 +201,7 @@
                 self.assertEqual(load.unread_tokens, sum(tokens for _, tokens in others))
 
     def test_a_report_by_one_of_many_routers_is_forwarded_at_once(self) -> None:
-        """Only after a quarter of the routers had told: a request went where it had to wait."""
+        """Waiting for reports of a quarter of the routers sends requests to loaded replicas."""
         sums = ReplicaLoads()
         for router in range(40):
             sums.observe(f"g{router}", {"r0": control_pb2.ReplicaLoad(in_flight=1)})
--- a/tests/test_limit_runs.py
+++ b/tests/test_limit_runs.py
@@ -1,4 +1,4 @@
-"""What rate-limited replicas get in sum in random runs, and breakages that these notice."""
+"""Total rates at limited replicas in random simulations, and broken rules that these detect."""
 
 import random
 import unittest
@@ -17,7 +17,7 @@
 def random_simulation(
     seed: int, gateways: int | None = None
 ) -> tuple[LimitSimulation, frozenset[int]]:
-    """Return a run with troubles, and the gateways that had some of their own."""
+    """Return a simulation with random faults, and the gateways that had faults of their own."""
     source = random.Random(seed)
     count = gateways or source.choice((3, 6, 12, 30, 30))
     limit = source.choice((0.3, 0.5, 1.7, 5.0, 20.0))
@@ -51,7 +51,7 @@
 
 
 def violations(seeds: range) -> int:
-    """Return how many runs broke the bound."""
+    """Return the number of simulations that exceeded a limit."""
     found = 0
     for seed in seeds:
         run, troubled = random_simulation(seed)
@@ -71,7 +71,7 @@
             self.assertEqual(run.run().violations(troubled), [], f"seed {seed}")
 
     def test_most_of_the_limit_is_used(self) -> None:
-        """At 6 and 30 gateways, all replicas rate-limited: callers ask for three times as much."""
+        """All replicas are rate-limited, and callers request three times the limits."""
         for gateways in (6, 30):
             run = LimitSimulation(gateways, [1.7] * 6, 0, 30.0).run()
             used = sum(run.used_fraction(name) for name in run.named) / len(run.named)
@@ -80,11 +80,11 @@
     def test_gateways_with_few_requests_notice_the_end_of_a_limit(self) -> None:
         run = LimitSimulation(300, [1.7], 5, 30.0, seconds=60.0, changes={10.0: None}).run()
         last = [at_s for at_s, _ in run.arrivals["r0"] if at_s > run.clock.now_s - 10.0]
-        self.assertGreater(len(last), 30, "a sixth of 300 requests, or near it")
+        self.assertGreater(len(last), 30, "close to a sixth of 300 requests")
 
 
 class BrokenRuleTest(unittest.TestCase):
-    """What keeps the sum is needed: without it runs break it."""
+    """Without any one of the rules, simulations exceed the limits."""
 
     def test_gateways_without_coordination_are_detected(self) -> None:
         def alone(limits: ReplicaLimits, replica: Any) -> LimitVerdict | None:
@@ -92,29 +92,29 @@
             if limited is None or limited.report.per_s is None:
                 return None
             now_s = limits._environment.monotonic()
-            sent = sum(1 for moment_s in limited.sends_s if moment_s > now_s - 1.0)
+            sent = sum(1 for sent_s in limited.sends_s if sent_s > now_s - 1.0)
             return LimitVerdict.ONE_OF_FEW if sent < limited.report.per_s else None
 
         with mock.patch.object(ReplicaLimits, "verdict", alone):
             self.assertGreater(violations(_SEEDS), 10)
 
     def test_grants_that_never_expire_are_detected(self) -> None:
-        def play() -> list[str]:
-            """30 gateways that use few of their grants get much at once."""
+        def simulate() -> list[str]:
+            """30 gateways that use few of their grants get a burst of requests."""
             return LimitSimulation(30, [1.7], 5, 3.0, burst=(15.0, 20.0, 100.0)).run().violations()
 
-        self.assertEqual(play(), [])
+        self.assertEqual(simulate(), [])
         with mock.patch.object(shared._Shared, "holds_s", lambda *_: 1000.0):
-            self.assertNotEqual(play(), [])
+            self.assertNotEqual(simulate(), [])
 
     def test_a_leader_that_accumulates_unused_grants_is_detected(self) -> None:
-        def play() -> list[str]:
-            """Gateways get next to nothing for a while, and then much at once."""
+        def simulate() -> list[str]:
+            """Gateways get few requests for a while, and then a burst."""
             return LimitSimulation(6, [1.7], 0, 0.5, burst=(12.0, 18.0, 200.0)).run().violations()
 
-        self.assertEqual(play(), [])
+        self.assertEqual(simulate(), [])
         with mock.patch.object(shared, "_SAVED_S", 1000.0):
-            self.assertNotEqual(play(), [])
+            self.assertNotEqual(simulate(), [])
 
 
 if __name__ == "__main__":
--- a/tests/test_replica_client.py
+++ b/tests/test_replica_client.py
@@ -1,4 +1,4 @@
-"""Connections of a gateway to replicas: which are kept, and which are given up."""
+"""Connections of a gateway to replicas: which are reused, and which are closed."""
 
 import asyncio
 import unittest
@@ -53,7 +53,7 @@
         return bodies
 
     async def test_an_expiring_connection_is_not_used(self) -> None:
-        """The request may meet the close on its way, and then nobody knows whether it ran."""
+        """If a request crosses the close of its connection, it is unknown whether it ran."""
 
         async def keeps(replica: StandInReplica, received: Received) -> bytes:
             return answer(received, Keep_Alive="timeout=1, max=100")
@@ -65,7 +65,10 @@
                 self.assertEqual(replica.connections, connections)
 
     async def test_a_connection_is_reused_after_a_complete_response(self) -> None:
-        """3,309 connections for 3,409 requests: empty data was taken for stray bytes."""
+        """Empty data from aiohttp is no stray data.
+
+        Otherwise nearly every request opens a connection: 3,309 for 3,409 requests.
+        """
         for script in (_done, _stream):
             replica = StandInReplica("i-1", script)
             await self._send_twice(replica, may_run_twice=True)
--- a/tests/test_replica_connect_probe.py
+++ b/tests/test_replica_connect_probe.py
@@ -1,4 +1,4 @@
-"""Whether a replica accepts connections, as a process tells that may be late itself."""
+"""Probes of replica addresses, also by a process whose event loop lags."""
 
 import asyncio
 import time
@@ -30,10 +30,10 @@
             self.assertIs(await probe_connect("127.0.0.1:9"), ConnectOutcome.SILENT)
 
     async def test_event_loop_lag_makes_the_outcome_unclear(self) -> None:
-        """One with too much to do gave up connections that had come about."""
+        """A lagging event loop can time out connections that were established."""
 
         async def late(*_: object) -> None:
-            time.sleep(0.6)  # noqa: ASYNC251 - the loop stands still, as under load
+            time.sleep(0.6)  # noqa: ASYNC251 - blocks the event loop, as under load
             await asyncio.sleep(_NEVER_S)
 
         with mock.patch("asyncio.open_connection", late):
--- a/tests/test_replica_connections.py
+++ b/tests/test_replica_connections.py
@@ -1,4 +1,4 @@
-"""Who gets the connections that a gateway may have open to a replica."""
+"""Distribution of the connections that a gateway may open to a replica."""
 
 import asyncio
 import unittest
@@ -71,7 +71,7 @@
             await self._use(0.0, wait_s=0.05)
         self.assertLess(asyncio.get_running_loop().time() - began_s, 0.3)
         await asyncio.gather(*holds)
-        with self.assertRaises(NoConnectionError):  # the times are known by now
+        with self.assertRaises(NoConnectionError):  # the hold times are known by now
             await asyncio.gather(*(self._use(0.3, wait_s=0.2) for _ in range(8)))
 
     async def test_cancellation_at_any_time_leaks_no_connection(self) -> None:
--- a/tests/test_replica_limit_changes.py
+++ b/tests/test_replica_limit_changes.py
@@ -1,4 +1,4 @@
-"""What rate-limited replicas get while leaders, gateways and their limits come and go."""
+"""Rates at limited replicas while leaders, gateways and limits change."""
 
 import asyncio
 import unittest
@@ -8,7 +8,7 @@
 
 class ChangesTest(LimitedFleetCase):
     async def test_without_a_leader(self) -> None:
-        """Six gateways; control is gone while one of three replicas takes 1.7 a second."""
+        """Control stops while one of three replicas has a limit of 1.7 requests per second."""
         limited = await self.start(6, 3)
         await limited.ask(30.0, 0.5)
         bounded = limited.replicas[0]
@@ -17,7 +17,7 @@
         await limited.fleet.control.stop()
         judged = await limited.ask(30.0, 7.0)
         self.assert_within(limited)
-        self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
+        self.assertEqual(set(judged.statuses), {200}, "other replicas serve the callers")
 
     async def test_a_limit_that_ends_and_returns(self) -> None:
         limited = await self.start(3, 2)
@@ -28,7 +28,7 @@
         await limited.ask(20.0, 3.0)
         ended_s = asyncio.get_running_loop().time()
         await limited.ask(20.0, 2.0)
-        self.assertGreater(limited.sent_since(bounded, ended_s), 10, "used as the other one")
+        self.assertGreater(limited.sent_since(bounded, ended_s), 10, "used like the other replica")
         bounded.limit = "1.7"
         bounded.first_named_s = None
         bounded.arrivals.clear()
@@ -46,7 +46,7 @@
                 await asyncio.sleep(0.02)
         judged = await limited.ask(20.0, 6.0, weights=lambda number: -1)
         self.assert_within(limited)
-        self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
+        self.assertEqual(set(judged.statuses), {200}, "other replicas serve the callers")
 
     async def test_a_malformed_value_is_not_a_limit(self) -> None:
         limited = await self.start(1, 2)
--- a/tests/test_replica_limit_reports.py
+++ b/tests/test_replica_limit_reports.py
@@ -1,4 +1,4 @@
-"""Which report on a replica's limit is gone by, and how long what was granted holds."""
+"""Choice between reports on the limit of a replica, and validity of grants."""
 
 import unittest
 
@@ -45,7 +45,7 @@
         self.assertEqual(newest(None, early), early)
 
     def test_of_simultaneous_reports_the_stricter_wins(self) -> None:
-        """Over ways of different length it is not known which one was said last."""
+        """With different network delays the order of reports is unknown."""
         low, high, none = LimitReport(1.0, 5.0), LimitReport(3.0, 5.1), LimitReport(None, 5.1)
         for first, second in ((low, high), (high, low), (low, none), (none, low)):
             self.assertEqual(newest(first, second), low)
@@ -63,7 +63,7 @@
 
 
 class _GatewayAndLeader:
-    """One gateway and one leader with a clock of their own."""
+    """One gateway and one leader on a shared virtual clock."""
 
     def __init__(self, replicas: int = 2) -> None:
         self.clock = _Clock()
@@ -95,7 +95,7 @@
         return DaemonSession(control_pb2.Hello(daemon=ledger_pb2.DaemonRecord(name=name)))
 
     def beat(self, *, late_s: float = 0.0) -> control_pb2.ControlFrame:
-        """Tell the leader, and take its answer after a while."""
+        """Send a heartbeat to the leader and apply its response after a delay."""
         heartbeat, frame = control_pb2.Heartbeat(), control_pb2.ControlFrame()
         self.limits.requested(_SERVICE)
         self.limits.requested(_SERVICE)
@@ -109,7 +109,7 @@
         return frame
 
     def grant_one(self) -> None:
-        """Have the first replica name a limit, and the leader grant a send there."""
+        """Let the first replica announce a limit and the leader grant a request."""
         self.limits.observe(self.first, "1.7", self.clock.now_s)
         for _ in range(8):
             self.clock.now_s += 0.3
@@ -148,7 +148,7 @@
         self.assertIs(self.limits.verdict(self.first), LimitVerdict.NOT_GRANTED)
 
     def test_a_late_grant_is_void(self) -> None:
-        """Frames that a cut held up came with what the leader had granted seconds before."""
+        """Frames that a network partition delays contain grants that are seconds old."""
         self.limits.observe(self.first, "1.7", self.clock.now_s)
         for _ in range(4):
             self.clock.now_s += 0.3
@@ -166,7 +166,7 @@
         self.assertGreaterEqual(self.clock.now_s - began_s, GRANT_HOLDS_S)
 
     def test_without_recent_responses_a_longer_grant_is_given(self) -> None:
-        """Sends ran out unused at gateways with few requests, and the end was never noticed."""
+        """At gateways with few requests, short grants expire unused and the end goes unnoticed."""
         self.limits.observe(self.first, "1.7", self.clock.now_s)
         longest_ms = 0
         for _ in range(40):
@@ -221,7 +221,7 @@
         self.assertIsNone(self.limits.verdict(self.first))
 
     def test_a_late_response_to_an_earlier_request_does_not_end_it(self) -> None:
-        """The head of a slow stream came after answers that named the limit."""
+        """The headers of a slow stream can arrive after responses that announced the limit."""
         sent_s = self.clock.now_s - 0.1
         self.clock.now_s += 5.0
         self.limits.observe(self.first, None, sent_s)
--- a/tests/test_response_signals.py
+++ b/tests/test_response_signals.py
@@ -1,4 +1,4 @@
-"""What is read from the head of a replica's answer, and how long a back-off binds."""
+"""Parsing of response signals, and the duration of a back-off."""
 
 import random
 import unittest
@@ -60,7 +60,7 @@
         self.assertEqual((signals.back_off_s, signals.malformed), (5.0, ("Retry-After",)))
 
     def test_only_some_statuses_request_back_off(self) -> None:
-        """A 429 that may have run is the application's answer to one of its callers."""
+        """A 429 of a request that may have run is the application's response to one caller."""
         asked = ("Retry-After", "3")
         self.assertEqual(_read(503, asked).back_off_s, 3.0)
         self.assertEqual(_read(429, asked, ("Not-Run", "1")).back_off_s, 3.0)
--- a/tests/test_unreached_replicas.py
+++ b/tests/test_unreached_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that accept no connections are left out, and used again once they do."""
+"""Replicas that accept no connections are excluded, and used again once they do."""
 
 import asyncio
 import unittest
@@ -13,7 +13,7 @@
 )
 
 _REPLICAS = 7
-_STAYS = 1  # how many go on
+_SURVIVORS = 1
 
 
 async def _serve(replica: StandInReplica, received: Received) -> bytes:
@@ -31,7 +31,7 @@
         self.role = self.fleet.gateway.gateway
 
     async def _ask(self, seconds: float) -> list[int]:
-        """Ask evenly; return the statuses."""
+        """Send requests at an even rate; return the statuses."""
         statuses = []
         end_s = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < end_s:
@@ -41,12 +41,12 @@
         return statuses
 
     async def test_known_dead_replicas_do_not_affect_requests(self) -> None:
-        """They look idle: each time their suspicion lapsed, requests went to them first.
+        """Dead replicas look idle and would attract requests whenever their suspicion expires.
 
-        With six of seven dead one request met four of them in a row, and was refused with «no
-        replica took the request», although one replica was idle.
+        With six of seven dead, a request met four of them in a row and was refused with "no replica
+        took the request", although one replica was idle.
         """
-        for replica in self.replicas[_STAYS:]:
+        for replica in self.replicas[_SURVIVORS:]:
             await replica.stop()
         await self._ask(1.5)
         failed = self.role.metrics.counters["sends_failed", "NotReachedError"]
@@ -55,9 +55,10 @@
         self.assertEqual(self.role.metrics.counters["sends_failed", "NotReachedError"], failed)
 
     async def test_an_unreachable_replica_uses_no_retry(self) -> None:
-        """«no replica took the request» after one refused connection, with others idle.
+        """Attempts at crashed replicas do not count as retries.
 
-        The repeats that a gateway may make were used up, by tries at replicas that had crashed.
+        Otherwise they use up the retry allowance, and a request is refused with "no replica took
+        the request" after one refused connection although other replicas are idle.
         """
         allowance = self.role.server._dispatcher._parts.allowance
         while allowance.try_repeat(SERVICE):
@@ -68,11 +69,11 @@
         for replica in live[1:]:
             known = self.role.replicas._replicas[replica.identity]
             self.role.replicas.availability.misdirected(known)
-        # Together, so that they spread over all that are left.
+        # Sent concurrently, so that they spread over all remaining replicas.
         asked = (self.fleet.request("/safe/", body=str(number).encode()) for number in range(12))
         statuses = [got.status for got in await asyncio.gather(*asked)]
         failed = self.role.metrics.counters["sends_failed", "NotReachedError"]
-        self.assertGreater(failed, 0, "some met a dead replica")
+        self.assertGreater(failed, 0, "some requests meet a dead replica")
         self.assertEqual(set(statuses), {200})
 
     async def test_one_that_accepts_connections_again_is_used(self) -> None:
