--- a/packages/heronladder-router/src/heronladder_router/replica_attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_attempt.py
@@ -203,9 +203,9 @@
     def _headers(
         self, request: GatewayRequest, replica: FleetReplica, progress: ResponseProgress
     ) -> list[tuple[str, str]]:
-        left_s = max(0.0, request.deadline_s - self._environment.monotonic())
+        remaining_s = max(0.0, request.deadline_s - self._environment.monotonic())
         headers = list(request.headers)
-        headers.append((self._names.deadline_ms, str(int(left_s * MILLISECONDS_PER_SECOND))))
+        headers.append((self._names.deadline_ms, str(int(remaining_s * MILLISECONDS_PER_SECOND))))
         headers.append((self._names.expect_replica, replica.name))
         last_id = progress.cutter.last_id or request.last_event_id
         if last_id:
@@ -304,13 +304,13 @@
             if not chunk:
                 break
             events = cutter.events
-            whole = cutter.feed(chunk)
-            if whole:
+            complete_events = cutter.feed(chunk)
+            if complete_events:
                 reading.read()
                 if seen is not None:
                     seen.came(self._environment.monotonic(), cutter.events - events)
                 progress.record_forwarded(self._environment.monotonic())
-                await _forward(self._write(response, sink, whole), seen)
+                await _forward(self._write(response, sink, complete_events), seen)
         if not cutter.clean:
             raise ConnectionEndedError("stream ended in the middle of an event", step="read_stream")
         if not sink.started:
@@ -321,10 +321,10 @@
         await _forward(sink.finish(), seen)
 
     @staticmethod
-    async def _write(response: aiohttp.ClientResponse, sink: AnswerSink, whole: bytes) -> None:
+    async def _write(response: aiohttp.ClientResponse, sink: AnswerSink, events: bytes) -> None:
         if not sink.started:
             await sink.start(ReplicaAnswer(response.status, passed_headers(response)))
-        await sink.write(whole)
+        await sink.write(events)
 
 
 async def _forward(sending: Coroutine[Any, Any, None], seen: AnswerSeen | None) -> None:
--- a/packages/heronladder-router/src/heronladder_router/replica_limits.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_limits.py
@@ -81,7 +81,8 @@
     Attributes:
         gateway: Name of this gateway.
         gateways: Returns what is known of all gateways.
-        leader_heard_s: Tells when a leader was heard last.
+        last_leader_contact_s: Returns the time of the last contact with a leader, on the monotonic
+            clock.
         beat_now: Sends an unscheduled heartbeat.
     """
 
--- a/tests/limit_simulation.py
+++ b/tests/limit_simulation.py
@@ -138,8 +138,8 @@
         return self._within(spans + self.leaderless) or self._is_frozen(number)
 
     def _is_frozen(self, number: int) -> bool:
-        stands = number in self.frozen and self._within([self.frozen[number]])
-        return stands or self.elapsed_s < self.starts.get(number, 0.0)
+        is_frozen = number in self.frozen and self._within([self.frozen[number]])
+        return is_frozen or self.elapsed_s < self.starts.get(number, 0.0)
 
     # ---- events -----------------------------------------------------------
 
@@ -253,7 +253,7 @@
 
     # ---- results ----------------------------------------------------------
 
-    def _window_totals(self, name: str, excused: frozenset[int]) -> list[tuple[float, int, float]]:
+    def _window_totals(self, name: str, excluded: frozenset[int]) -> list[tuple[float, int, float]]:
         """Return how many requests a replica got in the four seconds up to each arrival.
 
         A report reaches all gateways within a second. Therefore the larger limit applies while a
@@ -265,7 +265,7 @@
         counted = [
             at_s
             for at_s, by in self.arrivals.get(name, [])
-            if by not in excused and self._is_limit_known(name, at_s)
+            if by not in excluded and self._is_limit_known(name, at_s)
         ]
         judged = []
         first = 0
@@ -293,15 +293,15 @@
         before = [limit for elapsed_s, limit in self.named[name] if elapsed_s < from_s][-1:]
         return max(limit for limit in [*limits, *before, 0.0] if limit is not None)
 
-    def most(self, name: str, excused: frozenset[int] = frozenset()) -> int:
+    def most(self, name: str, excluded: frozenset[int] = frozenset()) -> int:
         """Return the most requests in four seconds, once all gateways could know the limit."""
-        return max((got for _, got, _ in self._window_totals(name, excused)), default=0)
+        return max((got for _, got, _ in self._window_totals(name, excluded)), default=0)
 
-    def violations(self, excused: frozenset[int] = frozenset()) -> list[str]:
+    def violations(self, excluded: frozenset[int] = frozenset()) -> list[str]:
         """Return the replicas that got more than allowed, with the first time of each."""
         found = []
         for name in self.named:
-            for end_s, got, may in self._window_totals(name, excused):
+            for end_s, got, may in self._window_totals(name, excluded):
                 if got > may:
                     found.append(f"{name}: {got} of {may:g} at {end_s - self.began_s:.2f} s")
                     break
--- a/tests/test_address_reuse.py
+++ b/tests/test_address_reuse.py
@@ -28,7 +28,7 @@
 )
 
 
-async def _as_named(replica: StandInReplica, received: Received) -> bytes:
+async def _serve_if_addressed(replica: StandInReplica, received: Received) -> bytes:
     """Respond as a replica that checks the name in the request."""
     if received.headers.get("expect-instance") != replica.identity:
         return b"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"
@@ -43,9 +43,9 @@
         await self.fleet.stop()
 
     async def test_a_misdirected_incarnation_is_excluded(self) -> None:
-        reused = await self.fleet.add_replica("i-gone", _as_named)
+        reused = await self.fleet.add_replica("i-gone", _serve_if_addressed)
         reused.identity = "i-of-another-service"
-        sound = await self.fleet.add_replica("i-sound", _as_named)
+        sound = await self.fleet.add_replica("i-sound", _serve_if_addressed)
         for number in range(30):
             path = ("/once/", "/safe/", "/stream/")[number % 3]
             got = await self.fleet.request(path, Request_Id=f"u{number}")
@@ -55,7 +55,7 @@
         self.assertEqual(len(reused.received), 1)
 
     async def test_a_misdirected_only_replica_is_excluded(self) -> None:
-        reused = await self.fleet.add_replica("i-gone", _as_named)
+        reused = await self.fleet.add_replica("i-gone", _serve_if_addressed)
         reused.identity = "i-of-another-service"
         for number in range(5):
             got = await self.fleet.request("/once/", Request_Id=f"a{number}")
@@ -64,7 +64,7 @@
         self.assertEqual(len(reused.received), 1)
 
     async def test_a_wrongly_excluded_replica_is_used_again(self) -> None:
-        replica = await self.fleet.add_replica("i-1", _as_named)
+        replica = await self.fleet.add_replica("i-1", _serve_if_addressed)
         replica.identity = "for a moment"
         self.assertEqual((await self.fleet.request("/once/")).status, 503)
         replica.identity = "i-1"
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -61,7 +61,7 @@
     return replica.name
 
 
-def _learn_starts(gateway: FleetReplicas, start_ms: int) -> None:
+def _set_start_times(gateway: FleetReplicas, start_ms: int) -> None:
     """Set the start time in the records of all replicas."""
     configuration = gateway._configuration
     update = control_pb2.ConfigUpdate(revision=start_ms)
@@ -79,7 +79,7 @@
         profile = _profile(1, 1)
         _send(gateway, profile)
         for start_ms, is_kept in ((5, True), (6, False)):  # a different start time is a restart
-            _learn_starts(gateway, start_ms)
+            _set_start_times(gateway, start_ms)
             kept = [one.parts.kept_tokens(profile.parts) for one in gateway._replicas.values()]
             self.assertEqual(any(kept), is_kept)
 
@@ -102,12 +102,12 @@
         gateway = _gateway("zone-0", 1)
         expected = _send(gateway, _profile(7, 1))
         gateway.failed(next(r for r in gateway.usable(_SERVICE) if r.name == expected), "test")
-        keeper = _send(gateway, _profile(7, 2))
-        self.assertNotEqual(keeper, expected)
+        caching = _send(gateway, _profile(7, 2))
+        self.assertNotEqual(caching, expected)
         other = _gateway("zone-0", 2)
         other.failed(next(r for r in other.usable(_SERVICE) if r.name == expected), "test")
         self.assertEqual(
-            _send(other, _profile(7, 3)), keeper
+            _send(other, _profile(7, 3)), caching
         )  # all gateways fall back to the same replica
 
     def test_a_small_part_does_not_outweigh_a_long_wait(self) -> None:
@@ -128,17 +128,17 @@
     def setUp(self) -> None:
         self.gateway = _gateway("zone-0", 1)
 
-    def _told(self, **loads: int) -> None:
-        told = {
+    def _update_loads(self, **loads: int) -> None:
+        reported = {
             name.replace("_", "-"): control_pb2.ReplicaLoad(in_flight=1, unread_tokens=tokens)
             for name, tokens in loads.items()
         }
-        self.gateway.loads.update_others(told)
+        self.gateway.loads.update_others(reported)
 
     def test_a_replica_loaded_by_other_gateways_is_avoided(self) -> None:
         profile = RequestProfile(_SERVICE, parse_parts("own1:600"), 600)
         busy = {f"replica_{number}": 40_000 for number in range(8)}
-        self._told(**busy)
+        self._update_loads(**busy)
         chosen = [_send(self.gateway, profile) for _ in range(200)]
         # Four of nine replicas are sampled, so the idle one is a candidate in 4 of 9 cases.
         self.assertGreater(chosen.count("replica-8"), 60)
@@ -147,12 +147,12 @@
     def test_a_loaded_replica_with_cached_parts_is_avoided_if_waiting_costs_more(self) -> None:
         owner = _send(self.gateway, _profile(7, 1))
         self.assertEqual(_send(self.gateway, _profile(7, 2)), owner)
-        self._told(**{owner.replace("-", "_"): 60_000})
+        self._update_loads(**{owner.replace("-", "_"): 60_000})
         self.assertNotEqual(_send(self.gateway, _profile(7, 3)), owner)
 
     def test_stale_totals_are_not_used(self) -> None:
         owner = _send(self.gateway, _profile(7, 1))
-        self._told(**{owner.replace("-", "_"): 60_000})
+        self._update_loads(**{owner.replace("-", "_"): 60_000})
         self.gateway.loads.updated_s -= 5
         self.assertEqual(_send(self.gateway, _profile(7, 2)), owner)
 
@@ -172,51 +172,55 @@
 class LoadTotalsTest(unittest.TestCase):
     def test_each_router_receives_the_total_of_the_others(self) -> None:
         source = random.Random(3)
-        sums = ReplicaLoads()
+        totals = ReplicaLoads()
         newest: dict[str, dict[str, tuple[int, int]]] = {}
         for _ in range(300):
             router = source.choice("abcd")
             if source.random() < 0.1:
-                sums.forget(router)
+                totals.forget(router)
                 newest.pop(router, None)
                 continue
-            told = {
+            reported = {
                 name: (source.randrange(1, 9), source.randrange(9_000))
                 for name in source.sample(["r1", "r2", "r3"], source.randrange(4))
             }
-            newest[router] = told
-            sums.observe(
+            newest[router] = reported
+            totals.observe(
                 router,
                 {
                     name: control_pb2.ReplicaLoad(in_flight=count, unread_tokens=tokens)
-                    for name, (count, tokens) in told.items()
+                    for name, (count, tokens) in reported.items()
                 },
             )
             frame = control_pb2.ControlFrame()
-            sums.fill("a", frame)
+            totals.fill("a", frame)
             for name in ("r1", "r2", "r3"):
-                others = [told[name] for who, told in newest.items() if who != "a" and name in told]
+                others = [
+                    reported[name]
+                    for who, reported in newest.items()
+                    if who != "a" and name in reported
+                ]
                 load = frame.replica_loads.get(name, control_pb2.ReplicaLoad())
                 self.assertEqual(load.in_flight, sum(count for count, _ in others))
                 self.assertEqual(load.unread_tokens, sum(tokens for _, tokens in others))
 
     def test_a_report_by_one_of_many_routers_is_forwarded_at_once(self) -> None:
         """Waiting for reports of a quarter of the routers sends requests to loaded replicas."""
-        sums = ReplicaLoads()
+        totals = ReplicaLoads()
         for router in range(40):
-            sums.observe(f"g{router}", {"r0": control_pb2.ReplicaLoad(in_flight=1)})
-        sums.fill("g0", control_pb2.ControlFrame())
-        sums.observe("g1", {"r1": control_pb2.ReplicaLoad(in_flight=7)})
+            totals.observe(f"g{router}", {"r0": control_pb2.ReplicaLoad(in_flight=1)})
+        totals.fill("g0", control_pb2.ControlFrame())
+        totals.observe("g1", {"r1": control_pb2.ReplicaLoad(in_flight=7)})
         frame = control_pb2.ControlFrame()
-        sums.fill("g0", frame)
+        totals.fill("g0", frame)
         self.assertEqual(frame.replica_loads["r1"].in_flight, 7)
 
     def test_only_the_busiest_replicas_are_included(self) -> None:
-        sums = ReplicaLoads()
-        told = {f"r{n}": control_pb2.ReplicaLoad(in_flight=n + 1) for n in range(MOST_TOLD + 9)}
-        sums.observe("a", told)
+        totals = ReplicaLoads()
+        reported = {f"r{n}": control_pb2.ReplicaLoad(in_flight=n + 1) for n in range(MOST_TOLD + 9)}
+        totals.observe("a", reported)
         frame = control_pb2.ControlFrame()
-        sums.fill("b", frame)
+        totals.fill("b", frame)
         self.assertEqual(len(frame.replica_loads), MOST_TOLD)
         self.assertNotIn("r0", frame.replica_loads)
 
--- a/tests/test_limit_runs.py
+++ b/tests/test_limit_runs.py
@@ -30,15 +30,15 @@
     skew = source.choice((0, 1, 2))
     if source.random() < 0.4:
         more["leaderless"] = [(source.uniform(3, 8), source.uniform(8.5, 13))]
-    troubled: set[int] = set()
+    faulty: set[int] = set()
     for name, chance in (("cut", 0.4), ("frozen", 0.3)):
         if source.random() < chance:
             chosen = [number for number in range(count) if source.random() < 0.3]
             more[name] = {one: (source.uniform(2, 8), source.uniform(9, 14)) for one in chosen}
-            troubled.update(chosen)
+            faulty.update(chosen)
     if source.random() < 0.3:
         more["starts"] = {one: source.uniform(2, 10) for one in range(count) if one % 3 == 1}
-        troubled.update(more["starts"])
+        faulty.update(more["starts"])
     if source.random() < 0.5:
         more["changes"] = {
             source.uniform(3, 10): source.choice((None, limit / 3, limit * 3)),
@@ -47,28 +47,28 @@
     if source.random() < 0.5:
         more["burst"] = (source.uniform(3, 9), source.uniform(9, 14), source.choice((3.0, 8.0)))
     run = LimitSimulation(count, seed=seed, weights=lambda number: 1 / (1 + number) ** skew, **more)
-    return run, frozenset(troubled)
+    return run, frozenset(faulty)
 
 
 def violations(seeds: range) -> int:
     """Return the number of simulations that exceeded a limit."""
     found = 0
     for seed in seeds:
-        run, troubled = random_simulation(seed)
-        found += bool(run.run().violations(troubled))
+        run, faulty = random_simulation(seed)
+        found += bool(run.run().violations(faulty))
     return found
 
 
 class TotalRateTest(unittest.TestCase):
     def test_the_limit_holds_with_failures_and_changing_limits(self) -> None:
         for seed in _SEEDS:
-            run, troubled = random_simulation(seed)
-            self.assertEqual(run.run().violations(troubled), [], f"seed {seed}")
+            run, faulty = random_simulation(seed)
+            self.assertEqual(run.run().violations(faulty), [], f"seed {seed}")
 
     def test_the_limit_holds_with_300_gateways(self) -> None:
         for seed in _LARGE_SEEDS:
-            run, troubled = random_simulation(seed, gateways=300)
-            self.assertEqual(run.run().violations(troubled), [], f"seed {seed}")
+            run, faulty = random_simulation(seed, gateways=300)
+            self.assertEqual(run.run().violations(faulty), [], f"seed {seed}")
 
     def test_most_of_the_limit_is_used(self) -> None:
         """All replicas are rate-limited, and callers request three times the limits."""
--- a/tests/test_replica_client.py
+++ b/tests/test_replica_client.py
@@ -17,15 +17,15 @@
 _SETTLE_S = 0.05
 
 
-async def _done(replica: StandInReplica, received: Received) -> bytes:
+async def _respond(replica: StandInReplica, received: Received) -> bytes:
     return answer(received)
 
 
-async def _stream(replica: StandInReplica, received: Received) -> bytes:
+async def _respond_with_stream(replica: StandInReplica, received: Received) -> bytes:
     return stream_head(received) + event(1) + event(2) + END_OF_CHUNKS
 
 
-async def _twice(replica: StandInReplica, received: Received) -> bytes:
+async def _respond_twice(replica: StandInReplica, received: Received) -> bytes:
     return answer(received) + answer(received, body=b"late")
 
 
@@ -69,18 +69,18 @@
 
         Otherwise nearly every request opens a connection: 3,309 for 3,409 requests.
         """
-        for script in (_done, _stream):
+        for script in (_respond, _respond_with_stream):
             replica = StandInReplica("i-1", script)
             await self._send_twice(replica, may_run_twice=True)
             self.assertEqual(replica.connections, 1)
 
     async def test_a_request_that_must_not_run_twice_gets_a_new_connection(self) -> None:
-        replica = StandInReplica("i-1", _done)
+        replica = StandInReplica("i-1", _respond)
         await self._send_twice(replica, may_run_twice=False)
         self.assertEqual(replica.connections, 2)
 
     async def test_a_connection_with_stray_bytes_is_closed(self) -> None:
-        replica = StandInReplica("i-1", _twice)
+        replica = StandInReplica("i-1", _respond_twice)
         bodies = await self._send_twice(replica, may_run_twice=True)
         self.assertEqual(bodies, [b"done", b"done"])
         self.assertEqual(replica.connections, 2)
--- a/tests/test_replica_connections.py
+++ b/tests/test_replica_connections.py
@@ -85,10 +85,10 @@
         self.assertEqual(self.most, 2)
 
     async def test_a_smaller_share_takes_effect_as_connections_end(self) -> None:
-        await asyncio.gather(self._use(0.02), self._use(0.02), self._narrow())
+        await asyncio.gather(self._use(0.02), self._use(0.02), self._use_with_smaller_share())
         self.assertEqual(self.connections._addresses[_ADDRESS].used, 0)
 
-    async def _narrow(self) -> None:
+    async def _use_with_smaller_share(self) -> None:
         await asyncio.sleep(0.005)
         async with self.connections.use(_ADDRESS, 1, 5.0, keeps=True):
             self.assertEqual(self.used, 0)
--- a/tests/test_replica_limit_reports.py
+++ b/tests/test_replica_limit_reports.py
@@ -192,13 +192,13 @@
             for number in range(2 * MOST_REPORTS + 1)
         ]
         self.setup.leader.observe("g1", reports)
-        told: set[str] = set()
+        reported: set[str] = set()
         for _ in range(3):
             frame = control_pb2.ControlFrame()
             self.setup.leader.fill(self.setup.session, frame)
             self.assertLessEqual(len(frame.replica_limits), MOST_REPORTS)
-            told |= {message.replica for message in frame.replica_limits}
-        self.assertEqual(len(told), 2 * MOST_REPORTS + 1)
+            reported |= {message.replica for message in frame.replica_limits}
+        self.assertEqual(len(reported), 2 * MOST_REPORTS + 1)
 
     def test_an_invalid_limit_from_a_gateway_is_ignored(self) -> None:
         bad = [
@@ -237,22 +237,22 @@
         other.clock, other.leader, other.session = self.clock, self.setup.leader, self.setup.session
         session = self.setup.new_session("g1")
 
-        def told() -> list[bool]:
+        def reported() -> list[bool]:
             frame = control_pb2.ControlFrame()
             self.setup.leader.fill(session, frame)
             return [message.ended for message in frame.replica_limits]
 
         self.setup.beat()
-        self.assertEqual(told(), [False])
+        self.assertEqual(reported(), [False])
         self.clock.now_s += 1.0
         self.limits.observe(self.first, None, self.clock.now_s - 0.1)
         self.setup.beat()
-        self.assertEqual(told(), [True])
+        self.assertEqual(reported(), [True])
         self.clock.now_s += 1.0
         self.limits.observe(self.first, "0.5", self.clock.now_s - 0.1)
         self.setup.beat()
-        self.assertEqual(told(), [False])
-        self.assertEqual(told(), [])
+        self.assertEqual(reported(), [False])
+        self.assertEqual(reported(), [])
 
     def test_a_restarted_replica_has_no_limit(self) -> None:
         self.first.record.start_ms = 7
--- a/tests/test_response_signals.py
+++ b/tests/test_response_signals.py
@@ -99,7 +99,7 @@
         self.availability = ReplicaAvailability(self.clock, self.metrics, log)
         self.replica = _replica("r0")
 
-    def _ask(self, for_s: float, replica: FleetReplica | None = None) -> None:
+    def _request_back_off(self, for_s: float, replica: FleetReplica | None = None) -> None:
         signals = ResponseSignals(not_run=True, back_off_s=for_s)
         self.availability.observe(replica or self.replica, signals, "request")
 
@@ -108,9 +108,9 @@
         return verdict is Availability.BACKING_OFF
 
     def test_the_latest_end_of_back_off_applies(self) -> None:
-        self._ask(8.0)
+        self._request_back_off(8.0)
         self.clock.now_s += 1.0
-        self._ask(0.5)
+        self._request_back_off(0.5)
         self.availability.observe(self.replica, ResponseSignals(), "served")
         self.clock.now_s = 107.9
         self.assertTrue(self._backs_off())
@@ -118,7 +118,7 @@
         self.assertFalse(self._backs_off())
 
     def test_back_off_applies_to_one_incarnation(self) -> None:
-        self._ask(8.0)
+        self._request_back_off(8.0)
         self.assertFalse(self._backs_off(_replica("r1")))
         self.assertFalse(self._backs_off(_replica("r0", start_ms=5)))
 
@@ -127,7 +127,7 @@
         self.assertIs(judge(view), Availability.UNREGISTERED)
 
     def test_the_window_grows_after_back_off(self) -> None:
-        self._ask(3.0)
+        self._request_back_off(3.0)
         self.clock.now_s += 3.0
         self.replica.in_flight = 1
         self.assertTrue(self.availability.is_window_full(self.replica))
@@ -141,23 +141,23 @@
 
     def test_callers_get_different_retry_times(self) -> None:
         second = _replica("r1")
-        self._ask(3.0)
-        self._ask(5.0, second)
-        told_s = [self._told(second) for _ in range(200)]
-        self.assertGreaterEqual(min(told_s), 3.0)
-        self.assertLessEqual(max(told_s), 4.5)
-        self.assertGreater(len(set(told_s)), 100)
+        self._request_back_off(3.0)
+        self._request_back_off(5.0, second)
+        retry_times_s = [self._retry_after_s(second) for _ in range(200)]
+        self.assertGreaterEqual(min(retry_times_s), 3.0)
+        self.assertLessEqual(max(retry_times_s), 4.5)
+        self.assertGreater(len(set(retry_times_s)), 100)
         self.clock.now_s += 6.0
         self.assertIsNone(self.availability.caller_retry_after_s("app", [self.replica, second]))
 
-    def _told(self, second: FleetReplica) -> float:
+    def _retry_after_s(self, second: FleetReplica) -> float:
         after_s = self.availability.caller_retry_after_s("app", [self.replica, second])
         assert after_s is not None
         return after_s
 
     def test_records_are_bounded(self) -> None:
         for number in range(5_000):
-            self._ask(60.0, _replica(f"n{number}"))
+            self._request_back_off(60.0, _replica(f"n{number}"))
         self.assertLess(self.availability.backing_off, 4_200)
         self.assertTrue(self._backs_off(_replica("n4999")))
 
--- a/tests/test_unreached_replicas.py
+++ b/tests/test_unreached_replicas.py
@@ -30,7 +30,7 @@
         assert self.fleet.gateway.gateway is not None
         self.role = self.fleet.gateway.gateway
 
-    async def _ask(self, seconds: float) -> list[int]:
+    async def _request_evenly(self, seconds: float) -> list[int]:
         """Send requests at an even rate; return the statuses."""
         statuses = []
         end_s = asyncio.get_running_loop().time() + seconds
@@ -48,9 +48,9 @@
         """
         for replica in self.replicas[_SURVIVORS:]:
             await replica.stop()
-        await self._ask(1.5)
+        await self._request_evenly(1.5)
         failed = self.role.metrics.counters["sends_failed", "NotReachedError"]
-        statuses = await self._ask(6.0)
+        statuses = await self._request_evenly(6.0)
         self.assertEqual(set(statuses), {200})
         self.assertEqual(self.role.metrics.counters["sends_failed", "NotReachedError"], failed)
 
@@ -80,7 +80,7 @@
         replica = self.replicas[-1]
         host, port = replica.address.split(":")
         await replica.stop()
-        await self._ask(1.0)
+        await self._request_evenly(1.0)
         self.assertEqual(self.role.unreached.count, 1)
         refusing = [
             one.name for one in self.role.replicas.usable(SERVICE) if one.refuses_connections
@@ -91,7 +91,7 @@
         self.addAsyncCleanup(again.stop)
         async with asyncio.timeout(8):
             while not again.received:
-                await self._ask(0.1)
+                await self._request_evenly(0.1)
         self.assertEqual(self.role.unreached.count, 0)
 
 
