--- a/tests/test_gateway_readiness.py
+++ b/tests/test_gateway_readiness.py
@@ -79,7 +79,7 @@
     def _beat(
         links: list[_Link], now_s: float, kept: int, hot_per_s: float, limit_ms: float
     ) -> None:
-        under_way = [
+        in_flight_totals = [
             int((12.0 + (hot_per_s if n == kept else 0.0)) * (_ANSWER_S + 2 * link.wait_s))
             for n, link in enumerate(links)
         ]
@@ -90,8 +90,8 @@
                     limit_ms,
                     2 * link.wait_s * 1000,
                     0.0,
-                    under_way[number],
-                    sum(under_way) - under_way[number],
+                    in_flight_totals[number],
+                    sum(in_flight_totals) - in_flight_totals[number],
                     len(links),
                     None if since_s is None else now_s - since_s,
                 )
@@ -231,13 +231,15 @@
                     replica = next(one for one in gateway.usable("s") if one.name == name)
                     gateway.sent(replica, RequestProfile("s"))
                 gateway.loads.update_others({name: busy[name] for name in names[:told]})
-                self.assertEqual(gateway.loads.under_way(), (own, 9 * told if known else None))
+                self.assertEqual(
+                    gateway.loads.in_flight_totals(), (own, 9 * told if known else None)
+                )
 
 
 class NewStreamTest(unittest.TestCase):
     def test_a_gateway_is_not_behind_by_the_first_sums_of_a_new_stream(self) -> None:
         link = SimpleNamespace(round_trip_s=0.9, loop_late_s=0.0, routers=20, heard_since_s=99.5)
-        loads = SimpleNamespace(under_way=lambda: (100, 0))
+        loads = SimpleNamespace(in_flight_totals=lambda: (100, 0))
         clock = _Clock()
         taking = GatewayReadiness(
             _LIMIT_MS,
@@ -258,7 +260,7 @@
     def test_a_gateway_is_not_behind_for_ever_while_control_is_silent(self) -> None:
         """Nothing but the answers of control had it look again."""
         link = SimpleNamespace(round_trip_s=0.9, loop_late_s=0.0, routers=20, heard_since_s=0.0)
-        loads = SimpleNamespace(under_way=lambda: (100, 100))
+        loads = SimpleNamespace(in_flight_totals=lambda: (100, 100))
         clock = _Clock()
         taking = GatewayReadiness(
             _LIMIT_MS,
@@ -270,7 +272,7 @@
         )
         taking.look()
         self.assertTrue(taking.behind)
-        loads.under_way = lambda: (100, None)
+        loads.in_flight_totals = lambda: (100, None)
         clock.now_s += 4.1
         taking.look()
         self.assertFalse(taking.behind)
