--- a/tests/test_rollout_gates.py
+++ b/tests/test_rollout_gates.py
@@ -4,7 +4,7 @@
 from unittest.mock import Mock
 
 from heronladder_router.kept_parts import KeptParts
-from heronladder_router.replica_attempt import _passed
+from heronladder_router.replica_attempt import _forward
 from heronladder_router.replica_state import FleetReplica
 from heronladder_router.rollouts.service_gate import ServiceGate
 from heronladder_router.rollouts.version_gates import AnswerSeen, VersionGates
@@ -135,7 +135,7 @@
             raise ConnectionResetError
 
         with self.assertRaises(ConnectionResetError):
-            await _passed(broken(), seen)
+            await _forward(broken(), seen)
         seen.ended(0.6, failed=True)
         self.assertEqual(gate.evidence.side("r", of_target=True).answers, 0)
 
