--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -69,7 +69,7 @@
         self._environment = environment
         self._log = log
         self._replicas: dict[str, FleetReplica] = {}
-        self._of_service: dict[str, list[FleetReplica]] = {}
+        self._by_service: dict[str, list[FleetReplica]] = {}
         self._sorted_until_s = math.inf
         self._services: dict[str, resources_pb2.ReplicatedService] = {}
         self.speeds = ServiceSpeeds(
@@ -121,9 +121,9 @@
             for replica in self._replicas.values()
             if not (replica.record.draining or replica.record.gone)
         ]
-        self._of_service = {}
+        self._by_service = {}
         for replica in self.availability.without_excluded(running):
-            self._of_service.setdefault(replica.record.service, []).append(replica)
+            self._by_service.setdefault(replica.record.service, []).append(replica)
         self._sorted_until_s = self.availability.next_readmission_s
 
     def _read_services(self) -> None:
@@ -203,7 +203,7 @@
         """Return the replicas of a service that are neither leaving nor misdirected."""
         if self._environment.monotonic() >= self._sorted_until_s:
             self._sort_by_service()
-        return self._of_service.get(service, [])
+        return self._by_service.get(service, [])
 
     def is_registered(self, replica: FleetReplica) -> bool:
         """Return whether an incarnation is registered and not draining."""
--- a/packages/heronladder-router/src/heronladder_router/limit_demand.py
+++ b/packages/heronladder-router/src/heronladder_router/limit_demand.py
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         self._services: dict[str, _ServiceDemand] = {}
 
-    def _of(self, service: str) -> _ServiceDemand:
+    def _demand_of(self, service: str) -> _ServiceDemand:
         return self._services.setdefault(service, _ServiceDemand())
 
     def services(self) -> list[str]:
@@ -53,9 +53,9 @@
 
     def requested(self, service: str, now_s: float) -> None:
         """Count a request."""
-        self._of(service).requests_s.append(now_s)
+        self._demand_of(service).requests_s.append(now_s)
 
-    def attempts_to_request(
+    def grants_to_request(
         self, service: str, limited: int, usable: int, held: int, now_s: float
     ) -> int:
         """Return how many grants to request, and record that they are requested.
@@ -67,7 +67,7 @@
             held: Number of unused grants.
             now_s: Current time, on the monotonic clock.
         """
-        demand = self._of(service)
+        demand = self._demand_of(service)
         while demand.requests_s and demand.requests_s[0] <= now_s - DEMAND_S:
             demand.requests_s.popleft()
         requests = len(demand.requests_s)
@@ -76,7 +76,7 @@
 
     def record_granted(self, service: str, granted: int, now_s: float) -> None:
         """Record how many of the requested grants the leader gave."""
-        demand = self._of(service)
+        demand = self._demand_of(service)
         if granted < demand.asked:
             demand.exhausted_until_s = now_s + _EXHAUSTED_S
 
@@ -84,7 +84,7 @@
 
     def begin_wait(self, service: str, now_s: float) -> bool:
         """Register a waiting request; return False if the leader is assumed to have no grants."""
-        demand = self._of(service)
+        demand = self._demand_of(service)
         if now_s < demand.exhausted_until_s:
             return False
         demand.waiting += 1
@@ -92,7 +92,7 @@
 
     def end_wait(self, service: str) -> None:
         """Unregister a waiting request."""
-        self._of(service).waiting -= 1
+        self._demand_of(service).waiting -= 1
 
     def caller_retry_after_s(
         self, service: str, per_s: float, gateways: int, now_s: float
@@ -107,7 +107,7 @@
             gateways: Number of gateways that share the sum.
             now_s: Current time, on the monotonic clock.
         """
-        demand = self._of(service)
+        demand = self._demand_of(service)
         turn_s = 1.0 / per_s if per_s > 0 else SPAN_S
         view = ComeBackView(now_s, turn_s, turn_s * max(1, gateways), demand.told_until_s)
         retry = come_back(view)
--- a/packages/heronladder-router/src/heronladder_router/replica_limits.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_limits.py
@@ -341,7 +341,7 @@
                 limited.drop_old(now_s)
             held = sum(len(limited.grants_s) for _, limited in of_service)
             usable = len(self._usable(service))
-            sends = self._demand.attempts_to_request(service, len(of_service), usable, held, now_s)
+            sends = self._demand.grants_to_request(service, len(of_service), usable, held, now_s)
             if sends:
                 wanted |= {incarnation: (service, sends) for incarnation, _ in of_service}
         return wanted
