--- a/packages/heronladder-router/src/heronladder_router/crash_reports.py
+++ b/packages/heronladder-router/src/heronladder_router/crash_reports.py
@@ -19,7 +19,7 @@
 
 from heronladder_router.crashing_requests import CrashingRequests
 from heronladder_router.gateway_request import GatewayRequest
-from heronladder_router.replica_connect import Listens, listens
+from heronladder_router.replica_connect_probe import ConnectOutcome, probe_connect
 from heronladder_router.replica_state import FleetReplica
 
 # Delays before each check of a replica whose connection ended. When a replica ends, its other
@@ -124,7 +124,7 @@
             await asyncio.sleep(delay_s)
             if replica.in_flight:
                 continue  # other requests on the replica are still running
-            if await listens(loss.record.address) is Listens.REFUSES:
+            if await probe_connect(loss.record.address) is ConnectOutcome.REFUSES:
                 self._record_crash(key, "refused")
             return
 
--- a/packages/heronladder-router/src/heronladder_router/decisions/placement.py
+++ b/packages/heronladder-router/src/heronladder_router/decisions/placement.py
@@ -160,9 +160,9 @@
     # A replica that refuses connections has crashed, but looks idle. If it counted as a replica of
     # the local region, requests to idle remote regions would remain subject to the spillover limit:
     # with all three local replicas crashed, that caused 12 to 25 rejections instead of 1 to 4.
-    pool = [replica for replica in pool if not replica.refuses] or pool
-    if profile.alone:
-        pool = [_pinned_replica(profile.alone, _healthy(view, pool) or pool)]
+    pool = [replica for replica in pool if not replica.refuses_connections] or pool
+    if profile.isolation_key:
+        pool = [_pinned_replica(profile.isolation_key, _healthy(view, pool) or pool)]
     local, remote = split_by_region(pool, view.zone, view.zone_regions)
     healthy_local, healthy_remote = _healthy(view, local), _healthy(view, remote)
 
--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -10,15 +10,15 @@
 from heronladder_runtime.metrics import Metrics
 
 from heronladder_router.attempt_outcomes import (
-    AnswerProgress,
+    AttemptHistory,
     ConnectionEndedError,
     HeldBackError,
     NoConnectionError,
     NotReachedError,
     NotRunError,
+    ResponseProgress,
     RunFailedError,
     RunLostError,
-    Sends,
 )
 from heronladder_router.crash_reports import CrashReports
 from heronladder_router.crashing_requests import CrashingRequests
@@ -41,7 +41,7 @@
 from heronladder_router.request_tokens import RequestTokens
 from heronladder_router.sliding_retry_budget import SlidingRetryBudget
 from heronladder_router.tokens.access import TokenAccess
-from heronladder_router.unreached_replicas import UnreachedReplicas
+from heronladder_router.unreachable_replicas import UnreachableReplicas
 
 _MAX_REJECTIONS = 3  # attempts that replicas did not run; they do not count as route attempts
 _REPLICA_WAIT_S = 0.2
@@ -85,7 +85,7 @@
     slot_queue: ReplicaSlotQueue
     crashing: CrashingRequests
     crash_reports: CrashReports
-    unreached: UnreachedReplicas
+    unreached: UnreachableReplicas
     environment: Environment
     metrics: Metrics
     log: EventLog
@@ -127,7 +127,7 @@
         self._context.replicas.limits.requested(request.profile.service)
         self._refuse_unplaceable(request)
         reservation = await self._tokens.reserve(request)
-        progress = AnswerProgress()
+        progress = ResponseProgress()
         try:
             async with asyncio.timeout_at(request.deadline_s):
                 await self._context.slot_queue.admit(request)
@@ -149,21 +149,21 @@
         """
         if not self._context.replicas.availability.any_unavailable:
             return
-        reason = self._place(request, Sends()).reason
+        reason = self._place(request, AttemptHistory()).reason
         if reason in (PlacementReason.BACKING_OFF, PlacementReason.LEAVING):
-            raise self._refusals.unanswered_error(request, Sends(lacking=reason))
+            raise self._refusals.unanswered_error(request, AttemptHistory(no_replica_reason=reason))
 
     # ---- attempts ---------------------------------------------------------
 
     async def _send_until_answered(
-        self, request: GatewayRequest, sink: ResponseSink, progress: AnswerProgress
+        self, request: GatewayRequest, sink: ResponseSink, progress: ResponseProgress
     ) -> None:
-        history = Sends()
+        history = AttemptHistory()
         while True:
             placement = await self._next_placement(request, history)
             replica = placement.replica
             if replica is None:
-                history.lacking = placement.reason
+                history.no_replica_reason = placement.reason
                 break
             self._log_attempt(request, replica, placement, history, progress)
             try:
@@ -201,7 +201,7 @@
         request: GatewayRequest,
         replica: FleetReplica,
         sink: ResponseSink,
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> None:
         """Make one attempt; when a plain request ends, its slot is offered to the queue."""
         if request.bounds is not None:
@@ -217,14 +217,14 @@
         finally:
             self._context.slot_queue.grant_free_slots(service)
 
-    def _may_run_again(self, request: GatewayRequest, history: Sends) -> bool:
+    def _may_run_again(self, request: GatewayRequest, history: AttemptHistory) -> bool:
         crashing = self._context.crashing
         if crashing.is_suspect(request.fingerprint) or crashing.is_refused(request.fingerprint):
             return False  # each attempt may crash another replica
         route = request.matched.route
         return request.matched.may_run_twice and history.runs < max(1, route.attempts)
 
-    async def _next_placement(self, request: GatewayRequest, history: Sends) -> Placement:
+    async def _next_placement(self, request: GatewayRequest, history: AttemptHistory) -> Placement:
         await self._wait_for_current_configuration(history)
         placement = self._place(request, history)
         if not history.count and await self._wait_for_replica(placement.reason, request):
@@ -255,13 +255,13 @@
             return True
         return False
 
-    def _place(self, request: GatewayRequest, history: Sends) -> Placement:
+    def _place(self, request: GatewayRequest, history: AttemptHistory) -> Placement:
         profile = request.profile
         if self._context.crashing.is_suspect(request.fingerprint):
-            profile = replace(profile, alone=request.fingerprint)
+            profile = replace(profile, isolation_key=request.fingerprint)
         return self._context.replicas.place(profile, history.tried)
 
-    async def _wait_for_current_configuration(self, history: Sends) -> None:
+    async def _wait_for_current_configuration(self, history: AttemptHistory) -> None:
         """Wait while the list of replicas is known to be out of date.
 
         Raises:
@@ -282,14 +282,14 @@
         request: GatewayRequest,
         replica: FleetReplica,
         placement: Placement,
-        history: Sends,
-        progress: AnswerProgress,
+        history: AttemptHistory,
+        progress: ResponseProgress,
     ) -> None:
         if placement.way.is_remote:
             self._context.metrics.add("requests_across", placement.way.value)
             self._context.metrics.add("body_bytes_across", amount=len(request.body))
             if placement.way.is_spill:
-                self._context.replicas.spilled()
+                self._context.replicas.record_spillover()
         elif placement.way is RegionChoice.LOCAL_SPILL_LIMIT:
             self._context.metrics.add("spills_held_back")
         progress.suspected = self._context.crashing.is_suspect(request.fingerprint)
@@ -311,7 +311,7 @@
         self, request: GatewayRequest, replica: FleetReplica, error: HeronladderError
     ) -> None:
         if error.step == "rejected":
-            self._context.replicas.busy(replica)
+            self._context.replicas.record_rejection(replica)
         elif not (error.step == "misdirected" or isinstance(error, NoConnectionError)):
             unreached = isinstance(error, NotReachedError)
             self._context.replicas.failed(replica, error.message, unreached=unreached)
@@ -348,8 +348,8 @@
         self,
         request: GatewayRequest,
         sink: ResponseSink,
-        progress: AnswerProgress,
-        history: Sends,
+        progress: ResponseProgress,
+        history: AttemptHistory,
     ) -> None:
         if sink.started:
             raise StreamBrokenError(
@@ -363,7 +363,7 @@
 
     @staticmethod
     def _time_limit_error(
-        request: GatewayRequest, sink: ResponseSink, progress: AnswerProgress
+        request: GatewayRequest, sink: ResponseSink, progress: ResponseProgress
     ) -> HeronladderError:
         if sink.started:
             return StreamBrokenError(
--- a/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_refusals.py
@@ -1,6 +1,6 @@
 """Errors for requests that no replica answered, with their retry-after times."""
 
-from heronladder_router.attempt_outcomes import Sends
+from heronladder_router.attempt_outcomes import AttemptHistory
 from heronladder_router.decisions.placement import PlacementReason
 from heronladder_router.errors import (
     AnswerLostError,
@@ -42,7 +42,7 @@
         self._replicas = replicas
         self._slot_queue = slot_queue
 
-    def unanswered_error(self, request: GatewayRequest, history: Sends) -> CallerError:
+    def unanswered_error(self, request: GatewayRequest, history: AttemptHistory) -> CallerError:
         """Return the error for the caller, with the time after which it may retry.
 
         Args:
@@ -59,15 +59,17 @@
                 "no replica accepted the request", step="give_up", peer=service
             )
         else:
-            error_class = _ERRORS_BY_REASON.get(history.lacking, NoBackendError)
+            error_class = _ERRORS_BY_REASON.get(history.no_replica_reason, NoBackendError)
             error = error_class(
-                f"no replica available: {history.lacking.value}", step="give_up", peer=service
+                f"no replica available: {history.no_replica_reason.value}",
+                step="give_up",
+                peer=service,
             )
         error.retry_after_s = self._retry_after_s(request, history, error.retry_after_s)
         return error
 
     def _retry_after_s(
-        self, request: GatewayRequest, history: Sends, default_s: float | None
+        self, request: GatewayRequest, history: AttemptHistory, default_s: float | None
     ) -> float | None:
         """Return after how long the condition that blocked a request is expected to end.
 
@@ -77,11 +79,11 @@
             default_s: Value if nothing is known about that condition, in seconds.
         """
         service = request.profile.service
-        ends_s = self._replicas.back_off_ends_s(service)
+        ends_s = self._replicas.back_off_retry_after_s(service)
         if ends_s is not None:
             return ends_s
         if history.rejected and request.bounds is None:
-            return self._slot_queue.come_back_s(service, default_s)
-        if history.lacking is PlacementReason.RATE_LIMITED and not history.rejected:
-            return self._replicas.limits.come_back_s(service)
+            return self._slot_queue.caller_retry_after_s(service, default_s)
+        if history.no_replica_reason is PlacementReason.RATE_LIMITED and not history.rejected:
+            return self._replicas.limits.caller_retry_after_s(service)
         return default_s
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -31,7 +31,7 @@
 from heronladder_router.replica_slot_queue import ReplicaSlotQueue
 from heronladder_router.sliding_retry_budget import SlidingRetryBudget
 from heronladder_router.tokens.access import LendingOptions, TokenAccess
-from heronladder_router.unreached_replicas import UnreachedReplicas
+from heronladder_router.unreachable_replicas import UnreachableReplicas
 
 _DRAIN_POLL_S = 0.02
 # Longest time to return tokens when stopping, and the part of it that other gateways have to
@@ -154,8 +154,8 @@
             self.link, self.crashing, environment, self.metrics, self.log
         )
         self.leave_reports = LeaveReports(self.link, environment, self.metrics, self.log)
-        self.replicas.availability.left = self.leave_reports.left
-        self.unreached = UnreachedReplicas(self.replicas, environment, self.log)
+        self.replicas.availability.on_leaving = self.leave_reports.on_leaving
+        self.unreached = UnreachableReplicas(self.replicas, environment, self.log)
         self._client = ReplicaClient()
         self._connections = ReplicaConnections(environment, self.metrics)
         self.server = self._make_server()
@@ -199,9 +199,9 @@
         limits = self.replicas.limits
         limits.gateway = self.options.name
         limits.gateways = self._gateways_known
-        limits.leader_heard_s = lambda: self.link.standing.last_contact_s
+        limits.last_leader_contact_s = lambda: self.link.standing.last_contact_s
         limits.beat_now = self.link.beat_now
-        handlers.replica_limits = limits.take
+        handlers.replica_limits = limits.apply_frame
         self.metrics.gauge("replicas_leaving", lambda: self.replicas.availability.leaving)
         self.metrics.gauge("replicas_backing_off", lambda: self.replicas.availability.backing_off)
         self.metrics.gauge("replicas_limited", lambda: limits.count)
@@ -231,7 +231,7 @@
 
     def _make_slot_queue(self) -> ReplicaSlotQueue:
         return ReplicaSlotQueue(
-            self.replicas.places_of,
+            self.replicas.slots_of,
             lambda: self.link.routers,
             lambda: self.link.round_trip_s,
             self._environment,
--- a/packages/heronladder-router/src/heronladder_router/replica_slot_queue.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_slot_queue.py
@@ -231,7 +231,7 @@
             retry_after_s=self._assign_retry_after_s(queue, decided.expected_ms),
         )
 
-    def come_back_s(self, service: str, default_s: float | None) -> float | None:
+    def caller_retry_after_s(self, service: str, default_s: float | None) -> float | None:
         """Return the retry-after time, in seconds, for a caller that all replicas rejected.
 
         Args:
--- a/packages/heronladder-router/src/heronladder_router/request_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/request_tokens.py
@@ -4,7 +4,7 @@
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.logs import EventLog
 
-from heronladder_router.attempt_outcomes import AnswerProgress
+from heronladder_router.attempt_outcomes import ResponseProgress
 from heronladder_router.errors import CallerError
 from heronladder_router.gateway_request import GatewayRequest
 from heronladder_router.host_routes import HostRouteTable
@@ -94,7 +94,7 @@
         additional_s = max(0.0, self._link.quickest_round_trip_s - _LOCAL_ROUND_TRIP_S)
         return min(_MAX_REMOTE_CONTROL_S, _RESERVE_ROUND_TRIPS * additional_s)
 
-    def used(self, request: GatewayRequest, progress: AnswerProgress) -> int:
+    def used(self, request: GatewayRequest, progress: ResponseProgress) -> int:
         """Return the upper bound on the tokens that the tenant received.
 
         A tenant pays for what it receives: a request that ended before any output was handed out
@@ -105,7 +105,7 @@
             progress: The part of the response that was handed out.
         """
         bounds = request.bounds
-        if bounds is None or not progress.handed_out:
+        if bounds is None or not progress.success_delivered:
             return 0
         service = self._routes.services.get(request.profile.service)
         per_event = service.engine.tokens_per_event if service is not None else 0
--- a/tests/back_off_run.py
+++ b/tests/back_off_simulation.py
@@ -1,8 +1,9 @@
-"""Gateways and replicas that shed for a while in virtual time, with the product's own decisions.
+"""Simulation in virtual time of gateways and overloaded replicas, with the production decisions.
 
-All replicas of a plain service turn requests away for three seconds and ask for back-off; after
-that they shed only what is over their places and a short queue. A refused caller comes back once,
-when it was told to. Links take a millisecond each way; gateways hear nothing of each other's load.
+All replicas of a service reject requests for three seconds and ask for back-off. After that they
+reject only requests that exceed their slots and a short queue. A refused caller retries once, at
+the time that it was given. Links delay each direction by a millisecond. Gateways do not know each
+other's load.
 """
 
 import heapq
@@ -12,26 +13,26 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from heronladder_router.answer_signals import AnswerSignals
 from heronladder_router.cached_prompt_parts import CachedPromptParts
 from heronladder_router.decisions.availability import Availability
 from heronladder_router.decisions.placement import PlacementView, place
 from heronladder_router.replica_availability import ReplicaAvailability
 from heronladder_router.replica_state import FleetReplica, RequestProfile
+from heronladder_router.response_signals import ResponseSignals
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
 from heronladder_schema.v1 import resources_pb2
 
 SERVICE = "app"
-SHEDS_S = (2.0, 5.0)
-UNDER_WAY_S = 0.5
-_WAY_S = 0.001
-_WORK_S = 0.1
-_QUEUE = 6
-_SENDS = 3
-_TRIES = 2
-_FULL_ASKS_S = 0.5
+OVERLOAD_S = (2.0, 5.0)
+IN_FLIGHT_S = 0.5
+_LINK_DELAY_S = 0.001
+_SERVICE_TIME_S = 0.1
+_MAX_QUEUED = 6
+_MAX_ATTEMPTS = 3
+_MAX_TRIES = 2
+_FULL_BACK_OFF_S = 0.5
 
 
 class Clock(Environment):
@@ -45,7 +46,16 @@
 
 @dataclass
 class _Replica:
-    """A replica, its work, and what it asked whom for."""
+    """A simulated replica.
+
+    Attributes:
+        name: Its id.
+        slots: Requests that it runs at once.
+        running: Requests that run now.
+        waiting: Queued requests with their gateways.
+        asked: Rejections: time, gateway and requested back-off in seconds.
+        arrivals: Time and gateway of each request that arrived.
+    """
 
     name: str
     slots: int
@@ -57,7 +67,7 @@
 
 @dataclass
 class _Gateway:
-    """What one gateway knows."""
+    """A simulated gateway and its state."""
 
     name: str
     availability: ReplicaAvailability
@@ -66,7 +76,7 @@
 
 @dataclass
 class _Request:
-    """One try of a caller."""
+    """One try of a caller: a request, with its attempts at replicas."""
 
     number: int
     tries: int = 1
@@ -75,31 +85,31 @@
 
 
 @dataclass
-class BackOffRun:
-    """One run.
+class BackOffSimulation:
+    """One simulation.
 
     Attributes:
-        gateways: How many.
-        replicas: How many.
+        gateways: Number of gateways.
+        replicas: Number of replicas.
         slots: Requests that a replica runs at once.
-        load: Requests that come, as a share of what the replicas bear.
-        asks_s: Time that shedding replicas ask for.
-        seconds: How long.
-        seed: Of all choices.
-        is_spread: Whether refused callers are told moments of their own, and a replica that is
-            back gets one request at first.
-        is_kept: Whether back-off is kept at all.
+        load: Rate of new requests, as a fraction of the capacity of the replicas.
+        requested_back_off_s: Back-off that overloaded replicas ask for.
+        seconds: Time during which new requests arrive.
+        seed: Seed of the random numbers.
+        spreads_retries: Whether refused callers get different retry times, and a replica gets one
+            request at first after its back-off.
+        respects_back_off: Whether gateways respect back-off at all.
     """
 
     gateways: int = 6
     replicas: int = 6
     slots: int = 6
     load: float = 0.7
-    asks_s: float = 3.0
+    requested_back_off_s: float = 3.0
     seconds: float = 12.0
     seed: int = 1
-    is_spread: bool = True
-    is_kept: bool = True
+    spreads_retries: bool = True
+    respects_back_off: bool = True
 
     def __post_init__(self) -> None:
         self.source = random.Random(self.seed)
@@ -113,7 +123,7 @@
         self.fleet = [self._gateway(f"g{number}") for number in range(self.gateways)]
         self.served_s: list[float] = []
         self.outcomes: Counter[str] = Counter()
-        self.shed_after = 0
+        self.rejected_after_overload = 0
 
     def _gateway(self, name: str) -> _Gateway:
         availability = ReplicaAvailability(self.clock, Metrics(), EventLog("gateway", name))
@@ -127,16 +137,16 @@
 
     @property
     def per_s(self) -> float:
-        """Requests of new callers a second."""
-        return self.load * self.replicas * self.slots / _WORK_S
+        """New requests per second, without retries."""
+        return self.load * self.replicas * self.slots / _SERVICE_TIME_S
 
     # ---- time -------------------------------------------------------------
 
-    def _at(self, after_s: float, event: Callable[[], None]) -> None:
+    def _schedule(self, after_s: float, event: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self.clock.now_s + after_s, next(self._order), event))
 
-    def run(self) -> "BackOffRun":
-        """Play the run."""
+    def run(self) -> "BackOffSimulation":
+        """Run the simulation until no events are left."""
         self._arrive()
         while self._events:
             self.clock.now_s, _, event = heapq.heappop(self._events)
@@ -149,17 +159,17 @@
         if self.clock.now_s > self.seconds:
             return
         self._try(_Request(next(self._numbers)))
-        self._at(self.source.expovariate(self.per_s), self._arrive)
+        self._schedule(self.source.expovariate(self.per_s), self._arrive)
 
     def _try(self, request: _Request) -> None:
         self._send(self.source.choice(self.fleet), request)
 
     def _refuse(self, request: _Request, after_s: float) -> None:
-        if request.tries >= _TRIES:
+        if request.tries >= _MAX_TRIES:
             self.outcomes["refused"] += 1
             return
         again = _Request(request.number, request.tries + 1)
-        self._at(after_s, lambda: self._try(again))
+        self._schedule(after_s, lambda: self._try(again))
 
     # ---- a gateway --------------------------------------------------------
 
@@ -177,68 +187,77 @@
             is_window_full=self._is_window_full(gateway),
         )
         chosen = place(view, RequestProfile(SERVICE), request.tried, self.source).replica
-        if chosen is None or request.sends >= _SENDS:
-            self._refuse(request, self._return_s(gateway))
+        if chosen is None or request.sends >= _MAX_ATTEMPTS:
+            self._refuse(request, self._retry_after_s(gateway))
             return
         request.sends += 1
         request.tried.add(chosen.name)
         chosen.in_flight += 1
-        self._at(_WAY_S, lambda: self._reach(self.all[chosen.name], gateway, request))
+        self._schedule(
+            _LINK_DELAY_S, lambda: self._receive_request(self.all[chosen.name], gateway, request)
+        )
 
     def _verdict(self, gateway: _Gateway) -> Callable[[FleetReplica], Availability]:
-        if not self.is_kept:
+        if not self.respects_back_off:
             return lambda _replica: Availability.AVAILABLE
         return gateway.availability.verdict
 
     def _is_window_full(self, gateway: _Gateway) -> Callable[[FleetReplica], bool]:
-        if not (self.is_kept and self.is_spread):
+        if not (self.respects_back_off and self.spreads_retries):
             return lambda _replica: False
         return gateway.availability.is_window_full
 
-    def _return_s(self, gateway: _Gateway) -> float:
-        told_s = gateway.availability.come_back_s(SERVICE, gateway.replicas.values())
-        if told_s is None or not self.is_kept:
+    def _retry_after_s(self, gateway: _Gateway) -> float:
+        retry_after_s = gateway.availability.caller_retry_after_s(
+            SERVICE, gateway.replicas.values()
+        )
+        if retry_after_s is None or not self.respects_back_off:
             return 0.3
-        if self.is_spread:
-            return told_s
+        if self.spreads_retries:
+            return retry_after_s
         records = gateway.availability._records.values()
         now_s = self.clock.now_s
         return min(one.back_off_until_s for one in records if one.back_off_until_s > now_s) - now_s
 
     # ---- a replica --------------------------------------------------------
 
-    def _reach(self, replica: _Replica, gateway: _Gateway, request: _Request) -> None:
+    def _receive_request(self, replica: _Replica, gateway: _Gateway, request: _Request) -> None:
         now_s = self.clock.now_s
         replica.arrivals.append((now_s, gateway.name))
-        if SHEDS_S[0] <= now_s < SHEDS_S[1]:
-            self._shed(replica, gateway, request, self.asks_s)
+        if OVERLOAD_S[0] <= now_s < OVERLOAD_S[1]:
+            self._reject(replica, gateway, request, self.requested_back_off_s)
         elif replica.running < replica.slots:
-            self._begin(replica, gateway, request)
-        elif len(replica.waiting) < _QUEUE:
+            self._start(replica, gateway, request)
+        elif len(replica.waiting) < _MAX_QUEUED:
             replica.waiting.append((gateway, request))
         else:
-            self._shed(replica, gateway, request, _FULL_ASKS_S)
+            self._reject(replica, gateway, request, _FULL_BACK_OFF_S)
 
-    def _shed(self, replica: _Replica, gateway: _Gateway, request: _Request, asks_s: float) -> None:
-        self.shed_after += self.clock.now_s >= SHEDS_S[1]
-        replica.asked.append((self.clock.now_s, gateway.name, asks_s))
-        self._at(_WAY_S, lambda: self._rejected(replica, gateway, request, asks_s))
+    def _reject(
+        self, replica: _Replica, gateway: _Gateway, request: _Request, requested_back_off_s: float
+    ) -> None:
+        self.rejected_after_overload += self.clock.now_s >= OVERLOAD_S[1]
+        replica.asked.append((self.clock.now_s, gateway.name, requested_back_off_s))
+        self._schedule(
+            _LINK_DELAY_S,
+            lambda: self._receive_rejection(replica, gateway, request, requested_back_off_s),
+        )
 
-    def _rejected(
-        self, replica: _Replica, gateway: _Gateway, request: _Request, asks_s: float
+    def _receive_rejection(
+        self, replica: _Replica, gateway: _Gateway, request: _Request, requested_back_off_s: float
     ) -> None:
         known = gateway.replicas[replica.name]
         known.in_flight -= 1
-        signals = AnswerSignals(not_run=True, back_off_s=asks_s)
+        signals = ResponseSignals(not_run=True, back_off_s=requested_back_off_s)
         gateway.availability.observe(known, signals, str(request.number))
         self._send(gateway, request)
 
-    def _begin(self, replica: _Replica, gateway: _Gateway, request: _Request) -> None:
+    def _start(self, replica: _Replica, gateway: _Gateway, request: _Request) -> None:
         replica.running += 1
-        took_s = _WORK_S * self.source.uniform(0.8, 1.2)
-        self._at(took_s, lambda: self._ran(replica, gateway, request))
+        took_s = _SERVICE_TIME_S * self.source.uniform(0.8, 1.2)
+        self._schedule(took_s, lambda: self._finish(replica, gateway, request))
 
-    def _ran(self, replica: _Replica, gateway: _Gateway, request: _Request) -> None:
+    def _finish(self, replica: _Replica, gateway: _Gateway, request: _Request) -> None:
         replica.running -= 1
         known = gateway.replicas[replica.name]
         known.in_flight -= 1
@@ -246,15 +265,15 @@
         self.outcomes["served"] += 1
         self.served_s.append(self.clock.now_s)
         if replica.waiting:
-            self._begin(replica, *replica.waiting.pop(0))
+            self._start(replica, *replica.waiting.pop(0))
 
-    # ---- what is judged ---------------------------------------------------
+    # ---- results ----------------------------------------------------------
 
-    def most_while_backed_off(self) -> int:
-        """Return the most requests that a gateway sent in one of the times it was asked for."""
+    def max_attempts_during_back_off(self) -> int:
+        """Return the largest number of attempts of one gateway during one requested back-off."""
         return max(
             (
-                self._sent_in(replica, *asked)
+                self._attempts_during(replica, *asked)
                 for replica in self.all.values()
                 for asked in replica.asked
             ),
@@ -262,18 +281,20 @@
         )
 
     @staticmethod
-    def _sent_in(replica: _Replica, at_s: float, gateway: str, asks_s: float) -> int:
+    def _attempts_during(
+        replica: _Replica, at_s: float, gateway: str, requested_back_off_s: float
+    ) -> int:
         return sum(
             1
             for arrived_s, by in replica.arrivals
-            if by == gateway and at_s + UNDER_WAY_S < arrived_s < at_s + asks_s
+            if by == gateway and at_s + IN_FLIGHT_S < arrived_s < at_s + requested_back_off_s
         )
 
-    def used_again_s(self, share: float = 0.9) -> float:
-        """Return how long after the shedding ended so much of what comes is served a second."""
+    def recovery_s(self, share: float = 0.9) -> float:
+        """Return the time from the end of the overload until ``share`` of the load is served."""
         for step in range(80):
-            from_s = SHEDS_S[1] + step * 0.1
-            served = sum(1 for moment_s in self.served_s if from_s <= moment_s < from_s + 0.5)
+            from_s = OVERLOAD_S[1] + step * 0.1
+            served = sum(1 for served_s in self.served_s if from_s <= served_s < from_s + 0.5)
             if served >= share * self.per_s * 0.5:
                 return step * 0.1
         return float("inf")
--- a/tests/test_address_reuse.py
+++ b/tests/test_address_reuse.py
@@ -1,13 +1,13 @@
-"""Addresses of replicas that are gone belong to other services soon: none is taken for the other.
+"""Reuse of replica addresses by other services.
 
-Every send names the incarnation that it means; whoever else is there answers 421, has not
-run it, and is asked no more for that incarnation.
+Every attempt names the intended incarnation. Any other replica at the address responds with 421 and
+does not run the request, and gateways stop sending to the old incarnation.
 """
 
 import asyncio
 import unittest
 
-from heronladder_router.replica_availability import MISDIRECTED_S
+from heronladder_router.replica_availability import MISDIRECTED_EXCLUSION_S
 from platform_stand_ins import (
     END_OF_CHUNKS,
     Fleet,
@@ -28,8 +28,8 @@
 )
 
 
-async def _as_named(replica: StandInReplica, received: Received) -> bytes:
-    """Answer as a replica does that is asked for by its name, or for another."""
+async def _serve_if_addressed(replica: StandInReplica, received: Received) -> bytes:
+    """Respond as a replica that checks the name in the request."""
     if received.headers.get("expect-instance") != replica.identity:
         return b"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"
     return answer(received)
@@ -42,20 +42,20 @@
     async def asyncTearDown(self) -> None:
         await self.fleet.stop()
 
-    async def test_an_incarnation_whose_address_is_another_s_is_asked_no_more(self) -> None:
-        reused = await self.fleet.add_replica("i-gone", _as_named)
+    async def test_a_misdirected_incarnation_is_excluded(self) -> None:
+        reused = await self.fleet.add_replica("i-gone", _serve_if_addressed)
         reused.identity = "i-of-another-service"
-        sound = await self.fleet.add_replica("i-sound", _as_named)
+        sound = await self.fleet.add_replica("i-sound", _serve_if_addressed)
         for number in range(30):
             path = ("/once/", "/safe/", "/stream/")[number % 3]
             got = await self.fleet.request(path, Request_Id=f"u{number}")
             self.assertEqual((got.status, got.body), (200, b"done"))
-            await asyncio.sleep(0.05)  # past the first pause of one that merely failed
+            await asyncio.sleep(0.05)  # longer than the first suspicion after a failure
         self.assertEqual(len(sound.received), 30)
         self.assertEqual(len(reused.received), 1)
 
-    async def test_alone_it_is_not_asked_again_either(self) -> None:
-        reused = await self.fleet.add_replica("i-gone", _as_named)
+    async def test_a_misdirected_only_replica_is_excluded(self) -> None:
+        reused = await self.fleet.add_replica("i-gone", _serve_if_addressed)
         reused.identity = "i-of-another-service"
         for number in range(5):
             got = await self.fleet.request("/once/", Request_Id=f"a{number}")
@@ -63,8 +63,8 @@
             self.assertGreater(float(got.headers["Retry-After"]), 0)
         self.assertEqual(len(reused.received), 1)
 
-    async def test_one_that_was_wrongly_left_out_comes_back(self) -> None:
-        replica = await self.fleet.add_replica("i-1", _as_named)
+    async def test_a_wrongly_excluded_replica_is_used_again(self) -> None:
+        replica = await self.fleet.add_replica("i-1", _serve_if_addressed)
         replica.identity = "for a moment"
         self.assertEqual((await self.fleet.request("/once/")).status, 503)
         replica.identity = "i-1"
@@ -73,12 +73,12 @@
         known = gateway.replicas._replicas["i-1"]
         record = gateway.replicas.availability._records[known.incarnation]
         left_s = record.misdirected_until_s - asyncio.get_running_loop().time()
-        self.assertLessEqual(left_s, MISDIRECTED_S)
+        self.assertLessEqual(left_s, MISDIRECTED_EXCLUSION_S)
         record.misdirected_until_s = asyncio.get_running_loop().time()
         gateway.replicas._sorted_until_s = record.misdirected_until_s
         self.assertEqual((await self.fleet.request("/once/", Request_Id="b")).status, 200)
 
-    async def test_every_send_names_the_incarnation_also_those_of_a_resumed_stream(self) -> None:
+    async def test_every_attempt_names_the_incarnation_also_when_resuming(self) -> None:
         async def breaks(replica: StandInReplica, received: Received) -> bytes:
             if "last-event-id" in received.headers:
                 return stream_head(received) + event(2) + END_OF_CHUNKS
--- a/tests/test_cold_replicas.py
+++ b/tests/test_cold_replicas.py
@@ -1,4 +1,4 @@
-"""Cold replicas: what all gateways together send to one in any second, and who is told."""
+"""Limits on the requests of all gateways to a cold replica, and reports of cold replicas."""
 
 import asyncio
 import random
@@ -37,7 +37,7 @@
 
 
 class ShareTest(unittest.TestCase):
-    def test_the_bound_is_of_the_settings(self) -> None:
+    def test_the_bound_follows_from_the_settings(self) -> None:
         self.assertEqual(cold_bound_per_s(_BEARS_PER_S, 1.5, 5), _BOUND)
 
     def test_all_gateways_together_stay_within_half_of_the_bound(self) -> None:
@@ -49,7 +49,7 @@
                 self.assertGreaterEqual(sum(shares), min(count, 4))
 
     def test_two_views_of_the_gateways_stay_within_the_bound(self) -> None:
-        """Those cut from control know other gateways than the rest."""
+        """Gateways that are disconnected from control may know another set of gateways."""
         source = random.Random(1)
         everyone = sorted(_names(60))
         for trial in range(50):
@@ -62,7 +62,7 @@
                     total += share_per_s(f"r{trial}", name, known, _BOUND)
             self.assertLessEqual(total, _BOUND)
 
-    def test_a_gateway_that_knows_only_a_number_sends_by_chance(self) -> None:
+    def test_a_gateway_that_knows_only_the_count_sends_at_random(self) -> None:
         known = KnownGateways((), 30)
         senders = [
             sum(share_per_s(f"r{number}", name, known, _BOUND) for name in _names(30))
@@ -73,7 +73,7 @@
 
 
 class _Gateway:
-    """One gateway's view of a zone of replicas that came back cold."""
+    """One gateway's view of a restored zone whose replicas are cold."""
 
     def __init__(self, name: str, gateways: int, seed: int) -> None:
         known = KnownGateways(_names(gateways), gateways)
@@ -106,14 +106,14 @@
         return chosen.name
 
 
-def _busiest_second(moments: list[float]) -> int:
-    return max(sum(1 for other in moments if at <= other < at + 1.0) for at in moments)
+def _busiest_second(times_s: list[float]) -> int:
+    return max(sum(1 for other in times_s if at <= other < at + 1.0) for at in times_s)
 
 
-class ReturnOfAZoneTest(unittest.TestCase):
-    """A zone of idle, cold replicas looks the least loaded to every gateway."""
+class RestoredZoneTest(unittest.TestCase):
+    """To every gateway, the idle and cold replicas of a restored zone look least loaded."""
 
-    def _play(self, cold_capacity_per_s: float) -> int:
+    def _simulate(self, cold_capacity_per_s: float) -> int:
         gateways = [_Gateway(f"front-{number}", 30, number) for number in range(30)]
         source = random.Random(7)
         sent: dict[str, list[float]] = {}
@@ -124,12 +124,14 @@
             sent.setdefault(name, []).append(now_s)
         return max(_busiest_second(sent.get(f"r{number}", [0.0])) for number in (0, 3, 6))
 
-    def test_none_gets_more_than_it_may_in_any_second(self) -> None:
-        """23 and 24 requests reached cold replicas in a second in which 20 were allowed."""
-        self.assertGreater(self._play(cold_capacity_per_s=0.0), _BOUND)  # as any other replica
-        self.assertLessEqual(self._play(cold_capacity_per_s=_BEARS_PER_S), _BOUND)
+    def test_no_replica_exceeds_the_bound_in_any_second(self) -> None:
+        """Guards against 23 and 24 requests in a second at cold replicas, with 20 allowed."""
+        self.assertGreater(
+            self._simulate(cold_capacity_per_s=0.0), _BOUND
+        )  # like any other replica
+        self.assertLessEqual(self._simulate(cold_capacity_per_s=_BEARS_PER_S), _BOUND)
 
-    def test_a_cold_replica_that_could_take_work_gets_some(self) -> None:
+    def test_cold_replicas_get_some_requests(self) -> None:
         gateways = [_Gateway(f"front-{number}", 30, number) for number in range(30)]
         sent = [
             gateway.send(100.0 + COLD_WINDOW_S * turn, cold_capacity_per_s=_BEARS_PER_S)
@@ -139,7 +141,7 @@
         for name in ("r0", "r3", "r6"):
             self.assertGreaterEqual(sent.count(name), 3)
 
-    def test_when_all_are_cold_the_reason_says_so(self) -> None:
+    def test_the_reason_if_all_replicas_are_cold(self) -> None:
         gateway = _Gateway("front-0", 30, 1)
         gateway.replicas = gateway.replicas[:1]
         view = PlacementView(
@@ -173,7 +175,7 @@
         self.assertEqual(self._place(None), "in-south-1")
         self.assertEqual(self._place(frozenset({"north"})), "in-north-1")
         self.assertIsNone(self._place(frozenset({"west"})))
-        self.assertIsNone(self._place(frozenset()))  # route and tenant have none in common
+        self.assertIsNone(self._place(frozenset()))  # route and tenant share no region
 
 
 def _replica(cold_ms: int = 0) -> resources_pb2.Replica:
@@ -183,33 +185,33 @@
 class ColdReportsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = _Clock()
-        self.words = ColdReports(self.clock)
+        self.reports = ColdReports(self.clock)
         self.recorded = _replica(3000)
-        self.words.known(self.recorded)
+        self.reports.known(self.recorded)
 
-    def test_a_countdown_is_no_news(self) -> None:
+    def test_a_countdown_is_not_a_change(self) -> None:
         self.clock.now_s += 1.2
-        self.assertFalse(self.words.is_news(_replica(1800), self.recorded))
+        self.assertFalse(self.reports.is_news(_replica(1800), self.recorded))
 
-    def test_one_that_turns_cold_again_is(self) -> None:
+    def test_turning_cold_again_is_a_change(self) -> None:
         self.clock.now_s += 1.2
-        self.assertTrue(self.words.is_news(_replica(3000), self.recorded))
+        self.assertTrue(self.reports.is_news(_replica(3000), self.recorded))
 
-    def test_a_warm_one_that_turns_cold_is(self) -> None:
-        self.words.known(_replica())
-        self.assertTrue(self.words.is_news(_replica(2500), _replica()))
+    def test_a_warm_replica_turning_cold_is_a_change(self) -> None:
+        self.reports.known(_replica())
+        self.assertTrue(self.reports.is_news(_replica(2500), _replica()))
 
-    def test_a_word_from_before_it_turned_cold_does_not_warm_it(self) -> None:
+    def test_an_outdated_report_does_not_mark_it_as_warm(self) -> None:
         self.clock.now_s += 1.0
-        self.assertFalse(self.words.is_news(_replica(0), self.recorded))
+        self.assertFalse(self.reports.is_news(_replica(0), self.recorded))
         self.clock.now_s += 2.0
-        self.assertTrue(self.words.is_news(_replica(0), self.recorded))
+        self.assertTrue(self.reports.is_news(_replica(0), self.recorded))
 
-    def test_a_new_leader_counts_from_its_first_word(self) -> None:
-        words = ColdReports(self.clock)
-        self.assertFalse(words.is_news(_replica(0), self.recorded))
+    def test_a_new_leader_counts_from_its_first_report(self) -> None:
+        reports = ColdReports(self.clock)
+        self.assertFalse(reports.is_news(_replica(0), self.recorded))
         self.clock.now_s += 3.0
-        self.assertTrue(words.is_news(_replica(0), self.recorded))
+        self.assertTrue(reports.is_news(_replica(0), self.recorded))
 
 
 class ColdReplicaTest(unittest.IsolatedAsyncioTestCase):
@@ -236,15 +238,15 @@
         return [got.status for got in await asyncio.gather(*requests)]
 
     async def test_a_cold_replica_gets_its_share_and_the_rest_goes_elsewhere(self) -> None:
-        """A gateway sent all to one that had just come back: it was the least loaded."""
+        """A replica that has just come back is the least loaded and would get all requests."""
         await self.fleet.add_replica("warm", self._script)
         await self.fleet.add_replica("cold", self._script, coldRemainingMs=3000)
         self.assertEqual(set(await self._burst(40)), {200})
-        # Without settings for it, all gateways may send what it bears, one group of two half.
+        # By default all gateways may send what it can process, each of two groups half of that.
         self.assertLessEqual(self.served.count("cold"), 2)
         self.assertGreaterEqual(self.served.count("cold"), 1)
 
-    async def test_when_none_is_warm_the_rest_is_told_when_to_come_back(self) -> None:
+    async def test_if_all_are_cold_excess_requests_get_retry_after(self) -> None:
         replica = await self.fleet.add_replica("cold", self._script, coldRemainingMs=3000)
         statuses = await self._burst(10)
         self.assertEqual(statuses.count(200), 2)
@@ -261,11 +263,11 @@
             "/api/Replicas.Heartbeat/cold",
             replica.heartbeat(coldRemainingMs=2000, sequence=9),
         )
-        async with asyncio.timeout(5):  # it turned cold once more
+        async with asyncio.timeout(5):  # it becomes cold again
             while set(await self._burst(10)) == {200}:
                 await asyncio.sleep(0.05)
 
-    async def test_a_zone_that_is_taken_back_may_be_cold(self) -> None:
+    async def test_replicas_of_a_restored_zone_may_be_cold(self) -> None:
         await self.fleet.add_replica("there", self._script, zone="z2")
         await self.fleet.add_replica("here", self._script, zone="z1")
         for call in ("Start", "Stop"):
--- a/tests/test_gateway_readiness.py
+++ b/tests/test_gateway_readiness.py
@@ -241,13 +241,15 @@
                     replica = next(one for one in gateway.usable("s") if one.name == name)
                     gateway.sent(replica, RequestProfile("s"))
                 gateway.loads.update_others({name: loads[name] for name in names[:reported]})
-                self.assertEqual(gateway.loads.under_way(), (own, 9 * reported if known else None))
+                self.assertEqual(
+                    gateway.loads.in_flight_totals(), (own, 9 * reported if known else None)
+                )
 
 
 class NewStreamTest(unittest.TestCase):
     def test_first_totals_of_a_new_stream_do_not_put_a_gateway_behind(self) -> None:
         link = SimpleNamespace(round_trip_s=0.9, loop_late_s=0.0, routers=20, heard_since_s=99.5)
-        loads = SimpleNamespace(under_way=lambda: (100, 0))
+        loads = SimpleNamespace(in_flight_totals=lambda: (100, 0))
         clock = _Clock()
         readiness = GatewayReadiness(
             _LIMIT_MS,
@@ -268,7 +270,7 @@
     def test_gateway_does_not_stay_behind_while_control_is_silent(self) -> None:
         """Readiness was only recomputed when control responded."""
         link = SimpleNamespace(round_trip_s=0.9, loop_late_s=0.0, routers=20, heard_since_s=0.0)
-        loads = SimpleNamespace(under_way=lambda: (100, 100))
+        loads = SimpleNamespace(in_flight_totals=lambda: (100, 100))
         clock = _Clock()
         readiness = GatewayReadiness(
             _LIMIT_MS,
@@ -280,7 +282,7 @@
         )
         readiness.update()
         self.assertTrue(readiness.behind)
-        loads.under_way = lambda: (100, None)
+        loads.in_flight_totals = lambda: (100, None)
         clock.now_s += 4.1
         readiness.update()
         self.assertFalse(readiness.behind)
--- a/tests/test_region_choice.py
+++ b/tests/test_region_choice.py
@@ -167,11 +167,11 @@
         fleet = _Fleet()
         for replica in fleet.replicas_in("n"):
             replica.suspect_until_s = 20.0
-            replica.refuses = True
+            replica.refuses_connections = True
         found = [fleet.place(RequestProfile(_SERVICE), may_spill=False) for _ in range(50)]
         self.assertEqual({one.way for one in found}, {RegionChoice.REMOTE_NO_LOCAL})
         for replica in fleet.replicas:
-            replica.refuses = True
+            replica.refuses_connections = True
         self.assertIsNotNone(fleet.place(RequestProfile(_SERVICE)).replica)
 
     def test_suspects_are_compared_if_all_regions_have_only_suspects(self) -> None:
@@ -227,8 +227,10 @@
             placement = replicas.place(profile, ())
             assert placement.replica is not None
             if placement.way.is_spill:
-                replicas.spilled()
-            replicas.began(placement.replica, replicas.sent(placement.replica, profile))
+                replicas.record_spillover()
+            replicas.record_prompt_read(
+                placement.replica, replicas.sent(placement.replica, profile)
+            )
             replicas.ended(placement.replica)
             return placement.way
 
--- a/tests/test_replica_client.py
+++ b/tests/test_replica_client.py
@@ -1,4 +1,4 @@
-"""Connections of a gateway to replicas: which are kept, and which are given up."""
+"""Connections of a gateway to replicas: which are reused, and which are closed."""
 
 import asyncio
 import unittest
@@ -17,15 +17,15 @@
 _SETTLE_S = 0.05
 
 
-async def _done(replica: StandInReplica, received: Received) -> bytes:
+async def _respond(replica: StandInReplica, received: Received) -> bytes:
     return answer(received)
 
 
-async def _stream(replica: StandInReplica, received: Received) -> bytes:
+async def _respond_with_stream(replica: StandInReplica, received: Received) -> bytes:
     return stream_head(received) + event(1) + event(2) + END_OF_CHUNKS
 
 
-async def _twice(replica: StandInReplica, received: Received) -> bytes:
+async def _respond_twice(replica: StandInReplica, received: Received) -> bytes:
     return answer(received) + answer(received, body=b"late")
 
 
@@ -52,8 +52,8 @@
             await asyncio.sleep(_SETTLE_S)
         return bodies
 
-    async def test_a_connection_that_its_replica_is_about_to_close_is_not_used(self) -> None:
-        """The request may meet the close on its way, and then nobody knows whether it ran."""
+    async def test_an_expiring_connection_is_not_used(self) -> None:
+        """If a request crosses the close of its connection, it is unknown whether it ran."""
 
         async def keeps(replica: StandInReplica, received: Received) -> bytes:
             return answer(received, Keep_Alive="timeout=1, max=100")
@@ -64,20 +64,23 @@
                 await self._send_twice(replica, may_run_twice=True)
                 self.assertEqual(replica.connections, connections)
 
-    async def test_a_connection_is_kept_after_a_whole_answer(self) -> None:
-        """3,309 connections for 3,409 requests: empty data was taken for stray bytes."""
-        for script in (_done, _stream):
+    async def test_a_connection_is_reused_after_a_complete_response(self) -> None:
+        """Empty data from aiohttp is no stray data.
+
+        Otherwise nearly every request opens a connection: 3,309 for 3,409 requests.
+        """
+        for script in (_respond, _respond_with_stream):
             replica = StandInReplica("i-1", script)
             await self._send_twice(replica, may_run_twice=True)
             self.assertEqual(replica.connections, 1)
 
-    async def test_a_request_that_must_not_run_twice_has_a_connection_of_its_own(self) -> None:
-        replica = StandInReplica("i-1", _done)
+    async def test_a_request_that_must_not_run_twice_gets_a_new_connection(self) -> None:
+        replica = StandInReplica("i-1", _respond)
         await self._send_twice(replica, may_run_twice=False)
         self.assertEqual(replica.connections, 2)
 
-    async def test_a_connection_with_stray_bytes_is_given_up(self) -> None:
-        replica = StandInReplica("i-1", _twice)
+    async def test_a_connection_with_stray_bytes_is_closed(self) -> None:
+        replica = StandInReplica("i-1", _respond_twice)
         bodies = await self._send_twice(replica, may_run_twice=True)
         self.assertEqual(bodies, [b"done", b"done"])
         self.assertEqual(replica.connections, 2)
--- a/tests/test_unreached_replicas.py
+++ b/tests/test_unreached_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that accept no connections are left out, and used again once they do."""
+"""Replicas that accept no connections are excluded, and used again once they do."""
 
 import asyncio
 import unittest
@@ -13,7 +13,7 @@
 )
 
 _REPLICAS = 7
-_STAYS = 1  # how many go on
+_SURVIVORS = 1
 
 
 async def _serve(replica: StandInReplica, received: Received) -> bytes:
@@ -30,8 +30,8 @@
         assert self.fleet.gateway.gateway is not None
         self.role = self.fleet.gateway.gateway
 
-    async def _ask(self, seconds: float) -> list[int]:
-        """Ask evenly; return the statuses."""
+    async def _request_evenly(self, seconds: float) -> list[int]:
+        """Send requests at an even rate; return the statuses."""
         statuses = []
         end_s = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < end_s:
@@ -40,24 +40,25 @@
             await asyncio.sleep(0.02)
         return statuses
 
-    async def test_dead_replicas_cost_requests_nothing_once_they_are_known(self) -> None:
-        """They look idle: each time their suspicion lapsed, requests went to them first.
+    async def test_known_dead_replicas_do_not_affect_requests(self) -> None:
+        """Dead replicas look idle and would attract requests whenever their suspicion expires.
 
-        With six of seven dead one request met four of them in a row, and was refused with «no
-        replica took the request», although one replica was idle.
+        With six of seven dead, a request met four of them in a row and was refused with "no replica
+        took the request", although one replica was idle.
         """
-        for replica in self.replicas[_STAYS:]:
+        for replica in self.replicas[_SURVIVORS:]:
             await replica.stop()
-        await self._ask(1.5)
+        await self._request_evenly(1.5)
         failed = self.role.metrics.counters["sends_failed", "NotReachedError"]
-        statuses = await self._ask(6.0)
+        statuses = await self._request_evenly(6.0)
         self.assertEqual(set(statuses), {200})
         self.assertEqual(self.role.metrics.counters["sends_failed", "NotReachedError"], failed)
 
-    async def test_a_try_that_reached_no_replica_needs_no_repeat(self) -> None:
-        """«no replica took the request» after one refused connection, with others idle.
+    async def test_an_unreachable_replica_uses_no_retry(self) -> None:
+        """Attempts at crashed replicas do not count as retries.
 
-        The repeats that a gateway may make were used up, by tries at replicas that had crashed.
+        Otherwise they use up the retry allowance, and a request is refused with "no replica took
+        the request" after one refused connection although other replicas are idle.
         """
         retry_budget = self.role.server._dispatcher._context.retry_budget
         while retry_budget.try_spend(SERVICE):
@@ -68,27 +69,29 @@
         for replica in live[1:]:
             known = self.role.replicas._replicas[replica.identity]
             self.role.replicas.availability.misdirected(known)
-        # Together, so that they spread over all that are left.
+        # Sent concurrently, so that they spread over all remaining replicas.
         asked = (self.fleet.request("/safe/", body=str(number).encode()) for number in range(12))
         statuses = [got.status for got in await asyncio.gather(*asked)]
         failed = self.role.metrics.counters["sends_failed", "NotReachedError"]
-        self.assertGreater(failed, 0, "some met a dead replica")
+        self.assertGreater(failed, 0, "some requests meet a dead replica")
         self.assertEqual(set(statuses), {200})
 
     async def test_one_that_accepts_connections_again_is_used(self) -> None:
         replica = self.replicas[-1]
         host, port = replica.address.split(":")
         await replica.stop()
-        await self._ask(1.0)
+        await self._request_evenly(1.0)
         self.assertEqual(self.role.unreached.count, 1)
-        refusing = [one.name for one in self.role.replicas.usable(SERVICE) if one.refuses]
+        refusing = [
+            one.name for one in self.role.replicas.usable(SERVICE) if one.refuses_connections
+        ]
         self.assertEqual(refusing, [replica.identity])
         again = StandInReplica(replica.identity, _serve)
         again._server = await asyncio.start_server(again._serve, host, int(port))
         self.addAsyncCleanup(again.stop)
         async with asyncio.timeout(8):
             while not again.received:
-                await self._ask(0.1)
+                await self._request_evenly(0.1)
         self.assertEqual(self.role.unreached.count, 0)
 
 
