--- a/packages/heronladder-router/src/heronladder_router/attaching.py
+++ b/packages/heronladder-router/src/heronladder_router/attaching.py
@@ -7,7 +7,7 @@
 from heronladder_runtime.settlements import settlement_of
 from heronladder_schema.v1 import agent_pb2, ledger_pb2
 
-from heronladder_router.caller_answer import CallerAnswer
+from heronladder_router.caller_response import CallerResponse
 from heronladder_router.errors import (
     AlreadyRanError,
     BackendLostError,
@@ -35,7 +35,9 @@
     def __init__(self, parts: ForwardingParts) -> None:
         self._parts = parts
 
-    async def attach(self, request: CallerRequest, claim: ledger_pb2.Claim) -> CallerAnswer | None:
+    async def attach(
+        self, request: CallerRequest, claim: ledger_pb2.Claim
+    ) -> CallerResponse | None:
         """Return the answer of the attempt that holds a request's claim.
 
         Returns:
@@ -100,11 +102,11 @@
 
     async def _attached(
         self, request: CallerRequest, claim: ledger_pb2.Claim, answer: AgentAnswer
-    ) -> CallerAnswer:
+    ) -> CallerResponse:
         assert answer.chunks is not None
         self._parts.metrics.add("attached")
         if answer.content_type.startswith(EVENT_STREAM):
-            caller_answer = CallerAnswer(claim.request_id, answer.status, EVENT_STREAM)
+            caller_answer = CallerResponse(claim.request_id, answer.status, EVENT_STREAM)
             caller_answer.chunks = self._pass(request, claim, answer)
             return caller_answer
         try:
@@ -115,7 +117,7 @@
         if problem:
             raise OutcomeUnknownError(problem, step="attach", peer=claim.agent)
         await self._settle(request, claim, answer)
-        return CallerAnswer(claim.request_id, answer.status, answer.content_type, body)
+        return CallerResponse(claim.request_id, answer.status, answer.content_type, body)
 
     async def _pass(
         self, request: CallerRequest, claim: ledger_pb2.Claim, answer: AgentAnswer
--- a/packages/heronladder-router/src/heronladder_router/caller_answer.py
+++ b/packages/heronladder-router/src/heronladder_router/caller_response.py
@@ -5,7 +5,7 @@
 
 
 @dataclass
-class CallerAnswer:
+class CallerResponse:
     """An answer to a caller.
 
     Attributes:
--- a/packages/heronladder-router/src/heronladder_router/forwarding.py
+++ b/packages/heronladder-router/src/heronladder_router/forwarding.py
@@ -8,7 +8,7 @@
 
 from heronladder_router.attaching import Attacher
 from heronladder_router.attempt import Attempt
-from heronladder_router.caller_answer import CallerAnswer
+from heronladder_router.caller_response import CallerResponse
 from heronladder_router.claims import ClaimHeldError
 from heronladder_router.errors import (
     BackendLostError,
@@ -63,7 +63,7 @@
 
     # ---- one request ------------------------------------------------------
 
-    async def forward(self, request: CallerRequest) -> CallerAnswer:
+    async def forward(self, request: CallerRequest) -> CallerResponse:
         """Return the answer to a request.
 
         Raises:
@@ -110,7 +110,7 @@
         wait_s = min(self._options.admission_wait_s, self._parts.left_s(request))
         return await self._parts.leases.reserve(request.tenant_spec.budget, request.tokens, wait_s)
 
-    async def _forward_admitted(self, request: CallerRequest) -> CallerAnswer:
+    async def _forward_admitted(self, request: CallerRequest) -> CallerResponse:
         policy = self._parts.selector.policy(request.service_spec)
         self._retries.request(policy.retry_budget_percent)
         reservation = await self._reserve(request)
@@ -220,7 +220,7 @@
 
     async def _try(
         self, request: CallerRequest, replica: Replica, attempt: Attempt
-    ) -> CallerAnswer:
+    ) -> CallerResponse:
         """Make one attempt.
 
         Raises:
@@ -338,7 +338,7 @@
 
     async def _take_answer(
         self, request: CallerRequest, replica: Replica, attempt: Attempt
-    ) -> CallerAnswer:
+    ) -> CallerResponse:
         answer = attempt.answer
         assert answer is not None
         invariant(
@@ -354,7 +354,7 @@
 
     async def _whole(
         self, request: CallerRequest, replica: Replica, attempt: Attempt, answer: AgentAnswer
-    ) -> CallerAnswer:
+    ) -> CallerResponse:
         """Read an answer that comes in one piece, and bill it."""
         assert answer.chunks is not None
         body = b"".join([chunk async for chunk in answer.chunks])
@@ -365,4 +365,4 @@
         await attempt.bill(self._parts.bookkeeper, end)
         self._parts.directory.succeeded(replica)
         self._parts.directory.ended(replica)
-        return CallerAnswer(request.request_id, answer.status, answer.content_type, body)
+        return CallerResponse(request.request_id, answer.status, answer.content_type, body)
--- a/packages/heronladder-router/src/heronladder_router/role.py
+++ b/packages/heronladder-router/src/heronladder_router/role.py
@@ -15,7 +15,7 @@
 from heronladder_router.admission import AdmissionQueue
 from heronladder_router.agent_channel import AgentChannel
 from heronladder_router.bookkeeping import Bookkeeper
-from heronladder_router.caller_answer import CallerAnswer
+from heronladder_router.caller_response import CallerResponse
 from heronladder_router.claims import ClaimClient
 from heronladder_router.confirmations import ConfirmationKeeper, OpenAttempts
 from heronladder_router.errors import (
@@ -226,17 +226,17 @@
 
     # ---- serving ----------------------------------------------------------
 
-    async def forward(self, request: CallerRequest) -> CallerAnswer:
+    async def forward(self, request: CallerRequest) -> CallerResponse:
         """Return the answer to a request; its accounts are kept even if nobody waits.
 
         Raises:
             CallerError: If there is no answer; says whether the request ran.
         """
-        work: asyncio.Task[CallerAnswer | CallerError] = self._tasks.start(
+        work: asyncio.Task[CallerResponse | CallerError] = self._tasks.start(
             "forward", self._forward(request)
         )
         try:
-            result: CallerAnswer | CallerError = await asyncio.shield(work)
+            result: CallerResponse | CallerError = await asyncio.shield(work)
         except asyncio.CancelledError:
             work.add_done_callback(self._close_unread)
             raise
@@ -244,17 +244,17 @@
             raise result
         return result
 
-    async def _forward(self, request: CallerRequest) -> CallerAnswer | CallerError:
+    async def _forward(self, request: CallerRequest) -> CallerResponse | CallerError:
         try:
             return await self.forwarder.forward(request)
         except CallerError as error:
             return error
 
-    def _close_unread(self, work: "asyncio.Task[CallerAnswer | CallerError]") -> None:
+    def _close_unread(self, work: "asyncio.Task[CallerResponse | CallerError]") -> None:
         if work.cancelled() or work.exception() is not None:
             return
         result = work.result()
-        if isinstance(result, CallerAnswer):
+        if isinstance(result, CallerResponse):
             self._tasks.start("close_unread", result.close())
 
     async def outcome(self, tenant: str, key: str) -> ledger_pb2.Outcome.ValueType:
--- a/packages/heronladder-router/src/heronladder_router/server.py
+++ b/packages/heronladder-router/src/heronladder_router/server.py
@@ -12,7 +12,7 @@
 from heronladder_runtime.metrics import Metrics
 from heronladder_schema.v1 import ledger_pb2
 
-from heronladder_router.caller_answer import CallerAnswer
+from heronladder_router.caller_response import CallerResponse
 from heronladder_router.error_answer import OUTCOME_HEADER, error_document
 from heronladder_router.errors import (
     OUTCOME_WORDS,
@@ -46,7 +46,7 @@
     def ready(self) -> bool:
         """Whether requests can be served."""
 
-    async def forward(self, request: CallerRequest) -> CallerAnswer:
+    async def forward(self, request: CallerRequest) -> CallerResponse:
         """Return the answer to a request."""
 
     async def outcome(self, tenant: str, key: str) -> ledger_pb2.Outcome.ValueType:
@@ -176,7 +176,7 @@
         self,
         request: web.Request,
         caller_request: CallerRequest,
-        answer: CallerAnswer,
+        answer: CallerResponse,
         started_s: float,
     ) -> web.StreamResponse:
         headers = {
@@ -201,7 +201,7 @@
         self,
         response: web.StreamResponse,
         caller_request: CallerRequest,
-        answer: CallerAnswer,
+        answer: CallerResponse,
         started_s: float,
     ) -> None:
         assert answer.chunks is not None
--- a/packages/heronladder-router/src/heronladder_router/streaming.py
+++ b/packages/heronladder-router/src/heronladder_router/streaming.py
@@ -7,7 +7,7 @@
 from heronladder_runtime.tasks import TaskGroupOwner
 
 from heronladder_router.attempt import Attempt
-from heronladder_router.caller_answer import CallerAnswer
+from heronladder_router.caller_response import CallerResponse
 from heronladder_router.errors import BackendLostError, ChannelLostError, ChannelNotSentError
 from heronladder_router.parts import (
     ATTACH_PAUSE_S,
@@ -34,9 +34,9 @@
 
     def answer(
         self, request: CallerRequest, replica: Replica, attempt: Attempt, answer: AgentAnswer
-    ) -> CallerAnswer:
+    ) -> CallerResponse:
         """Return a caller's answer that streams what the agent sends."""
-        caller_answer = CallerAnswer(request.request_id, answer.status, EVENT_STREAM)
+        caller_answer = CallerResponse(request.request_id, answer.status, EVENT_STREAM)
         caller_answer.chunks = self._pass(request, attempt, answer)
 
         async def finish() -> None:
--- a/packages/heronladder-tools/src/heronladder_tools/simulation/callers.py
+++ b/packages/heronladder-tools/src/heronladder_tools/simulation/callers.py
@@ -6,7 +6,7 @@
 from heronladder_emulator.network import Endpoint
 from heronladder_emulator.network_errors import NetworkError
 from heronladder_emulator.pipe import Pipe
-from heronladder_router.caller_answer import CallerAnswer
+from heronladder_router.caller_response import CallerResponse
 from heronladder_router.errors import OUTCOME_WORDS, CallerError
 from heronladder_router.intake import CHAT_PATH, RawCall
 from heronladder_router.role import RouterRole
@@ -33,11 +33,11 @@
         answer: The answer.
     """
 
-    def __init__(self, answer: CallerAnswer) -> None:
+    def __init__(self, answer: CallerResponse) -> None:
         self.chunks = self._pass(answer)
 
     @staticmethod
-    async def _pass(answer: CallerAnswer) -> AsyncIterator[bytes]:
+    async def _pass(answer: CallerResponse) -> AsyncIterator[bytes]:
         assert answer.chunks is not None
         try:
             async for chunk in answer.chunks:
@@ -102,7 +102,7 @@
         return reply, pipe
 
     @staticmethod
-    async def _forward(role: RouterRole, call: CallerCall, request_id: str) -> CallerAnswer:
+    async def _forward(role: RouterRole, call: CallerCall, request_id: str) -> CallerResponse:
         path = call.path
         plain = path.startswith("/services/")
         name = path.split("/")[2] if plain else ""
