--- a/packages/heronladder-router/src/heronladder_router/balancers.py
+++ b/packages/heronladder-router/src/heronladder_router/balancers.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Choice:
+class BalancingContext:
     """What a balancer may look at.
 
     Attributes:
@@ -34,7 +34,7 @@
     """Chooses one replica."""
 
     @abstractmethod
-    def choose(self, choice: Choice) -> Replica:
+    def choose(self, choice: BalancingContext) -> Replica:
         """Return the replica that a request goes to."""
 
 
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         self._turn = 0
 
-    def choose(self, choice: Choice) -> Replica:
+    def choose(self, choice: BalancingContext) -> Replica:
         """Return the next replica."""
         self._turn += 1
         return choice.replicas[self._turn % len(choice.replicas)]
@@ -53,7 +53,7 @@
 class LeastOutstanding(Balancer):
     """The replica with the least load; ties by name."""
 
-    def choose(self, choice: Choice) -> Replica:
+    def choose(self, choice: BalancingContext) -> Replica:
         """Return the least loaded replica."""
         return min(choice.replicas, key=lambda replica: replica.load(choice.now_s))
 
@@ -68,7 +68,7 @@
     def __init__(self, source: random.Random) -> None:
         self._source = source
 
-    def choose(self, choice: Choice) -> Replica:
+    def choose(self, choice: BalancingContext) -> Replica:
         """Return the less loaded of two."""
         if len(choice.replicas) == 1:
             return choice.replicas[0]
@@ -90,7 +90,7 @@
     def __init__(self, bound_percent: int) -> None:
         self._bound = (bound_percent or _DEFAULT_BOUND_PERCENT) / _PERCENT
 
-    def choose(self, choice: Choice) -> Replica:
+    def choose(self, choice: BalancingContext) -> Replica:
         """Return the first replica in the prefix's ranking that is under the bound."""
         loads = {replica.name: replica.load(choice.now_s) for replica in choice.replicas}
         mean = sum(loads.values()) / len(loads)
@@ -119,6 +119,6 @@
     return PrefixAffinity(bound_percent)
 
 
-def prefix_of(tenant: str, prompt: bytes, block_bytes: int) -> bytes:
+def affinity_prefix(tenant: str, prompt: bytes, block_bytes: int) -> bytes:
     """Return what affinity hashes: the tenant and the prompt's leading bytes."""
     return tenant.encode() + b"\n" + prompt[: block_bytes or _DEFAULT_PREFIX_BYTES]
--- a/packages/heronladder-router/src/heronladder_router/selection.py
+++ b/packages/heronladder-router/src/heronladder_router/selection.py
@@ -6,7 +6,7 @@
 from heronladder_runtime.configuration import ConfigurationStore
 from heronladder_schema.v1 import resources_pb2
 
-from heronladder_router.balancers import Balancer, Choice, make_balancer, prefix_of
+from heronladder_router.balancers import Balancer, BalancingContext, affinity_prefix, make_balancer
 from heronladder_router.replicas import Replica, ReplicaDirectory
 from heronladder_router.requests import CallerRequest
 
@@ -69,8 +69,8 @@
         policy = self.policy(request.service_spec)
         candidates = self._directory.subset(usable, self._router, policy.subset_size)
         candidates = self._prefer_zone(candidates, policy)
-        prefix = prefix_of(request.tenant, request.prefix, policy.prefix_block_bytes)
-        choice = Choice(candidates, prefix, self._environment.monotonic())
+        prefix = affinity_prefix(request.tenant, request.prefix, policy.prefix_block_bytes)
+        choice = BalancingContext(candidates, prefix, self._environment.monotonic())
         return self._balancer(request.service, policy).choose(choice)
 
     def _prefer_zone(
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -6,7 +6,12 @@
 import unittest
 
 from heronladder_router.admission import AdmissionQueue
-from heronladder_router.balancers import Choice, PrefixAffinity, make_balancer, prefix_of
+from heronladder_router.balancers import (
+    BalancingContext,
+    PrefixAffinity,
+    affinity_prefix,
+    make_balancer,
+)
 from heronladder_router.errors import (
     BudgetExhaustedError,
     InvalidRequestError,
@@ -180,28 +185,28 @@
         balancer = PrefixAffinity(150)
         replicas = _replicas(10)
         prompts = [f"prompt {number}".encode() for number in range(500)]
-        before = {p: balancer.choose(Choice(replicas, p, 0.0)).name for p in prompts}
+        before = {p: balancer.choose(BalancingContext(replicas, p, 0.0)).name for p in prompts}
         self.assertEqual(
-            before, {p: balancer.choose(Choice(replicas, p, 0.0)).name for p in prompts}
+            before, {p: balancer.choose(BalancingContext(replicas, p, 0.0)).name for p in prompts}
         )
-        after = {p: balancer.choose(Choice(replicas[1:], p, 0.0)).name for p in prompts}
+        after = {p: balancer.choose(BalancingContext(replicas[1:], p, 0.0)).name for p in prompts}
         moved = [p for p in prompts if before[p] != after[p]]
         self.assertTrue(all(before[p] == "replica-0" for p in moved))
 
     def test_affinity_gives_way_to_load(self) -> None:
         balancer = PrefixAffinity(125)
         replicas = _replicas(4)
-        first = balancer.choose(Choice(replicas, b"p", 0.0))
+        first = balancer.choose(BalancingContext(replicas, b"p", 0.0))
         first.outstanding = 10
-        self.assertNotEqual(balancer.choose(Choice(replicas, b"p", 0.0)).name, first.name)
+        self.assertNotEqual(balancer.choose(BalancingContext(replicas, b"p", 0.0)).name, first.name)
 
     def test_each_balancer_spreads_over_all_replicas(self) -> None:
         for name in ("round_robin", "least_outstanding", "power_of_two", "prefix_affinity"):
             balancer = make_balancer(name, 150, random.Random(1))
             replicas = _replicas(5)
             for number in range(200):
-                prefix = prefix_of("t", str(number).encode(), 64)
-                balancer.choose(Choice(replicas, prefix, 0.0)).outstanding += 1
+                prefix = affinity_prefix("t", str(number).encode(), 64)
+                balancer.choose(BalancingContext(replicas, prefix, 0.0)).outstanding += 1
             self.assertTrue(all(replica.outstanding > 15 for replica in replicas), name)
 
 
