--- a/packages/heronladder-router/src/heronladder_router/admission.py
+++ b/packages/heronladder-router/src/heronladder_router/admission.py
@@ -7,18 +7,18 @@
 
 from heronladder_router.errors import OverloadedError
 
-_SMOOTHING = 0.1
-_FIRST_HOLD_S = 0.5
+_SMOOTHING_FACTOR = 0.1
+_INITIAL_MEAN_ADMITTED_S = 0.5
 
 
 @dataclass(order=True)
-class _Waiting:
+class _Waiter:
     """A request that waits: lower sorts first."""
 
     priority: int
     virtual_time: float
     arrival: int
-    turn: "asyncio.Future[None]" = field(compare=False)
+    admitted: "asyncio.Future[None]" = field(compare=False)
 
 
 @dataclass
@@ -31,9 +31,9 @@
     """
 
     running: int = 0
-    hold_s: float = _FIRST_HOLD_S
-    waiting: list[_Waiting] = field(default_factory=list)
-    tenant_times: dict[str, float] = field(default_factory=dict)
+    mean_admitted_s: float = _INITIAL_MEAN_ADMITTED_S
+    waiting: list[_Waiter] = field(default_factory=list)
+    tenant_finish_tags: dict[str, float] = field(default_factory=dict)
     virtual_time: float = 0.0
     arrivals: int = 0
 
@@ -82,28 +82,28 @@
             OverloadedError: At once if the wait would be too long, else when it was.
         """
         queue = self.queue(service)
-        start = max(queue.virtual_time, queue.tenant_times.get(tenant, 0.0))
+        start = max(queue.virtual_time, queue.tenant_finish_tags.get(tenant, 0.0))
         if queue.running < limit and not queue.waiting:
             self._charge(queue, tenant, start, weight, tokens)
             queue.running += 1
             return
-        expected_s = self._expected_wait(queue, priority, limit)
+        expected_s = self._expected_wait_s(queue, priority, limit)
         if expected_s > wait_s:
             raise OverloadedError(
                 f"the wait would be about {expected_s:.1f} s", step="admit", peer=service
             )
         self._charge(queue, tenant, start, weight, tokens)
         queue.arrivals += 1
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        waiting = _Waiting(-priority, start, queue.arrivals, turn)
+        admitted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        waiting = _Waiter(-priority, start, queue.arrivals, admitted)
         queue.waiting.append(waiting)
         try:
-            await asyncio.wait_for(turn, wait_s)
+            await asyncio.wait_for(admitted, wait_s)
         except (TimeoutError, asyncio.CancelledError) as error:
             if waiting in queue.waiting:
                 queue.waiting.remove(waiting)
-            elif turn.done() and not turn.cancelled():
-                self._release(queue)
+            elif admitted.done() and not admitted.cancelled():
+                self._release_slot(queue)
             if isinstance(error, TimeoutError):
                 raise OverloadedError(
                     "no back end came free in time", step="admit", peer=service
@@ -112,12 +112,12 @@
 
     @staticmethod
     def _charge(queue: ServiceQueue, tenant: str, start: float, weight: int, tokens: int) -> None:
-        queue.tenant_times[tenant] = start + max(1, tokens) / max(1, weight)
+        queue.tenant_finish_tags[tenant] = start + max(1, tokens) / max(1, weight)
 
     @staticmethod
-    def _expected_wait(queue: ServiceQueue, priority: int, limit: int) -> float:
+    def _expected_wait_s(queue: ServiceQueue, priority: int, limit: int) -> float:
         ahead = sum(1 for waiting in queue.waiting if -waiting.priority >= priority)
-        return (ahead + 1) * queue.hold_s / max(1, limit)
+        return (ahead + 1) * queue.mean_admitted_s / max(1, limit)
 
     def leave(self, service: str, held_s: float) -> None:
         """Note that an admitted request ended.
@@ -127,17 +127,17 @@
             held_s: Time it was admitted, in seconds.
         """
         queue = self.queue(service)
-        queue.hold_s += _SMOOTHING * (held_s - queue.hold_s)
-        self._release(queue)
+        queue.mean_admitted_s += _SMOOTHING_FACTOR * (held_s - queue.mean_admitted_s)
+        self._release_slot(queue)
 
     @staticmethod
-    def _release(queue: ServiceQueue) -> None:
+    def _release_slot(queue: ServiceQueue) -> None:
         queue.running -= 1
         while queue.waiting:
             first = min(queue.waiting)
             queue.waiting.remove(first)
             queue.virtual_time = max(queue.virtual_time, first.virtual_time)
-            if not first.turn.done():
+            if not first.admitted.done():
                 queue.running += 1
-                first.turn.set_result(None)
+                first.admitted.set_result(None)
                 return
--- a/packages/heronladder-router/src/heronladder_router/agent_channel.py
+++ b/packages/heronladder-router/src/heronladder_router/agent_channel.py
@@ -14,19 +14,19 @@
 _CONNECT_TIMEOUT_S = 1.0
 _KEEPALIVE_IDLE_S = 2
 _KEEPALIVE_INTERVAL_S = 1
-_KEEPALIVE_PROBES = 3
-_UNACKNOWLEDGED_MS = 5_000
+_KEEPALIVE_PROBE_COUNT = 3
+_TCP_USER_TIMEOUT_MS = 5_000
 
 
-def _keepalive_socket(address: aiohttp.AddrInfoType) -> socket.socket:
+def _make_keepalive_socket(address: aiohttp.AddrInfoType) -> socket.socket:
     """Return a socket that gives a silent peer up after a few seconds."""
     family, kind, protocol, _, _ = address
     made = socket.socket(family=family, type=kind, proto=protocol)
     made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS)
+    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBE_COUNT)
+    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS)
     return made
 
 
@@ -64,12 +64,12 @@
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
 
-    def _client(self) -> aiohttp.ClientSession:
+    def _client_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             timeout = aiohttp.ClientTimeout(total=None, sock_connect=_CONNECT_TIMEOUT_S)
             self._session = aiohttp.ClientSession(
                 timeout=timeout,
-                connector=aiohttp.TCPConnector(limit=0, socket_factory=_keepalive_socket),
+                connector=aiohttp.TCPConnector(limit=0, socket_factory=_make_keepalive_socket),
                 auto_decompress=False,
             )
         return self._session
@@ -81,7 +81,7 @@
         headers = {wire.DISPATCH_HEADER: wire.encode(dispatch)}
         url = f"http://{address}{wire.DISPATCH_PATH}"
         try:
-            response = await self._client().post(url, data=body, headers=headers)
+            response = await self._client_session().post(url, data=body, headers=headers)
         except aiohttp.ClientConnectorError as error:
             raise ChannelNotSentError(str(error), step="connect", peer=address) from error
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
@@ -102,13 +102,13 @@
             response.release()
             return answer
         if content_type.startswith(EVENT_STREAM):
-            answer.chunks = self._stream(address, response, answer)
+            answer.chunks = self._read_stream(address, response, answer)
         else:
-            answer.chunks = self._whole(address, response, answer)
+            answer.chunks = self._read_body(address, response, answer)
         return answer
 
     @staticmethod
-    async def _stream(
+    async def _read_stream(
         address: str, response: aiohttp.ClientResponse, answer: AgentAnswer
     ) -> AsyncIterator[bytes]:
         splitter = wire.EndSplitter()
@@ -126,7 +126,7 @@
             raise ChannelLostError("the answer has no end", step="read_answer", peer=address)
 
     @staticmethod
-    async def _whole(
+    async def _read_body(
         address: str, response: aiohttp.ClientResponse, answer: AgentAnswer
     ) -> AsyncIterator[bytes]:
         try:
@@ -146,7 +146,7 @@
         url = f"http://{address}{wire.CANCEL_PATH}"
         query = {"request_id": request_id, "attempt": str(attempt)}
         try:
-            async with self._client().post(url, params=query):
+            async with self._client_session().post(url, params=query):
                 pass
         except (aiohttp.ClientError, OSError, TimeoutError):
             pass  # the agent notices the closed connection instead
@@ -157,7 +157,7 @@
         timeout = aiohttp.ClientTimeout(total=_CONNECT_TIMEOUT_S)
         data = bill.SerializeToString()
         try:
-            async with self._client().post(url, data=data, timeout=timeout) as response:
+            async with self._client_session().post(url, data=data, timeout=timeout) as response:
                 return response.status == 204
         except (aiohttp.ClientError, OSError, TimeoutError):
             return False
--- a/packages/heronladder-router/src/heronladder_router/attaching.py
+++ b/packages/heronladder-router/src/heronladder_router/attaching.py
@@ -62,10 +62,10 @@
                 await asyncio.sleep(ATTACH_PAUSE_S)
                 continue
             if not answer.refused:
-                return await self._attached(request, claim, answer)
+                return await self._attached_response(request, claim, answer)
             refusal = answer.head.refusal
             break
-        if await self._free(request, claim, refusal):
+        if await self._release_claim(request, claim, refusal):
             return None
         ran = claim.state == ledger_pb2.CLAIM_STATE_DONE
         if ran or refusal == agent_pb2.REFUSAL_CODE_ANSWER_GONE:
@@ -80,7 +80,7 @@
             peer=claim.agent,
         )
 
-    async def _free(
+    async def _release_claim(
         self,
         request: CallerRequest,
         claim: ledger_pb2.Claim,
@@ -100,26 +100,26 @@
             return True
         return False
 
-    async def _attached(
+    async def _attached_response(
         self, request: CallerRequest, claim: ledger_pb2.Claim, answer: AgentAnswer
     ) -> CallerResponse:
         assert answer.chunks is not None
         self._parts.metrics.add("attached")
         if answer.content_type.startswith(EVENT_STREAM):
             caller_answer = CallerResponse(claim.request_id, answer.status, EVENT_STREAM)
-            caller_answer.chunks = self._pass(request, claim, answer)
+            caller_answer.chunks = self._relay_stream(request, claim, answer)
             return caller_answer
         try:
             body = b"".join([chunk async for chunk in answer.chunks])
         except ChannelLostError as error:
             raise OutcomeUnknownError(error.message, step="attach", peer=claim.agent) from error
-        problem = _problem(answer.end)
+        problem = _incomplete_reason(answer.end)
         if problem:
             raise OutcomeUnknownError(problem, step="attach", peer=claim.agent)
         await self._settle(request, claim, answer)
         return CallerResponse(claim.request_id, answer.status, answer.content_type, body)
 
-    async def _pass(
+    async def _relay_stream(
         self, request: CallerRequest, claim: ledger_pb2.Claim, answer: AgentAnswer
     ) -> AsyncIterator[bytes]:
         """Yield an event stream that another router had begun; then see to its bill."""
@@ -130,7 +130,7 @@
         except ChannelLostError as error:
             yield error_event(BackendLostError(error.message, step="attach"))
             return
-        problem = _problem(answer.end)
+        problem = _incomplete_reason(answer.end)
         if problem:
             yield error_event(BackendLostError(problem, step="attach"))
             return
@@ -159,7 +159,7 @@
         await self._parts.bookkeeper.settle_durably(settlement, claim.agent)
 
 
-def _problem(end: agent_pb2.AnswerEnd | None) -> str:
+def _incomplete_reason(end: agent_pb2.AnswerEnd | None) -> str:
     """Return why an answer is not whole, or "" if it is."""
     if end is None:
         return "the answer has no end"
--- a/packages/heronladder-router/src/heronladder_router/attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/attempt.py
@@ -33,21 +33,21 @@
     agent: str
     answer: AgentAnswer | None = None
     claim: ledger_pb2.Claim | None = None
-    earlier_billed: bool = False
+    earlier_attempt_billed: bool = False
     settled: bool = False
 
     @property
     def already_billed(self) -> bool:
         """Whether an earlier attempt of the same request was billed."""
         claimed = self.claim is not None and self.claim.already_billed
-        return claimed or self.earlier_billed
+        return claimed or self.earlier_attempt_billed
 
-    def question(self) -> agent_pb2.Dispatch:
+    def attach_dispatch(self) -> agent_pb2.Dispatch:
         """Return a dispatch that attaches to this attempt instead of running it."""
-        question = agent_pb2.Dispatch()
-        question.CopyFrom(self.dispatch)
-        question.attach = True
-        return question
+        attach_dispatch = agent_pb2.Dispatch()
+        attach_dispatch.CopyFrom(self.dispatch)
+        attach_dispatch.attach = True
+        return attach_dispatch
 
     async def bill(self, bookkeeper: Bookkeeper, end: agent_pb2.AnswerEnd) -> None:
         """Settle the attempt as its agent says it ended; wait until that is durable."""
--- a/packages/heronladder-router/src/heronladder_router/balancers.py
+++ b/packages/heronladder-router/src/heronladder_router/balancers.py
@@ -10,9 +10,9 @@
 
 DEFAULT_BALANCER = "prefix_affinity"
 _DEFAULT_PREFIX_BYTES = 1_024
-_DEFAULT_BOUND_PERCENT = 150
+_DEFAULT_LOAD_BOUND_PERCENT = 150
 _PERCENT = 100
-_LEAST_BOUND = 0.25  # share of a replica's slots under which affinity always holds
+_MIN_LOAD_BOUND_RATIO = 0.25  # share of a replica's slots under which affinity always holds
 
 
 @dataclass(frozen=True)
@@ -42,12 +42,12 @@
     """Each replica in turn."""
 
     def __init__(self) -> None:
-        self._turn = 0
+        self._next_index = 0
 
     def choose(self, choice: BalancingContext) -> Replica:
         """Return the next replica."""
-        self._turn += 1
-        return choice.replicas[self._turn % len(choice.replicas)]
+        self._next_index += 1
+        return choice.replicas[self._next_index % len(choice.replicas)]
 
 
 class LeastOutstanding(Balancer):
@@ -66,13 +66,13 @@
     """
 
     def __init__(self, source: random.Random) -> None:
-        self._source = source
+        self._random_source = source
 
     def choose(self, choice: BalancingContext) -> Replica:
         """Return the less loaded of two."""
         if len(choice.replicas) == 1:
             return choice.replicas[0]
-        first, second = self._source.sample(choice.replicas, 2)
+        first, second = self._random_source.sample(choice.replicas, 2)
         return first if first.load(choice.now_s) <= second.load(choice.now_s) else second
 
 
@@ -88,13 +88,13 @@
     """
 
     def __init__(self, bound_percent: int) -> None:
-        self._bound = (bound_percent or _DEFAULT_BOUND_PERCENT) / _PERCENT
+        self._load_bound_ratio = (bound_percent or _DEFAULT_LOAD_BOUND_PERCENT) / _PERCENT
 
     def choose(self, choice: BalancingContext) -> Replica:
         """Return the first replica in the prefix's ranking that is under the bound."""
         loads = {replica.name: replica.load(choice.now_s) for replica in choice.replicas}
         mean = sum(loads.values()) / len(loads)
-        limit = max(mean * self._bound, _LEAST_BOUND)
+        limit = max(mean * self._load_bound_ratio, _MIN_LOAD_BOUND_RATIO)
         prefix_hash = xxhash.xxh3_64_hexdigest(choice.prefix)
         ranking = sorted(
             choice.replicas,
--- a/packages/heronladder-router/src/heronladder_router/claims.py
+++ b/packages/heronladder-router/src/heronladder_router/claims.py
@@ -9,7 +9,7 @@
 from heronladder_router.replicas import Replica
 from heronladder_router.requests import CallerRequest
 
-_TIMEOUT_S = 5.0
+_CALL_TIMEOUT_S = 5.0
 
 
 class ClaimHeldError(HeronladderError):
@@ -69,7 +69,7 @@
                 repeatable=request.repeatable,
             )
         )
-        result = await self._call(command)
+        result = await self._call_control(command)
         if result.code == control_pb2.RESULT_CODE_KEY_CONFLICT:
             raise KeyConflictError(result.message, step="claim", peer=request.claim_key)
         if result.code == control_pb2.RESULT_CODE_CLAIM_HELD:
@@ -90,7 +90,7 @@
         order.attempt = claim.attempt
         order.agent_incarnation = claim.agent_incarnation
         order.agent_lost = agent_lost
-        result = await self._call(command)
+        result = await self._call_control(command)
         return result.code == control_pb2.RESULT_CODE_OK
 
     async def read(self, tenant: str, key: str) -> ledger_pb2.Claim | None:
@@ -98,11 +98,11 @@
         command = control_pb2.Command()
         command.read_claim.tenant = tenant
         command.read_claim.key = key
-        result = await self._call(command)
+        result = await self._call_control(command)
         return result.claim if result.code == control_pb2.RESULT_CODE_OK else None
 
-    async def _call(self, command: control_pb2.Command) -> control_pb2.CommandResult:
+    async def _call_control(self, command: control_pb2.Command) -> control_pb2.CommandResult:
         try:
-            return await self._link.call(command, _TIMEOUT_S)
+            return await self._link.call(command, _CALL_TIMEOUT_S)
         except PeerUnavailableError as error:
             raise ControlUnavailableError(error.message, step=error.step) from error
--- a/packages/heronladder-router/src/heronladder_router/confirmations.py
+++ b/packages/heronladder-router/src/heronladder_router/confirmations.py
@@ -26,33 +26,42 @@
     """Reservations under which something may have run, by the agent's incarnation."""
 
     def __init__(self) -> None:
-        self._agents: dict[ReservationKey, AgentKey] = {}
+        self._agents_by_reservation: dict[ReservationKey, AgentKey] = {}
         self.closed = Pulse()
 
     def open(self, reservation: Reservation, agent: str, incarnation: str) -> None:
         """Note that an attempt under a reservation goes to an agent."""
-        self._agents[reservation.lease_id, reservation.sequence] = (agent, incarnation)
+        self._agents_by_reservation[reservation.lease_id, reservation.sequence] = (
+            agent,
+            incarnation,
+        )
 
     def close(self, reservation: Reservation) -> None:
         """Note that a reservation's settlement is durable."""
-        if self._agents.pop((reservation.lease_id, reservation.sequence), None) is not None:
+        if (
+            self._agents_by_reservation.pop((reservation.lease_id, reservation.sequence), None)
+            is not None
+        ):
             self.closed.give()
 
     async def wait_all_closed(self, opened: list[ReservationKey]) -> None:
         """Wait until all of some reservations are settled."""
-        while any(key in self._agents for key in opened):
+        while any(key in self._agents_by_reservation for key in opened):
             await self.closed.wait()
 
-    def all_open(self) -> list[ReservationKey]:
+    def open_reservations(self) -> list[ReservationKey]:
         """Return the reservations that are not settled."""
-        return list(self._agents)
+        return list(self._agents_by_reservation)
 
-    def any_earlier(self, agent: str, incarnation: str) -> bool:
+    def has_open_at_earlier_incarnation(self, agent: str, incarnation: str) -> bool:
         """Whether an attempt at another incarnation of an agent is not settled."""
-        return any(name == agent and known != incarnation for name, known in self._agents.values())
+        return any(
+            name == agent and known != incarnation
+            for name, known in self._agents_by_reservation.values()
+        )
 
 
-class ConfirmationKeeper:
+class ConfirmationSender:
     """Tells control when nothing is open at earlier incarnations of an agent.
 
     Args:
@@ -65,28 +74,28 @@
         self._link = link
         self._attempts = attempts
         self._tasks = TaskGroupOwner(log)
-        self._known: dict[str, str] = {}
+        self._agent_incarnations: dict[str, str] = {}
 
     def notice(self, notice: control_pb2.DaemonNotice) -> None:
         """Take in control's word on an agent; begin to confirm a restart."""
         if notice.gone:
             return
-        earlier = self._known.get(notice.name)
-        self._known[notice.name] = notice.incarnation
+        earlier = self._agent_incarnations.get(notice.name)
+        self._agent_incarnations[notice.name] = notice.incarnation
         if earlier is not None and earlier != notice.incarnation:
             self._tasks.start(
                 f"confirm-{notice.name}", self._confirm(notice.name, notice.incarnation)
             )
 
     async def _confirm(self, agent: str, incarnation: str) -> None:
-        while self._attempts.any_earlier(agent, incarnation):
+        while self._attempts.has_open_at_earlier_incarnation(agent, incarnation):
             await self._attempts.closed.wait()
         command = control_pb2.Command()
         command.confirm_agent.router = self._link.record.name
         command.confirm_agent.router_incarnation = self._link.record.incarnation
         command.confirm_agent.agent = agent
         command.confirm_agent.agent_incarnation = incarnation
-        while self._known.get(agent) == incarnation:
+        while self._agent_incarnations.get(agent) == incarnation:
             try:
                 await self._link.call(command, _CALL_TIMEOUT_S)
                 return
@@ -95,7 +104,7 @@
 
     def incarnation_ended(self, incarnation: str) -> None:
         """Confirm an earlier incarnation of this router once all it had is settled."""
-        opened = self._attempts.all_open()
+        opened = self._attempts.open_reservations()
         self._tasks.start("confirm_settled", self._confirm_settled(incarnation, opened))
 
     async def _confirm_settled(self, incarnation: str, opened: list[ReservationKey]) -> None:
@@ -108,9 +117,9 @@
         command.confirm_settled.router_incarnation = incarnation
         return command
 
-    async def confirm_stop(self) -> None:
+    async def confirm_planned_stop(self) -> None:
         """Confirm this incarnation at its planned stop, if nothing is left open."""
-        if not self._attempts.all_open():
+        if not self._attempts.open_reservations():
             await self._link.call(self._settled_command(self._link.record.incarnation))
 
     async def stop(self) -> None:
--- a/packages/heronladder-router/src/heronladder_router/forwarding.py
+++ b/packages/heronladder-router/src/heronladder_router/forwarding.py
@@ -26,10 +26,10 @@
 from heronladder_router.replicas import Replica
 from heronladder_router.requests import CallerRequest
 from heronladder_router.retry_budget import RetryBudget
-from heronladder_router.streaming import StreamPasser
+from heronladder_router.streaming import StreamRelay
 
-_DEFAULT_ATTEMPTS = 4
-_REPLICA_POLL_S = 0.25
+_DEFAULT_MAX_ATTEMPTS = 4
+_REPLICA_POLL_INTERVAL_S = 0.25
 _OVERLOAD_REFUSALS = (agent_pb2.REFUSAL_CODE_BUSY, agent_pb2.REFUSAL_CODE_DEADLINE)
 
 
@@ -52,8 +52,8 @@
         self._metrics = parts.metrics
         self._log = parts.log
         self._tasks = TaskGroupOwner(parts.log)
-        self._retries = RetryBudget()
-        self._streams = StreamPasser(parts, self._tasks)
+        self._retry_budget = RetryBudget()
+        self._stream_relay = StreamRelay(parts, self._tasks)
         self._attacher = Attacher(parts)
         self.in_flight = 0
 
@@ -71,22 +71,22 @@
         """
         if not self._parts.link.fresh:
             raise StaleError("this router's configuration is stale", step="forward")
-        await self._enter(request)
+        await self._admit(request)
         started_s = self._environment.monotonic()
         self.in_flight += 1
         try:
             answer = await self._forward_admitted(request)
         except BaseException:
-            self._leave(request, started_s)
+            self._end_admission(request, started_s)
             raise
 
         async def leave() -> None:
-            self._leave(request, started_s)
+            self._end_admission(request, started_s)
 
         answer.on_close.append(leave)
         return answer
 
-    async def _enter(self, request: CallerRequest) -> None:
+    async def _admit(self, request: CallerRequest) -> None:
         limit = sum(
             replica.spec.concurrency for replica in self._parts.directory.usable(request.service)
         )
@@ -101,7 +101,7 @@
             wait_s=min(self._options.admission_wait_s, self._parts.left_s(request)),
         )
 
-    def _leave(self, request: CallerRequest, started_s: float) -> None:
+    def _end_admission(self, request: CallerRequest, started_s: float) -> None:
         self.in_flight -= 1
         held_s = self._environment.monotonic() - started_s
         self._parts.admission.leave(request.service, held_s)
@@ -112,21 +112,21 @@
 
     async def _forward_admitted(self, request: CallerRequest) -> CallerResponse:
         policy = self._parts.selector.policy(request.service_spec)
-        self._retries.request(policy.retry_budget_percent)
+        self._retry_budget.request(policy.retry_budget_percent)
         reservation = await self._reserve(request)
         tried: set[str] = set()
         attempt: Attempt | None = None
         overloaded = False
         lost = False
         try:
-            for number in range(1, (policy.attempts or _DEFAULT_ATTEMPTS) + 1):
+            for number in range(1, (policy.attempts or _DEFAULT_MAX_ATTEMPTS) + 1):
                 if attempt is not None and attempt.settled:
                     reservation = await self._reserve(request)
                 replica = await self._find_replica(request, tried)
-                attempt = self._prepare(request, reservation, replica, number)
+                attempt = self._prepare_attempt(request, reservation, replica, number)
                 tried.add(replica.name)
                 try:
-                    return await self._try(request, replica, attempt)
+                    return await self._run_attempt(request, replica, attempt)
                 except ClaimHeldError as held:
                     attempt.settle_not_run(self._parts.bookkeeper)
                     attached = await self._attacher.attach(request, held.claim)
@@ -138,19 +138,19 @@
                     lost = lost or attempt.settled
                     self._metrics.add("retries", request.service)
         except CallerError as error:
-            self._close_unused(request, reservation, attempt)
+            self._settle_unused_reservation(request, reservation, attempt)
             if lost and error.outcome == ledger_pb2.OUTCOME_NOT_RUN:
                 # An earlier attempt may have run, so "not-run" would be untrue.
                 raise BackendLostError(error.message, step=error.step, peer=error.peer) from error
             raise
-        self._close_unused(request, reservation, attempt)
+        self._settle_unused_reservation(request, reservation, attempt)
         if lost:
             raise BackendLostError("the back ends tried were lost", step="forward")
         if overloaded:
             raise OverloadedError("all back ends are busy", step="forward", peer=request.service)
         raise NoBackendError("no back end took it", step="forward", peer=request.service)
 
-    def _close_unused(
+    def _settle_unused_reservation(
         self, request: CallerRequest, reservation: Reservation, attempt: Attempt | None
     ) -> None:
         """Settle a reservation under which nothing ran."""
@@ -183,9 +183,9 @@
                     step="find_replica",
                     peer=request.service,
                 )
-            await self._parts.directory.changed.wait(min(left_s, _REPLICA_POLL_S))
+            await self._parts.directory.changed.wait(min(left_s, _REPLICA_POLL_INTERVAL_S))
 
-    def _prepare(
+    def _prepare_attempt(
         self, request: CallerRequest, reservation: Reservation, replica: Replica, number: int
     ) -> Attempt:
         dispatch = agent_pb2.Dispatch(
@@ -213,12 +213,12 @@
         )
         dispatch.settled.extend(self._parts.settler.acknowledged(replica.spec.agent))
         attempt = Attempt(dispatch, reservation, replica.spec.agent_address, replica.spec.agent)
-        attempt.earlier_billed = request.already_billed
+        attempt.earlier_attempt_billed = request.already_billed
         return attempt
 
     # ---- one attempt ------------------------------------------------------
 
-    async def _try(
+    async def _run_attempt(
         self, request: CallerRequest, replica: Replica, attempt: Attempt
     ) -> CallerResponse:
         """Make one attempt.
@@ -244,24 +244,24 @@
             )
             directory.answered(replica, answer.head)
             if answer.refused:
-                await self._refused(attempt, answer)
+                await self._handle_refusal(attempt, answer)
             attempt.answer = answer
-            return await self._take_answer(request, replica, attempt)
+            return await self._receive_response(request, replica, attempt)
         except ChannelNotSentError as error:
             directory.ended(replica)
             directory.failed(replica, certain=True)
-            await self._free_claim(attempt)
+            await self._release_claim(attempt)
             raise _TryAgain from error
         except ChannelLostError as error:
             directory.ended(replica)
             directory.failed(replica)
-            await self._lost(request, attempt, error)
+            await self._handle_lost_agent(request, attempt, error)
             raise _TryAgain from error
         except BaseException:
             directory.ended(replica)
             raise
 
-    async def _refused(self, attempt: Attempt, answer: AgentAnswer) -> None:
+    async def _handle_refusal(self, attempt: Attempt, answer: AgentAnswer) -> None:
         """Go on after a refusal, which proves that the attempt never runs."""
         refusal = answer.head.refusal
         invariant(
@@ -271,17 +271,17 @@
             peer=attempt.agent,
         )
         if refusal == agent_pb2.REFUSAL_CODE_DUPLICATE:
-            await self._prove_not_run(attempt)
-        await self._free_claim(attempt)
+            await self._require_not_run(attempt)
+        await self._release_claim(attempt)
         raise _TryAgain(refusal in _OVERLOAD_REFUSALS)
 
-    async def _prove_not_run(self, attempt: Attempt) -> None:
+    async def _require_not_run(self, attempt: Attempt) -> None:
         """Find out what became of an attempt whose id was at the agent before.
 
         Raises:
             ChannelLostError: If it may have run.
         """
-        answer = await self._parts.channel.dispatch(attempt.address, attempt.question(), b"")
+        answer = await self._parts.channel.dispatch(attempt.address, attempt.attach_dispatch(), b"")
         if answer.head.refusal != agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST:
             if answer.chunks is not None:
                 await answer.chunks.aclose()  # type: ignore[attr-defined]
@@ -289,7 +289,7 @@
                 "an earlier copy of the attempt ran", step="refused", peer=attempt.agent
             )
 
-    async def _release_lost(self, attempt: Attempt) -> None:
+    async def _release_claim_of_lost_agent(self, attempt: Attempt) -> None:
         assert attempt.claim is not None
         try:
             await self._parts.claims.release(attempt.claim, agent_lost=True)
@@ -298,11 +298,11 @@
             self._parts.await_outcome(attempt)
             raise BackendLostError(error.message, step=error.step, peer=attempt.agent) from error
 
-    async def _free_claim(self, attempt: Attempt) -> None:
+    async def _release_claim(self, attempt: Attempt) -> None:
         if attempt.claim is not None:
             await self._parts.claims.release(attempt.claim, agent_lost=False)
 
-    async def _lost(
+    async def _handle_lost_agent(
         self, request: CallerRequest, attempt: Attempt, error: ChannelLostError
     ) -> None:
         """Go on after an agent was lost with the attempt's outcome unknown.
@@ -324,9 +324,9 @@
                 peer=attempt.agent,
             ) from error
         if attempt.claim is not None:
-            await self._release_lost(attempt)
+            await self._release_claim_of_lost_agent(attempt)
         durable = attempt.settle_lost(self._parts.bookkeeper)
-        if self._parts.left_s(request) > 0 and self._retries.spend():
+        if self._parts.left_s(request) > 0 and self._retry_budget.spend():
             # The agent may have billed the attempt already; then the next one is not.
             billed_before = await self._parts.bookkeeper.billed_before(durable)
             if billed_before is not None:
@@ -336,7 +336,7 @@
 
     # ---- the answer -------------------------------------------------------
 
-    async def _take_answer(
+    async def _receive_response(
         self, request: CallerRequest, replica: Replica, attempt: Attempt
     ) -> CallerResponse:
         answer = attempt.answer
@@ -349,10 +349,10 @@
             detail=f"{answer.head.request_id} for {request.request_id}",
         )
         if answer.content_type.startswith(EVENT_STREAM):
-            return self._streams.answer(request, replica, attempt, answer)
-        return await self._whole(request, replica, attempt, answer)
+            return self._stream_relay.answer(request, replica, attempt, answer)
+        return await self._read_complete_response(request, replica, attempt, answer)
 
-    async def _whole(
+    async def _read_complete_response(
         self, request: CallerRequest, replica: Replica, attempt: Attempt, answer: AgentAnswer
     ) -> CallerResponse:
         """Read an answer that comes in one piece, and bill it."""
--- a/packages/heronladder-router/src/heronladder_router/role.py
+++ b/packages/heronladder-router/src/heronladder_router/role.py
@@ -17,7 +17,7 @@
 from heronladder_router.bookkeeping import Bookkeeper
 from heronladder_router.caller_response import CallerResponse
 from heronladder_router.claims import ClaimClient
-from heronladder_router.confirmations import ConfirmationKeeper, OpenAttempts
+from heronladder_router.confirmations import ConfirmationSender, OpenAttempts
 from heronladder_router.errors import (
     CallerError,
     ChannelLostError,
@@ -36,8 +36,8 @@
 from heronladder_router.settler import Settler
 from heronladder_router.witnesses import Witnesses
 
-_STOP_POLL_S = 0.05
-_LAST_RETURN_S = 10.0
+_DRAIN_POLL_INTERVAL_S = 0.05
+_STOP_TIMEOUT_S = 10.0
 
 
 @dataclass(frozen=True)
@@ -101,7 +101,7 @@
             zone=options.zone,
             region=options.region,
         )
-        handlers = LinkHandlers(rejected=self._begin_new_incarnation)
+        handlers = LinkHandlers(rejected=self._start_new_incarnation)
         self.link = ControlLink(
             record, options.control_addresses, stubs, options.heartbeat_s, handlers, environment
         )
@@ -109,8 +109,8 @@
         self.directory = ReplicaDirectory(configuration, environment)
         self.leases = LeaseManager(self.link, environment, options.lease_horizon_s, self.log)
         self.attempts = OpenAttempts()
-        self.confirmations = ConfirmationKeeper(self.link, self.attempts, self.log)
-        handlers.daemon_notice = self._agent_notice
+        self.confirmations = ConfirmationSender(self.link, self.attempts, self.log)
+        handlers.daemon_notice = self._handle_agent_notice
         handlers.recall = self.leases.recall
         self.settler = Settler(self.link, options.settle_interval_s, self.log)
         self.intake = Intake(
@@ -158,11 +158,11 @@
             self.leases, self.settler, witnesses, self.attempts, self.options.settle_wait_s
         )
 
-    def _agent_notice(self, notice: control_pb2.DaemonNotice) -> None:
+    def _handle_agent_notice(self, notice: control_pb2.DaemonNotice) -> None:
         self.directory.notice(notice)
         self.confirmations.notice(notice)
 
-    def _begin_new_incarnation(self) -> str:
+    def _start_new_incarnation(self) -> str:
         """Go on under a new incarnation: the old one's leases are fenced."""
         self.leases.drop_all()
         self.confirmations.incarnation_ended(self.link.record.incarnation)
@@ -190,7 +190,7 @@
         """
         deadline_s = self.environment.monotonic() + grace_s
         while self.forwarder.in_flight and self.environment.monotonic() < deadline_s:
-            await asyncio.sleep(_STOP_POLL_S)
+            await asyncio.sleep(_DRAIN_POLL_INTERVAL_S)
         cut = self.forwarder.in_flight
         if cut:
             self.metrics.add("planned_stop_cuts", amount=cut)
@@ -199,10 +199,10 @@
     async def stop(self) -> None:
         """Give leases back, send the last bills, say goodbye, and end."""
         try:
-            async with asyncio.timeout(_LAST_RETURN_S):
+            async with asyncio.timeout(_STOP_TIMEOUT_S):
                 await self.settler.flush()
                 await self.leases.return_all()
-                await self.confirmations.confirm_stop()
+                await self.confirmations.confirm_planned_stop()
         except TimeoutError:
             self.log.warning("stopped_without_control", step="stop")
         await self._end_tasks()
@@ -238,7 +238,7 @@
         try:
             result: CallerResponse | CallerError = await asyncio.shield(work)
         except asyncio.CancelledError:
-            work.add_done_callback(self._close_unread)
+            work.add_done_callback(self._close_undelivered)
             raise
         if isinstance(result, CallerError):
             raise result
@@ -250,7 +250,7 @@
         except CallerError as error:
             return error
 
-    def _close_unread(self, work: "asyncio.Task[CallerResponse | CallerError]") -> None:
+    def _close_undelivered(self, work: "asyncio.Task[CallerResponse | CallerError]") -> None:
         if work.cancelled() or work.exception() is not None:
             return
         result = work.result()
@@ -271,9 +271,9 @@
             return ledger_pb2.OUTCOME_RAN
         if claim.state == ledger_pb2.CLAIM_STATE_RELEASED:
             return ledger_pb2.OUTCOME_NOT_RUN
-        return await self._ask_agent(claim)
+        return await self._query_agent(claim)
 
-    async def _ask_agent(self, claim: ledger_pb2.Claim) -> ledger_pb2.Outcome.ValueType:
+    async def _query_agent(self, claim: ledger_pb2.Claim) -> ledger_pb2.Outcome.ValueType:
         question = agent_pb2.Dispatch(
             request_id=claim.request_id,
             attempt=claim.attempt,
--- a/packages/heronladder-router/src/heronladder_router/server.py
+++ b/packages/heronladder-router/src/heronladder_router/server.py
@@ -32,15 +32,15 @@
 from heronladder_router.service_levels import ServiceLevels
 
 REQUEST_ID_HEADER = "Heronladder-Request-Id"
-KEY_HEADER = "Idempotency-Key"
-_BODY_TIMEOUT_S = 30.0
-_LONGEST_HEADER_BYTES = 8_190
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
+_READ_BODY_TIMEOUT_S = 30.0
+_MAX_HEADER_BYTES = 8_190
 
 
-MakesRequest = Callable[[RawCall, str], CallerRequest]
+RequestFactory = Callable[[RawCall, str], CallerRequest]
 
 
-class ForwardsRequests(Protocol):
+class RequestForwarder(Protocol):
     """What the listener needs of the router role."""
 
     def ready(self) -> bool:
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        router: ForwardsRequests,
+        router: RequestForwarder,
         intake: Intake,
         max_body_bytes: int,
         queue_limit: int,
@@ -83,8 +83,8 @@
         self._environment = environment
         self._metrics = metrics
         self._log = log
-        self._held = 0
-        self.levels = ServiceLevels(metrics)
+        self._held_requests = 0
+        self._service_levels = ServiceLevels(metrics)
         self.leaving = False  # health says so; callers are still served
         self.draining = False  # callers are refused
 
@@ -92,7 +92,7 @@
         """Return the application that serves callers."""
         application = web.Application(
             client_max_size=self._max_body_bytes,
-            handler_args={"max_field_size": _LONGEST_HEADER_BYTES},
+            handler_args={"max_field_size": _MAX_HEADER_BYTES},
         )
         routes = application.router
         routes.add_post(CHAT_PATH, self._chat)
@@ -111,12 +111,12 @@
     # ---- requests ---------------------------------------------------------
 
     async def _chat(self, request: web.Request) -> web.StreamResponse:
-        return await self._serve(request, lambda call, name: self._model(call, name, True))
+        return await self._serve(request, lambda call, name: self._model_request(call, name, True))
 
     async def _completions(self, request: web.Request) -> web.StreamResponse:
-        return await self._serve(request, lambda call, name: self._model(call, name, False))
+        return await self._serve(request, lambda call, name: self._model_request(call, name, False))
 
-    def _model(self, call: RawCall, request_id: str, chat: bool) -> CallerRequest:
+    def _model_request(self, call: RawCall, request_id: str, chat: bool) -> CallerRequest:
         return self._intake.model_request(call, request_id, chat=chat)
 
     async def _service(self, request: web.Request) -> web.StreamResponse:
@@ -126,44 +126,44 @@
             lambda call, request_id: self._intake.service_request(call, request_id, name),
         )
 
-    async def _serve(self, request: web.Request, make: MakesRequest) -> web.StreamResponse:
+    async def _serve(self, request: web.Request, make: RequestFactory) -> web.StreamResponse:
         request_id = self._intake.new_request_id()
         started_s = self._environment.monotonic()
-        self._held += 1
+        self._held_requests += 1
         try:
             if self.draining:
                 raise DrainingError("this router is stopping", step="serve")
-            if self._held > self._queue_limit:
+            if self._held_requests > self._queue_limit:
                 raise OverloadedError("this router holds too many requests", step="serve")
-            call = await self._read(request)
+            call = await self._read_call(request)
             caller_request = make(call, request_id)
             answer = await self._router.forward(caller_request)
-            return await self._send(request, caller_request, answer, started_s)
+            return await self._send_response(request, caller_request, answer, started_s)
         except CallerError as error:
-            return self._error(request_id, error)
+            return self._error_response(request_id, error)
         except HeronladderError as error:
             self._log.error("request_failed", step=error.step, peer=error.peer, why=error.message)
-            return self._error(request_id, CallerError(error.message, step=error.step))
+            return self._error_response(request_id, CallerError(error.message, step=error.step))
         finally:
-            self._held -= 1
+            self._held_requests -= 1
 
-    async def _read(self, request: web.Request) -> RawCall:
+    async def _read_call(self, request: web.Request) -> RawCall:
         try:
-            body = await asyncio.wait_for(request.read(), _BODY_TIMEOUT_S)
+            body = await asyncio.wait_for(request.read(), _READ_BODY_TIMEOUT_S)
         except web.HTTPRequestEntityTooLarge:
             raise BodyTooLargeError(
                 f"the body may have at most {self._max_body_bytes} bytes", step="read_body"
             ) from None
         except TimeoutError:
             raise InvalidRequestError(
-                f"the body took over {_BODY_TIMEOUT_S:.0f} s", step="read_body"
+                f"the body took over {_READ_BODY_TIMEOUT_S:.0f} s", step="read_body"
             ) from None
         path = request.match_info.get("path", request.path)
         if request.query_string:
             path += "?" + request.query_string
         return RawCall(
             authorization=request.headers.get("Authorization", ""),
-            key=request.headers.get(KEY_HEADER, ""),
+            key=request.headers.get(IDEMPOTENCY_KEY_HEADER, ""),
             method=request.method,
             path=path,
             content_type=request.headers.get("Content-Type", ""),
@@ -172,7 +172,7 @@
 
     # ---- answers ----------------------------------------------------------
 
-    async def _send(
+    async def _send_response(
         self,
         request: web.Request,
         caller_request: CallerRequest,
@@ -186,7 +186,7 @@
         try:
             if answer.chunks is None:
                 elapsed_s = self._environment.monotonic() - started_s
-                self.levels.whole_answer(caller_request, elapsed_s)
+                self._service_levels.whole_answer(caller_request, elapsed_s)
                 headers["Content-Type"] = answer.content_type
                 return web.Response(status=answer.status, body=answer.body, headers=headers)
             response = web.StreamResponse(status=answer.status, headers=headers)
@@ -205,7 +205,7 @@
         started_s: float,
     ) -> None:
         assert answer.chunks is not None
-        watch = self.levels.stream(caller_request, started_s)
+        watch = self._service_levels.stream(caller_request, started_s)
         try:
             async for chunk in answer.chunks:
                 watch.part(self._environment.monotonic())
@@ -215,7 +215,7 @@
         finally:
             watch.done()
 
-    def _error(self, request_id: str, error: CallerError) -> web.Response:
+    def _error_response(self, request_id: str, error: CallerError) -> web.Response:
         self._metrics.add("refused", error.code)
         self._log.info(
             "request_refused",
@@ -241,7 +241,7 @@
         try:
             names = self._intake.models(request.headers.get("Authorization", ""))
         except CallerError as error:
-            return self._error("", error)
+            return self._error_response("", error)
         data = [
             {"id": name, "object": "model", "created": 0, "owned_by": "heronladder"}
             for name in names
@@ -255,7 +255,7 @@
             tenant = self._intake.tenant_name(request.headers.get("Authorization", ""))
             outcome = await self._router.outcome(tenant, request.match_info["key"])
         except CallerError as error:
-            return self._error("", error)
+            return self._error_response("", error)
         word = OUTCOME_WORDS[outcome]
         document = json.dumps({"key": request.match_info["key"], "outcome": word})
         return web.Response(
--- a/packages/heronladder-router/src/heronladder_router/streaming.py
+++ b/packages/heronladder-router/src/heronladder_router/streaming.py
@@ -20,7 +20,7 @@
 from heronladder_router.requests import CallerRequest
 
 
-class StreamPasser:
+class StreamRelay:
     """Passes event streams from agents to callers.
 
     Args:
@@ -37,7 +37,7 @@
     ) -> CallerResponse:
         """Return a caller's answer that streams what the agent sends."""
         caller_answer = CallerResponse(request.request_id, answer.status, EVENT_STREAM)
-        caller_answer.chunks = self._pass(request, attempt, answer)
+        caller_answer.chunks = self._relay(request, attempt, answer)
 
         async def finish() -> None:
             self._parts.directory.ended(replica)
@@ -49,7 +49,7 @@
         caller_answer.on_close.append(finish)
         return caller_answer
 
-    async def _pass(
+    async def _relay(
         self, request: CallerRequest, attempt: Attempt, answer: AgentAnswer
     ) -> AsyncIterator[bytes]:
         """Yield an event stream; its end only once the bill is durable."""
@@ -69,7 +69,7 @@
             except ChannelLostError as error:
                 resumed = await self._resume(request, attempt)
                 if resumed is None:
-                    yield self._broken(request, attempt, error.message)
+                    yield self._end_broken_stream(request, attempt, error.message)
                     return
                 answer = resumed
         end = answer.end
@@ -89,7 +89,7 @@
                 return None
             try:
                 answer = await self._parts.channel.dispatch(
-                    attempt.address, attempt.question(), b""
+                    attempt.address, attempt.attach_dispatch(), b""
                 )
             except (ChannelNotSentError, ChannelLostError):
                 await asyncio.sleep(ATTACH_PAUSE_S)
@@ -97,7 +97,7 @@
             return None if answer.refused else answer
         return None
 
-    def _broken(self, request: CallerRequest, attempt: Attempt, why: str) -> bytes:
+    def _end_broken_stream(self, request: CallerRequest, attempt: Attempt, why: str) -> bytes:
         if attempt.dispatch.keep_answer:
             self._parts.await_outcome(attempt)
         else:
