--- a/packages/heronladder-router/src/heronladder_router/agent_channel.py
+++ b/packages/heronladder-router/src/heronladder_router/agent_channel.py
@@ -1,4 +1,7 @@
-"""How a router reaches agents: an interface, and its implementation over HTTP."""
+"""Transport from a router to agents: an interface and its implementation over HTTP.
+
+The interface exists so that simulations can replace HTTP by their own transport.
+"""
 
 import socket
 from abc import ABC, abstractmethod
@@ -19,47 +22,76 @@
 
 
 def _make_keepalive_socket(address: aiohttp.AddrInfoType) -> socket.socket:
-    """Return a socket that gives a silent peer up after a few seconds."""
+    """Return a TCP socket that closes after a few seconds without any sign of the peer.
+
+    Keepalive probes cover idle connections, the user timeout covers unacknowledged data.
+    """
     family, kind, protocol, _, _ = address
-    made = socket.socket(family=family, type=kind, proto=protocol)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBE_COUNT)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS)
-    return made
+    connection = socket.socket(family=family, type=kind, proto=protocol)
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBE_COUNT)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS)
+    return connection
 
 
 class AgentChannel(ABC):
-    """Carries dispatches to agents."""
+    """Interface for requests from a router to agents."""
 
     @abstractmethod
     async def dispatch(
         self, address: str, dispatch: agent_pb2.Dispatch, body: bytes
     ) -> AgentAnswer:
-        """Send a dispatch; return the agent's answer as it comes.
+        """Send a dispatch to an agent.
 
-        Its chunks raise ``ChannelLostError`` when the agent is lost on the way.
+        Args:
+            address: Network address of the agent.
+            dispatch: What the agent is to run or, with ``attach``, to return again.
+            body: Body of the caller's request; empty with ``attach``.
+
+        Returns:
+            The agent's response, whose body is read chunk by chunk. Reading the chunks raises
+            ``ChannelLostError`` if the connection to the agent is lost.
 
         Raises:
-            ChannelNotSentError: If nothing reached the agent.
-            ChannelLostError: If it was lost after something may have reached it.
+            ChannelNotSentError: If the agent received nothing.
+            ChannelLostError: If the connection is lost and the agent may have received the
+                dispatch.
         """
 
     @abstractmethod
     async def cancel(self, address: str, request_id: str, attempt: int) -> None:
-        """Tell an agent that nobody reads an answer any more; never raises."""
+        """Tell an agent that the response to an attempt is no longer read.
+
+        Never raises on connection errors.
+
+        Args:
+            address: Network address of the agent.
+            request_id: Identifier of the request.
+            attempt: Number of the attempt.
+        """
 
     @abstractmethod
     async def hold(self, address: str, bill: agent_pb2.HeldBill) -> bool:
-        """Give an agent a copy of a bill; return whether it has it; never raises."""
+        """Store a copy of a bill at an agent.
+
+        Never raises on connection errors.
 
-    async def close(self) -> None:  # noqa: B027 - only some channels hold connections
-        """Close all connections."""
+        Args:
+            address: Network address of the agent.
+            bill: The bill and the router that issued it.
+
+        Returns:
+            Whether the agent confirmed that it holds the copy.
+        """
+
+    async def close(self) -> None:  # noqa: B027 - not every channel holds connections
+        """Close all connections to agents."""
 
 
 class HttpAgentChannel(AgentChannel):
-    """Agents reached over HTTP."""
+    """Channel to agents over HTTP."""
 
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
@@ -77,7 +109,7 @@
     async def dispatch(
         self, address: str, dispatch: agent_pb2.Dispatch, body: bytes
     ) -> AgentAnswer:
-        """Send a dispatch over HTTP."""
+        """Send a dispatch to an agent over HTTP."""
         headers = {wire.DISPATCH_HEADER: wire.encode(dispatch)}
         url = f"http://{address}{wire.DISPATCH_PATH}"
         try:
@@ -89,13 +121,15 @@
         return await self._read_head(address, response)
 
     async def _read_head(self, address: str, response: aiohttp.ClientResponse) -> AgentAnswer:
-        text = response.headers.get(wire.HEAD_HEADER)
-        if text is None:
+        encoded_head = response.headers.get(wire.HEAD_HEADER)
+        if encoded_head is None:
             response.close()
             raise ChannelLostError(
-                f"status {response.status} without a head", step="dispatch", peer=address
+                f"status {response.status} without the header {wire.HEAD_HEADER}",
+                step="dispatch",
+                peer=address,
             )
-        head = wire.decode(agent_pb2.AnswerHead, text)
+        head = wire.decode(agent_pb2.AnswerHead, encoded_head)
         content_type = response.headers.get("Content-Type", "")
         answer = AgentAnswer(head, response.status, content_type)
         if answer.refused:
@@ -114,16 +148,18 @@
         splitter = wire.EndSplitter()
         try:
             async for chunk in response.content.iter_any():
-                passed = splitter.feed(chunk)
-                if passed:
-                    yield passed
+                body_part = splitter.feed(chunk)
+                if body_part:
+                    yield body_part
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             raise ChannelLostError(repr(error), step="read_answer", peer=address) from error
         finally:
             response.close() if not response.content.at_eof() else response.release()
         answer.end = splitter.end(agent_pb2.AnswerEnd)
         if answer.end is None:
-            raise ChannelLostError("the answer has no end", step="read_answer", peer=address)
+            raise ChannelLostError(
+                "event stream closed without an end message", step="read_answer", peer=address
+            )
 
     @staticmethod
     async def _read_body(
@@ -136,23 +172,25 @@
         finally:
             response.release()
         yield body
-        text = response.headers.get(wire.END_HEADER)
-        if text is None:
-            raise ChannelLostError("the answer has no end", step="read_answer", peer=address)
-        answer.end = wire.decode(agent_pb2.AnswerEnd, text)
+        encoded_end = response.headers.get(wire.END_HEADER)
+        if encoded_end is None:
+            raise ChannelLostError(
+                f"response without the header {wire.END_HEADER}", step="read_answer", peer=address
+            )
+        answer.end = wire.decode(agent_pb2.AnswerEnd, encoded_end)
 
     async def cancel(self, address: str, request_id: str, attempt: int) -> None:
-        """Tell an agent over HTTP that nobody reads an answer any more."""
+        """Tell an agent over HTTP that the response to an attempt is no longer read."""
         url = f"http://{address}{wire.CANCEL_PATH}"
         query = {"request_id": request_id, "attempt": str(attempt)}
         try:
             async with self._client_session().post(url, params=query):
                 pass
         except (aiohttp.ClientError, OSError, TimeoutError):
-            pass  # the agent notices the closed connection instead
+            pass  # the agent detects the closed connection instead
 
     async def hold(self, address: str, bill: agent_pb2.HeldBill) -> bool:
-        """Give an agent a copy of a bill over HTTP."""
+        """Store a copy of a bill at an agent over HTTP."""
         url = f"http://{address}{wire.HOLD_PATH}"
         timeout = aiohttp.ClientTimeout(total=_CONNECT_TIMEOUT_S)
         data = bill.SerializeToString()
@@ -163,6 +201,6 @@
             return False
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close all connections to agents."""
         if self._session is not None:
             await self._session.close()
--- a/packages/heronladder-router/src/heronladder_router/attaching.py
+++ b/packages/heronladder-router/src/heronladder_router/attaching.py
@@ -1,4 +1,8 @@
-"""Attaching: a keyed retry receives the whole answer of the attempt that holds its claim."""
+"""Attaching of retries to earlier attempts.
+
+A retry with the same idempotency key receives the response of the attempt that holds the claim,
+from its start, instead of running the request again.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -26,10 +30,10 @@
 
 
 class Attacher:
-    """Attaches requests to earlier attempts.
+    """Returns the responses of earlier attempts to retries of the same request.
 
     Args:
-        parts: What it works with.
+        parts: Components shared by the modules that forward requests.
     """
 
     def __init__(self, parts: ForwardingParts) -> None:
@@ -38,15 +42,22 @@
     async def attach(
         self, request: CallerRequest, claim: ledger_pb2.Claim
     ) -> CallerResponse | None:
-        """Return the answer of the attempt that holds a request's claim.
+        """Return the response of the attempt that holds the claim of a request.
+
+        Args:
+            request: The retry.
+            claim: The claim on the request, held by another attempt.
 
         Returns:
-            None once the claim is free: the request may be claimed anew.
+            The response, or None if the claim was released and the request can be claimed
+            again.
 
         Raises:
-            CallerError: If the answer cannot be had.
+            AlreadyRanError: If the request ran but its response is no longer stored.
+            OutcomeUnknownError: If it is unknown whether the request ran.
+            ControlUnavailableError: If control did not confirm the release of the claim.
         """
-        question = agent_pb2.Dispatch(
+        dispatch = agent_pb2.Dispatch(
             request_id=claim.request_id,
             attempt=claim.attempt,
             tenant=request.tenant,
@@ -57,25 +68,25 @@
         refusal: agent_pb2.RefusalCode.ValueType = agent_pb2.REFUSAL_CODE_UNSPECIFIED
         for _ in range(ATTACH_TRIES):
             try:
-                answer = await self._parts.channel.dispatch(claim.agent_address, question, b"")
+                response = await self._parts.channel.dispatch(claim.agent_address, dispatch, b"")
             except (ChannelNotSentError, ChannelLostError):
                 await asyncio.sleep(ATTACH_PAUSE_S)
                 continue
-            if not answer.refused:
-                return await self._attached_response(request, claim, answer)
-            refusal = answer.head.refusal
+            if not response.refused:
+                return await self._attached_response(request, claim, response)
+            refusal = response.head.refusal
             break
         if await self._release_claim(request, claim, refusal):
             return None
         ran = claim.state == ledger_pb2.CLAIM_STATE_DONE
         if ran or refusal == agent_pb2.REFUSAL_CODE_ANSWER_GONE:
             raise AlreadyRanError(
-                "the request ran before; its answer is not kept any more",
+                "the request has already run and its response is no longer stored",
                 step="attach",
                 peer=claim.agent,
             )
         raise OutcomeUnknownError(
-            "an earlier attempt's back end is lost; whether it ran is not known",
+            "the backend of an earlier attempt was lost; it is unknown whether the request ran",
             step="attach",
             peer=claim.agent,
         )
@@ -86,10 +97,19 @@
         claim: ledger_pb2.Claim,
         refusal: agent_pb2.RefusalCode.ValueType,
     ) -> bool:
-        """Free the claim if the agent's refusal allows it; return whether it did.
+        """Release the claim if the agent's refusal permits it.
 
-        An agent that does not know the attempt has left a tombstone: that is
-        proof. A repeatable request may also run again when its agent is lost.
+        An agent that does not know the attempt has recorded a tombstone for it. This proves
+        that the attempt has not run and never will. A repeatable request may also run again
+        when its agent is lost.
+
+        Args:
+            request: The retry.
+            claim: The claim on the request.
+            refusal: Why the agent refused to attach; unspecified if it was unreachable.
+
+        Returns:
+            Whether the claim was released.
         """
         held = claim.state == ledger_pb2.CLAIM_STATE_HELD
         if refusal == agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST and held:
@@ -101,51 +121,51 @@
         return False
 
     async def _attached_response(
-        self, request: CallerRequest, claim: ledger_pb2.Claim, answer: AgentAnswer
+        self, request: CallerRequest, claim: ledger_pb2.Claim, response: AgentAnswer
     ) -> CallerResponse:
-        assert answer.chunks is not None
+        assert response.chunks is not None
         self._parts.metrics.add("attached")
-        if answer.content_type.startswith(EVENT_STREAM):
-            caller_answer = CallerResponse(claim.request_id, answer.status, EVENT_STREAM)
-            caller_answer.chunks = self._relay_stream(request, claim, answer)
-            return caller_answer
+        if response.content_type.startswith(EVENT_STREAM):
+            caller_response = CallerResponse(claim.request_id, response.status, EVENT_STREAM)
+            caller_response.chunks = self._relay_stream(request, claim, response)
+            return caller_response
         try:
-            body = b"".join([chunk async for chunk in answer.chunks])
+            body = b"".join([chunk async for chunk in response.chunks])
         except ChannelLostError as error:
             raise OutcomeUnknownError(error.message, step="attach", peer=claim.agent) from error
-        problem = _incomplete_reason(answer.end)
-        if problem:
-            raise OutcomeUnknownError(problem, step="attach", peer=claim.agent)
-        await self._settle(request, claim, answer)
-        return CallerResponse(claim.request_id, answer.status, answer.content_type, body)
+        reason = _incomplete_reason(response.end)
+        if reason:
+            raise OutcomeUnknownError(reason, step="attach", peer=claim.agent)
+        await self._settle(request, claim, response)
+        return CallerResponse(claim.request_id, response.status, response.content_type, body)
 
     async def _relay_stream(
-        self, request: CallerRequest, claim: ledger_pb2.Claim, answer: AgentAnswer
+        self, request: CallerRequest, claim: ledger_pb2.Claim, response: AgentAnswer
     ) -> AsyncIterator[bytes]:
-        """Yield an event stream that another router had begun; then see to its bill."""
-        assert answer.chunks is not None
+        """Yield the event stream of an attempt of another router and settle the attempt."""
+        assert response.chunks is not None
         try:
-            async for chunk in answer.chunks:
+            async for chunk in response.chunks:
                 yield chunk
         except ChannelLostError as error:
             yield error_event(BackendLostError(error.message, step="attach"))
             return
-        problem = _incomplete_reason(answer.end)
-        if problem:
-            yield error_event(BackendLostError(problem, step="attach"))
+        reason = _incomplete_reason(response.end)
+        if reason:
+            yield error_event(BackendLostError(reason, step="attach"))
             return
-        await self._settle(request, claim, answer)
+        await self._settle(request, claim, response)
         yield DONE_EVENT
 
     async def _settle(
-        self, request: CallerRequest, claim: ledger_pb2.Claim, answer: AgentAnswer
+        self, request: CallerRequest, claim: ledger_pb2.Claim, response: AgentAnswer
     ) -> None:
-        """Send the bill of an answer that another router had begun.
+        """Send the settlement of an attempt that another router started.
 
-        That router and the agent may both be lost before they could send it; a
-        copy falls on the ledger's watermark.
+        That router and the agent may both be lost before they have sent it. If one of them
+        does send it, the ledger detects the copy by its watermark and ignores it.
         """
-        assert answer.end is not None
+        assert response.end is not None
         dispatch = agent_pb2.Dispatch(
             request_id=claim.request_id,
             lease_id=claim.lease_id,
@@ -155,12 +175,12 @@
             tenant=claim.tenant,
             service=request.service,
         )
-        settlement = settlement_of(dispatch, answer.end, already_billed=claim.already_billed)
+        settlement = settlement_of(dispatch, response.end, already_billed=claim.already_billed)
         await self._parts.bookkeeper.settle_durably(settlement, claim.agent)
 
 
 def _incomplete_reason(end: agent_pb2.AnswerEnd | None) -> str:
-    """Return why an answer is not whole, or "" if it is."""
+    """Return why a response is incomplete, or "" if it is complete."""
     if end is None:
-        return "the answer has no end"
+        return "the response has no end message"
     return end.error
--- a/packages/heronladder-router/src/heronladder_router/bookkeeping.py
+++ b/packages/heronladder-router/src/heronladder_router/bookkeeping.py
@@ -1,4 +1,8 @@
-"""Bookkeeping: reservations are closed, bills sent, and waited for."""
+"""Accounting of attempts: settles reservations and waits until the settlements are durable.
+
+It is separate from ``Settler``, which only sends settlements to control, because closing a
+reservation also involves the lease, the list of open attempts and the copies at other agents.
+"""
 
 import asyncio
 
@@ -11,14 +15,14 @@
 
 
 class Bookkeeper:
-    """Settles attempts: unused tokens go back to the lease, the bill to control.
+    """Settles attempts: sends settlements to control and returns unused tokens to leases.
 
     Args:
         leases: The router's leases.
-        settler: Sends bills.
-        witnesses: Gives copies of bills to other agents.
-        attempts: Reservations under which something may have run.
-        settle_wait_s: Longest time to wait until a bill is durable, in seconds.
+        settler: Sends settlements to control.
+        witnesses: Stores copies of settlements at other agents.
+        attempts: Reservations under which a request may have run.
+        settle_wait_s: Longest time to wait until a settlement is durable, in seconds.
     """
 
     def __init__(
@@ -38,10 +42,20 @@
     def close(
         self, reservation: Reservation, settlement: ledger_pb2.Settlement, agent: str
     ) -> asyncio.Future[Standing]:
-        """Settle a reservation; the future is done once its bill is durable.
+        """Settle a reservation and return its unused tokens to the lease.
+
+        The unused tokens are returned only once the settlement is durable, because another
+        settlement of the same reservation may have been applied first and have used more.
+        In that case the whole reservation counts as used.
+
+        Args:
+            reservation: The reservation to close.
+            settlement: What the attempt used.
+            agent: Agent that holds a copy of the settlement and may forget it once it is
+                durable; "" for none.
 
-        Unused tokens go back to the lease only then: another settlement of the
-        reservation may have gone before, and taken more.
+        Returns:
+            A future that is done once the settlement is durable.
         """
         used = settlement.prompt_tokens + settlement.completion_tokens + settlement.withheld_tokens
         durable = self._settler.settle(settlement, agent)
@@ -58,24 +72,43 @@
         self._leases.settle(reservation, used if first else reservation.tokens)
 
     async def settle_durably(self, settlement: ledger_pb2.Settlement, agent: str) -> None:
-        """Send a bill of another router's reservation and wait until it is durable."""
+        """Send the settlement of another router's reservation and wait until it is durable.
+
+        Args:
+            settlement: What the attempt used.
+            agent: Agent that holds a copy of the settlement.
+        """
         durable = self._settler.settle(settlement, agent)
         await self.wait_durable(durable, settlement, agent)
 
     async def wait_durable(
         self, durable: asyncio.Future[Standing], settlement: ledger_pb2.Settlement, agent: str
     ) -> None:
-        """Wait until a bill is durable, for a bounded time.
+        """Wait until a settlement is durable, but not longer than ``settle_wait_s``.
 
-        When control cannot be reached the answer is delivered all the same:
-        router, agent and two more agents hold the bill until it can.
+        While control is unreachable, the response is delivered nevertheless. Two more agents
+        then get a copy of the settlement, beside the router and the agent of the attempt, and
+        all of them keep it until control is reachable again.
+
+        Args:
+            durable: Future from ``close`` or ``Settler.settle``.
+            settlement: The settlement that the future stands for.
+            agent: Agent that holds a copy already.
         """
         done, _ = await asyncio.wait([durable], timeout=self._settle_wait_s)
         if not done:
             await self._witnesses.give(settlement, agent)
 
     async def billed_before(self, durable: asyncio.Future[Standing]) -> bool | None:
-        """Return whether another bill went before one just settled; None if unknown."""
+        """Return whether the reservation had been billed before the given settlement.
+
+        Args:
+            durable: Future from ``close``.
+
+        Returns:
+            None if it is unknown: the settlement is not durable within ``settle_wait_s``, or
+            the lease was already closed.
+        """
         done, _ = await asyncio.wait([durable], timeout=self._settle_wait_s)
         if not done or durable.result() is Standing.LEASE_CLOSED:
             return None
--- a/packages/heronladder-router/src/heronladder_router/claims.py
+++ b/packages/heronladder-router/src/heronladder_router/claims.py
@@ -1,4 +1,8 @@
-"""Claims as a router takes, frees and reads them at control."""
+"""Claims on requests: takes, releases and reads them at control.
+
+A claim ensures that at most one attempt of a request runs at a time. It is needed for requests
+with an idempotency key and for those that must not be repeated.
+"""
 
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
@@ -16,7 +20,7 @@
     """Another attempt holds the claim.
 
     Attributes:
-        claim: The claim as it stands.
+        claim: Current state of the claim.
     """
 
     def __init__(self, claim: ledger_pb2.Claim) -> None:
@@ -29,11 +33,11 @@
 
 
 class ClaimClient:
-    """Asks control about claims.
+    """Client for the claim commands of control.
 
     Args:
         link: The router's link to control.
-        environment: Time.
+        environment: Supplies the wall-clock time.
     """
 
     def __init__(self, link: ControlLink, environment: Environment) -> None:
@@ -43,13 +47,22 @@
     async def take(
         self, request: CallerRequest, dispatch: agent_pb2.Dispatch, replica: Replica
     ) -> ledger_pb2.Claim:
-        """Claim a request for one attempt; durable when this returns.
+        """Claim a request for one attempt. The claim is durable when this returns.
+
+        Args:
+            request: The request to claim.
+            dispatch: Dispatch of the attempt; supplies the reservation and the incarnation of
+                the agent.
+            replica: Replica that the attempt is sent to.
+
+        Returns:
+            The claim as control has stored it.
 
         Raises:
-            ClaimHeldError: If another attempt holds it.
-            KeyConflictError: If its key was used with another body.
-            ControlUnavailableError: If control did not confirm it; the claim
-                may stand, but nothing was dispatched under it.
+            ClaimHeldError: If another attempt holds the claim.
+            KeyConflictError: If the idempotency key was used with another request body.
+            ControlUnavailableError: If control did not confirm the claim. Control may have
+                stored it, but nothing was dispatched under it.
         """
         command = control_pb2.Command()
         command.claim.claim.CopyFrom(
@@ -77,24 +90,40 @@
         return result.claim
 
     async def release(self, claim: ledger_pb2.Claim, *, agent_lost: bool) -> bool:
-        """Free a claim on proof that its attempt never ran, or that its agent is lost.
+        """Release a claim so that another attempt can take it.
+
+        Args:
+            claim: The claim to release.
+            agent_lost: True if the agent of the attempt is lost, so that the attempt may have
+                run; False if the attempt is known never to have run.
 
         Returns:
-            Whether the claim is free now.
+            Whether control released the claim.
+
+        Raises:
+            ControlUnavailableError: If control did not confirm the release.
         """
         command = control_pb2.Command()
-        order = command.release_claim
-        order.tenant = claim.tenant
-        order.key = claim.key
-        order.request_id = claim.request_id
-        order.attempt = claim.attempt
-        order.agent_incarnation = claim.agent_incarnation
-        order.agent_lost = agent_lost
+        release = command.release_claim
+        release.tenant = claim.tenant
+        release.key = claim.key
+        release.request_id = claim.request_id
+        release.attempt = claim.attempt
+        release.agent_incarnation = claim.agent_incarnation
+        release.agent_lost = agent_lost
         result = await self._call_control(command)
         return result.code == control_pb2.RESULT_CODE_OK
 
     async def read(self, tenant: str, key: str) -> ledger_pb2.Claim | None:
-        """Return a claim as it stands, or None."""
+        """Return the current state of a claim, or None if there is none under the key.
+
+        Args:
+            tenant: Name of the tenant.
+            key: Key that the request was claimed under.
+
+        Raises:
+            ControlUnavailableError: If control is unreachable.
+        """
         command = control_pb2.Command()
         command.read_claim.tenant = tenant
         command.read_claim.key = key
--- a/packages/heronladder-router/src/heronladder_router/confirmations.py
+++ b/packages/heronladder-router/src/heronladder_router/confirmations.py
@@ -1,10 +1,10 @@
-"""Confirmations: what a router had at a restarted agent is settled.
+"""Confirmations to control that all attempts at an earlier incarnation of an agent are settled.
 
-When a router is lost, control frees what is left in its leases once every agent
-has spoken. An agent that restarted may have forgotten runs of that router, so
-the rest would have to stay charged. A router that goes on after an agent's
-restart therefore settles what it had there and says so: from then on nothing
-can have been forgotten.
+When a router is lost, control releases the rest of its leases once every agent has reported
+the attempts that it ran for that router. An agent that restarted may have lost records of such
+attempts, so the rest of the leases would have to stay charged. A router that survives the
+restart of an agent therefore settles its attempts at the earlier incarnation and confirms this
+to control: after that, the restart cannot have hidden any attempt.
 """
 
 from heronladder_runtime.control_link import ControlLink
@@ -18,26 +18,30 @@
 
 _CALL_TIMEOUT_S = 5.0
 
-ReservationKey = tuple[int, int]  # lease id, sequence
+ReservationKey = tuple[int, int]  # lease id, sequence number
 AgentKey = tuple[str, str]  # name, incarnation
 
 
 class OpenAttempts:
-    """Reservations under which something may have run, by the agent's incarnation."""
+    """Reservations under which a request may have run, with the agent's incarnation.
+
+    Attributes:
+        closed: Pulse that is given whenever a reservation is settled.
+    """
 
     def __init__(self) -> None:
         self._agents_by_reservation: dict[ReservationKey, AgentKey] = {}
         self.closed = Pulse()
 
     def open(self, reservation: Reservation, agent: str, incarnation: str) -> None:
-        """Note that an attempt under a reservation goes to an agent."""
+        """Record that an attempt under a reservation is sent to an agent."""
         self._agents_by_reservation[reservation.lease_id, reservation.sequence] = (
             agent,
             incarnation,
         )
 
     def close(self, reservation: Reservation) -> None:
-        """Note that a reservation's settlement is durable."""
+        """Record that the settlement of a reservation is durable."""
         if (
             self._agents_by_reservation.pop((reservation.lease_id, reservation.sequence), None)
             is not None
@@ -45,16 +49,21 @@
             self.closed.give()
 
     async def wait_all_closed(self, opened: list[ReservationKey]) -> None:
-        """Wait until all of some reservations are settled."""
+        """Wait until all the given reservations are settled."""
         while any(key in self._agents_by_reservation for key in opened):
             await self.closed.wait()
 
     def open_reservations(self) -> list[ReservationKey]:
-        """Return the reservations that are not settled."""
+        """Return the reservations that are not settled yet."""
         return list(self._agents_by_reservation)
 
     def has_open_at_earlier_incarnation(self, agent: str, incarnation: str) -> bool:
-        """Whether an attempt at another incarnation of an agent is not settled."""
+        """Return whether an attempt at another incarnation of an agent is not settled.
+
+        Args:
+            agent: Name of the agent.
+            incarnation: Current incarnation of the agent.
+        """
         return any(
             name == agent and known != incarnation
             for name, known in self._agents_by_reservation.values()
@@ -62,12 +71,14 @@
 
 
 class ConfirmationSender:
-    """Tells control when nothing is open at earlier incarnations of an agent.
+    """Confirms to control that no attempt is open at earlier incarnations of an agent.
+
+    It also confirms that all attempts of an earlier incarnation of the router are settled.
 
     Args:
         link: The router's link to control.
-        attempts: What is open.
-        log: Where events are reported.
+        attempts: Attempts that are not settled yet.
+        log: Event log for failures of background tasks.
     """
 
     def __init__(self, link: ControlLink, attempts: OpenAttempts, log: EventLog) -> None:
@@ -77,7 +88,7 @@
         self._agent_incarnations: dict[str, str] = {}
 
     def notice(self, notice: control_pb2.DaemonNotice) -> None:
-        """Take in control's word on an agent; begin to confirm a restart."""
+        """Process an update from control on an agent; confirm if the agent has restarted."""
         if notice.gone:
             return
         earlier = self._agent_incarnations.get(notice.name)
@@ -103,7 +114,13 @@
                 continue
 
     def incarnation_ended(self, incarnation: str) -> None:
-        """Confirm an earlier incarnation of this router once all it had is settled."""
+        """Confirm an ended incarnation of this router once all its attempts are settled.
+
+        The confirmation is sent by a background task.
+
+        Args:
+            incarnation: Incarnation of this router that has ended.
+        """
         opened = self._attempts.open_reservations()
         self._tasks.start("confirm_settled", self._confirm_settled(incarnation, opened))
 
@@ -118,10 +135,10 @@
         return command
 
     async def confirm_planned_stop(self) -> None:
-        """Confirm this incarnation at its planned stop, if nothing is left open."""
+        """Confirm the current incarnation at a planned stop, unless an attempt is still open."""
         if not self._attempts.open_reservations():
             await self._link.call(self._settled_command(self._link.record.incarnation))
 
     async def stop(self) -> None:
-        """End all tasks."""
+        """Cancel all background tasks."""
         await self._tasks.stop()
--- a/packages/heronladder-router/src/heronladder_router/forwarding.py
+++ b/packages/heronladder-router/src/heronladder_router/forwarding.py
@@ -75,7 +75,7 @@
         started_s = self._environment.monotonic()
         self.in_flight += 1
         try:
-            answer = await self._forward_admitted(request)
+            response = await self._forward_admitted(request)
         except BaseException:
             self._end_admission(request, started_s)
             raise
@@ -83,8 +83,8 @@
         async def leave() -> None:
             self._end_admission(request, started_s)
 
-        answer.on_close.append(leave)
-        return answer
+        response.on_close.append(leave)
+        return response
 
     async def _admit(self, request: CallerRequest) -> None:
         limit = sum(
@@ -239,13 +239,13 @@
             attempt.reservation, attempt.agent, attempt.dispatch.agent_incarnation
         )
         try:
-            answer = await self._parts.channel.dispatch(
+            response = await self._parts.channel.dispatch(
                 attempt.address, attempt.dispatch, request.body
             )
-            directory.answered(replica, answer.head)
-            if answer.refused:
-                await self._handle_refusal(attempt, answer)
-            attempt.answer = answer
+            directory.answered(replica, response.head)
+            if response.refused:
+                await self._handle_refusal(attempt, response)
+            attempt.response = response
             return await self._receive_response(request, replica, attempt)
         except ChannelNotSentError as error:
             directory.ended(replica)
@@ -261,9 +261,9 @@
             directory.ended(replica)
             raise
 
-    async def _handle_refusal(self, attempt: Attempt, answer: AgentAnswer) -> None:
+    async def _handle_refusal(self, attempt: Attempt, response: AgentAnswer) -> None:
         """Go on after a refusal, which proves that the attempt never runs."""
-        refusal = answer.head.refusal
+        refusal = response.head.refusal
         invariant(
             refusal != agent_pb2.REFUSAL_CODE_UNSPECIFIED,
             "refusals_have_a_code",
@@ -281,10 +281,12 @@
         Raises:
             ChannelLostError: If it may have run.
         """
-        answer = await self._parts.channel.dispatch(attempt.address, attempt.attach_dispatch(), b"")
-        if answer.head.refusal != agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST:
-            if answer.chunks is not None:
-                await answer.chunks.aclose()  # type: ignore[attr-defined]
+        response = await self._parts.channel.dispatch(
+            attempt.address, attempt.attach_dispatch(), b""
+        )
+        if response.head.refusal != agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST:
+            if response.chunks is not None:
+                await response.chunks.aclose()  # type: ignore[attr-defined]
             raise ChannelLostError(
                 "an earlier copy of the attempt ran", step="refused", peer=attempt.agent
             )
@@ -339,30 +341,30 @@
     async def _receive_response(
         self, request: CallerRequest, replica: Replica, attempt: Attempt
     ) -> CallerResponse:
-        answer = attempt.answer
-        assert answer is not None
+        response = attempt.response
+        assert response is not None
         invariant(
-            answer.head.request_id == request.request_id,
+            response.head.request_id == request.request_id,
             "answers_are_their_callers_own",
             step="take_answer",
             peer=attempt.agent,
-            detail=f"{answer.head.request_id} for {request.request_id}",
+            detail=f"{response.head.request_id} for {request.request_id}",
         )
-        if answer.content_type.startswith(EVENT_STREAM):
-            return self._stream_relay.answer(request, replica, attempt, answer)
-        return await self._read_complete_response(request, replica, attempt, answer)
+        if response.content_type.startswith(EVENT_STREAM):
+            return self._stream_relay.response(request, replica, attempt, response)
+        return await self._read_complete_response(request, replica, attempt, response)
 
     async def _read_complete_response(
-        self, request: CallerRequest, replica: Replica, attempt: Attempt, answer: AgentAnswer
+        self, request: CallerRequest, replica: Replica, attempt: Attempt, response: AgentAnswer
     ) -> CallerResponse:
         """Read an answer that comes in one piece, and bill it."""
-        assert answer.chunks is not None
-        body = b"".join([chunk async for chunk in answer.chunks])
-        end = answer.end
+        assert response.chunks is not None
+        body = b"".join([chunk async for chunk in response.chunks])
+        end = response.end
         if end is None or end.error:
             why = end.error if end is not None else "the answer has no end"
             raise ChannelLostError(why, step="read_answer", peer=attempt.agent)
         await attempt.bill(self._parts.bookkeeper, end)
         self._parts.directory.succeeded(replica)
         self._parts.directory.ended(replica)
-        return CallerResponse(request.request_id, answer.status, answer.content_type, body)
+        return CallerResponse(request.request_id, response.status, response.content_type, body)
--- a/packages/heronladder-router/src/heronladder_router/streaming.py
+++ b/packages/heronladder-router/src/heronladder_router/streaming.py
@@ -1,4 +1,4 @@
-"""Streams to callers: passed through, resumed where possible, billed at their end."""
+"""Relay of event streams to callers, with resumption after a lost connection to the agent."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -21,23 +21,30 @@
 
 
 class StreamRelay:
-    """Passes event streams from agents to callers.
+    """Relays event streams from agents to callers and settles their attempts.
 
     Args:
-        parts: What it works with.
-        tasks: Runs what goes on after a caller went away.
+        parts: Components shared by the modules that forward requests.
+        tasks: Runs the reading of streams whose callers have disconnected.
     """
 
     def __init__(self, parts: ForwardingParts, tasks: TaskGroupOwner) -> None:
         self._parts = parts
         self._tasks = tasks
 
-    def answer(
-        self, request: CallerRequest, replica: Replica, attempt: Attempt, answer: AgentAnswer
+    def response(
+        self, request: CallerRequest, replica: Replica, attempt: Attempt, response: AgentAnswer
     ) -> CallerResponse:
-        """Return a caller's answer that streams what the agent sends."""
-        caller_answer = CallerResponse(request.request_id, answer.status, EVENT_STREAM)
-        caller_answer.chunks = self._relay(request, attempt, answer)
+        """Return a caller's response that relays the event stream of an agent.
+
+        Args:
+            request: The caller's request.
+            replica: Replica that runs the attempt.
+            attempt: The attempt, which is settled at the end of the stream.
+            response: The agent's response, an event stream that has not been read yet.
+        """
+        caller_response = CallerResponse(request.request_id, response.status, EVENT_STREAM)
+        caller_response.chunks = self._relay(request, attempt, response)
 
         async def finish() -> None:
             self._parts.directory.ended(replica)
@@ -46,33 +53,37 @@
             else:
                 self._tasks.start("finish_abandoned", self._finish_abandoned(attempt))
 
-        caller_answer.on_close.append(finish)
-        return caller_answer
+        caller_response.on_close.append(finish)
+        return caller_response
 
     async def _relay(
-        self, request: CallerRequest, attempt: Attempt, answer: AgentAnswer
+        self, request: CallerRequest, attempt: Attempt, response: AgentAnswer
     ) -> AsyncIterator[bytes]:
-        """Yield an event stream; its end only once the bill is durable."""
-        passed = 0
+        """Yield an event stream, and its last event only after waiting for the settlement.
+
+        A resumed stream starts again at its first byte; the bytes that were already yielded
+        are skipped.
+        """
+        yielded_bytes = 0
         while True:
-            assert answer.chunks is not None
-            skip = passed
+            assert response.chunks is not None
+            skip_bytes = yielded_bytes
             try:
-                async for chunk in answer.chunks:
-                    if skip >= len(chunk):
-                        skip -= len(chunk)
+                async for chunk in response.chunks:
+                    if skip_bytes >= len(chunk):
+                        skip_bytes -= len(chunk)
                         continue
-                    passed += len(chunk) - skip
-                    yield chunk[skip:] if skip else chunk
-                    skip = 0
+                    yielded_bytes += len(chunk) - skip_bytes
+                    yield chunk[skip_bytes:] if skip_bytes else chunk
+                    skip_bytes = 0
                 break
             except ChannelLostError as error:
                 resumed = await self._resume(request, attempt)
                 if resumed is None:
                     yield self._end_broken_stream(request, attempt, error.message)
                     return
-                answer = resumed
-        end = answer.end
+                response = resumed
+        end = response.end
         assert end is not None
         await attempt.bill(self._parts.bookkeeper, end)
         if end.error:
@@ -81,43 +92,52 @@
             yield DONE_EVENT
 
     async def _resume(self, request: CallerRequest, attempt: Attempt) -> AgentAnswer | None:
-        """Return the kept answer of a run whose stream was cut, from its start."""
+        """Return the response of an attempt whose stream was interrupted, from its start.
+
+        Returns:
+            None if the agent does not keep the response, refuses to attach, or cannot be
+            reached within the time budget of the request.
+        """
         if not attempt.dispatch.keep_answer:
             return None
         for _ in range(ATTACH_TRIES):
             if self._parts.left_s(request) <= 0:
                 return None
             try:
-                answer = await self._parts.channel.dispatch(
+                response = await self._parts.channel.dispatch(
                     attempt.address, attempt.attach_dispatch(), b""
                 )
             except (ChannelNotSentError, ChannelLostError):
                 await asyncio.sleep(ATTACH_PAUSE_S)
                 continue
-            return None if answer.refused else answer
+            return None if response.refused else response
         return None
 
-    def _end_broken_stream(self, request: CallerRequest, attempt: Attempt, why: str) -> bytes:
+    def _end_broken_stream(self, request: CallerRequest, attempt: Attempt, reason: str) -> bytes:
+        """Settle the attempt of an interrupted stream and return the event that reports it."""
         if attempt.dispatch.keep_answer:
             self._parts.await_outcome(attempt)
         else:
             attempt.settle_lost(self._parts.bookkeeper)
         self._parts.metrics.add("streams_broken", request.service)
-        return error_event(BackendLostError(why, step="stream", peer=attempt.agent))
+        return error_event(BackendLostError(reason, step="stream", peer=attempt.agent))
 
     async def _finish_abandoned(self, attempt: Attempt) -> None:
-        """Read an answer to its end after its caller went away, and bill it."""
-        answer = attempt.answer
-        assert answer is not None and answer.chunks is not None
+        """Read a stream to its end after its caller has disconnected, and settle the attempt.
+
+        An agent that does not keep the response is told to cancel the attempt first.
+        """
+        response = attempt.response
+        assert response is not None and response.chunks is not None
         dispatch = attempt.dispatch
         if not dispatch.keep_answer:
             await self._parts.channel.cancel(attempt.address, dispatch.request_id, dispatch.attempt)
         try:
-            async for _ in answer.chunks:
+            async for _ in response.chunks:
                 pass
         except ChannelLostError:
             pass
-        if answer.end is not None:
-            await attempt.bill(self._parts.bookkeeper, answer.end)
+        if response.end is not None:
+            await attempt.bill(self._parts.bookkeeper, response.end)
         else:
             self._parts.await_outcome(attempt)
