--- a/packages/heronladder-router/src/heronladder_router/forwarding.py
+++ b/packages/heronladder-router/src/heronladder_router/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding: from an admitted request to its answer, over as many attempts as allowed."""
+"""Forwarding of requests to replicas: admission, reservation, attempts and retries."""
 
 from heronladder_runtime.answers import EVENT_STREAM, AgentAnswer
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
@@ -34,15 +34,22 @@
 
 
 class _TryAgain(Exception):
-    """The attempt is proved not to have run; another may be made."""
+    """The attempt has failed and another one is allowed.
+
+    Either the attempt is known not to have run, or the request may be repeated and the lost
+    attempt is settled. The argument, if there is one, says whether the agent was overloaded.
+    """
 
 
 class Forwarder:
-    """Forwards requests.
+    """Forwards requests to replicas.
 
     Args:
         options: Settings.
-        parts: What it works with.
+        parts: Components shared by the modules that forward requests.
+
+    Attributes:
+        in_flight: Number of admitted requests whose responses are not closed yet.
     """
 
     def __init__(self, options: ForwardingOptions, parts: ForwardingParts) -> None:
@@ -58,16 +65,18 @@
         self.in_flight = 0
 
     async def stop(self) -> None:
-        """End all background work."""
+        """Cancel all background tasks."""
         await self._tasks.stop()
 
     # ---- one request ------------------------------------------------------
 
     async def forward(self, request: CallerRequest) -> CallerResponse:
-        """Return the answer to a request.
+        """Return the response to a request.
+
+        The response must be closed; this ends the admission of the request.
 
         Raises:
-            CallerError: If there is none; says whether the request ran.
+            CallerError: If there is no response. Its outcome says whether the request ran.
         """
         if not self._parts.link.fresh:
             raise StaleError("this router's configuration is stale", step="forward")
@@ -129,31 +138,36 @@
                     return await self._run_attempt(request, replica, attempt)
                 except ClaimHeldError as held:
                     attempt.settle_not_run(self._parts.bookkeeper)
-                    attached = await self._attacher.attach(request, held.claim)
-                    if attached is not None:
-                        return attached
+                    attached_response = await self._attacher.attach(request, held.claim)
+                    if attached_response is not None:
+                        return attached_response
                     tried.clear()
-                except _TryAgain as again:
-                    overloaded = overloaded or bool(again.args and again.args[0])
+                except _TryAgain as failure:
+                    overloaded = overloaded or bool(failure.args and failure.args[0])
                     lost = lost or attempt.settled
                     self._metrics.add("retries", request.service)
         except CallerError as error:
             self._settle_unused_reservation(request, reservation, attempt)
             if lost and error.outcome == ledger_pb2.OUTCOME_NOT_RUN:
-                # An earlier attempt may have run, so "not-run" would be untrue.
+                # An earlier attempt may have run, so the outcome "not-run" could be wrong.
                 raise BackendLostError(error.message, step=error.step, peer=error.peer) from error
             raise
         self._settle_unused_reservation(request, reservation, attempt)
         if lost:
-            raise BackendLostError("the back ends tried were lost", step="forward")
+            raise BackendLostError("backends were lost during the attempts", step="forward")
         if overloaded:
-            raise OverloadedError("all back ends are busy", step="forward", peer=request.service)
-        raise NoBackendError("no back end took it", step="forward", peer=request.service)
+            raise OverloadedError("all backends are busy", step="forward", peer=request.service)
+        raise NoBackendError(
+            "no backend accepted the request", step="forward", peer=request.service
+        )
 
     def _settle_unused_reservation(
         self, request: CallerRequest, reservation: Reservation, attempt: Attempt | None
     ) -> None:
-        """Settle a reservation under which nothing ran."""
+        """Settle the last reservation of a failed request, unless its attempt is settled.
+
+        Nothing has run under it. ``attempt`` may belong to an earlier reservation.
+        """
         if attempt is not None and attempt.reservation is reservation:
             if not attempt.settled:
                 attempt.settle_not_run(self._parts.bookkeeper)
@@ -166,24 +180,28 @@
         Attempt(dispatch, reservation, "", "").settle_not_run(self._parts.bookkeeper)
 
     async def _find_replica(self, request: CallerRequest, tried: set[str]) -> Replica:
-        """Return a replica to try, waiting a while when none is usable."""
+        """Return a replica for the next attempt; wait while none is usable.
+
+        Raises:
+            NoBackendError: If no replica becomes usable within the admission wait.
+        """
         wait_s = min(self._options.admission_wait_s, self._parts.left_s(request))
         deadline_s = self._environment.monotonic() + wait_s
         while True:
             replica = self._parts.selector.choose(request, tried)
             if replica is None and tried:
-                # All were tried; a refusal may have been of the moment only.
+                # Every usable replica was tried; the reason of a refusal may be gone by now.
                 replica = self._parts.selector.choose(request, set())
             if replica is not None:
                 return replica
-            left_s = deadline_s - self._environment.monotonic()
-            if left_s <= 0:
+            remaining_s = deadline_s - self._environment.monotonic()
+            if remaining_s <= 0:
                 raise NoBackendError(
-                    "no back end of the service can be reached",
+                    "no backend of the service is available",
                     step="find_replica",
                     peer=request.service,
                 )
-            await self._parts.directory.changed.wait(min(left_s, _REPLICA_POLL_INTERVAL_S))
+            await self._parts.directory.changed.wait(min(remaining_s, _REPLICA_POLL_INTERVAL_S))
 
     def _prepare_attempt(
         self, request: CallerRequest, reservation: Reservation, replica: Replica, number: int
@@ -221,12 +239,12 @@
     async def _run_attempt(
         self, request: CallerRequest, replica: Replica, attempt: Attempt
     ) -> CallerResponse:
-        """Make one attempt.
+        """Make one attempt: claim the request if needed, dispatch it, read the response.
 
         Raises:
-            _TryAgain: If another may be made.
+            _TryAgain: If the attempt failed and another one is allowed.
             ClaimHeldError: If another attempt of the request holds the claim.
-            CallerError: If the request ends without an answer.
+            CallerError: If the request ends without a response.
         """
         if request.claimed:
             claim = await self._parts.claims.take(request, attempt.dispatch, replica)
@@ -262,7 +280,14 @@
             raise
 
     async def _handle_refusal(self, attempt: Attempt, response: AgentAnswer) -> None:
-        """Go on after a refusal, which proves that the attempt never runs."""
+        """Handle a refusal, which proves that the attempt never runs.
+
+        After the refusal of a duplicate, however, an earlier copy of the dispatch may have run.
+
+        Raises:
+            _TryAgain: If the attempt did not run.
+            ChannelLostError: If an earlier copy of the attempt may have run.
+        """
         refusal = response.head.refusal
         invariant(
             refusal != agent_pb2.REFUSAL_CODE_UNSPECIFIED,
@@ -276,10 +301,11 @@
         raise _TryAgain(refusal in _OVERLOAD_REFUSALS)
 
     async def _require_not_run(self, attempt: Attempt) -> None:
-        """Find out what became of an attempt whose id was at the agent before.
+        """Check with the agent that an attempt it has seen before did not run.
 
         Raises:
-            ChannelLostError: If it may have run.
+            ChannelLostError: If the attempt may have run.
+            ChannelNotSentError: If the agent cannot be connected to.
         """
         response = await self._parts.channel.dispatch(
             attempt.address, attempt.attach_dispatch(), b""
@@ -288,7 +314,7 @@
             if response.chunks is not None:
                 await response.chunks.aclose()  # type: ignore[attr-defined]
             raise ChannelLostError(
-                "an earlier copy of the attempt ran", step="refused", peer=attempt.agent
+                "an earlier copy of the attempt may have run", step="refused", peer=attempt.agent
             )
 
     async def _release_claim_of_lost_agent(self, attempt: Attempt) -> None:
@@ -296,7 +322,7 @@
         try:
             await self._parts.claims.release(attempt.claim, agent_lost=True)
         except ControlUnavailableError as error:
-            # The attempt may have run: only its agent can tell.
+            # The attempt may have run, and only its agent knows the outcome.
             self._parts.await_outcome(attempt)
             raise BackendLostError(error.message, step=error.step, peer=attempt.agent) from error
 
@@ -307,13 +333,15 @@
     async def _handle_lost_agent(
         self, request: CallerRequest, attempt: Attempt, error: ChannelLostError
     ) -> None:
-        """Go on after an agent was lost with the attempt's outcome unknown.
+        """Handle the loss of an agent while the outcome of the attempt is unknown.
 
-        Returns normally if another attempt may be made.
+        Returns normally if another attempt is allowed.
 
         Raises:
-            BackendLostError: If the retry budget or the time is used up.
-            OutcomeUnknownError: If the request may not be repeated.
+            BackendLostError: If the retry budget or the time budget is used up, if control did
+                not release the claim, or if it is unknown whether the agent has billed the
+                attempt.
+            OutcomeUnknownError: If the request must not be repeated.
         """
         self._log.info(
             "agent_lost", step=error.step, peer=attempt.agent, request_id=request.request_id
@@ -321,7 +349,7 @@
         if not request.repeatable:
             self._parts.await_outcome(attempt)
             raise OutcomeUnknownError(
-                "the back end was lost; ask for the outcome with the request's key",
+                "the backend was lost; query the outcome with the idempotency key of the request",
                 step=error.step,
                 peer=attempt.agent,
             ) from error
@@ -329,14 +357,14 @@
             await self._release_claim_of_lost_agent(attempt)
         durable = attempt.settle_lost(self._parts.bookkeeper)
         if self._parts.left_s(request) > 0 and self._retry_budget.spend():
-            # The agent may have billed the attempt already; then the next one is not.
+            # The next attempt is not billed if the agent has already billed this one.
             billed_before = await self._parts.bookkeeper.billed_before(durable)
             if billed_before is not None:
                 request.already_billed = request.already_billed or billed_before
                 return
         raise BackendLostError(error.message, step=error.step, peer=attempt.agent) from error
 
-    # ---- the answer -------------------------------------------------------
+    # ---- responses --------------------------------------------------------
 
     async def _receive_response(
         self, request: CallerRequest, replica: Replica, attempt: Attempt
@@ -357,13 +385,13 @@
     async def _read_complete_response(
         self, request: CallerRequest, replica: Replica, attempt: Attempt, response: AgentAnswer
     ) -> CallerResponse:
-        """Read an answer that comes in one piece, and bill it."""
+        """Read a response that is not a stream, and settle the attempt."""
         assert response.chunks is not None
         body = b"".join([chunk async for chunk in response.chunks])
         end = response.end
         if end is None or end.error:
-            why = end.error if end is not None else "the answer has no end"
-            raise ChannelLostError(why, step="read_answer", peer=attempt.agent)
+            reason = end.error if end is not None else "the response has no end message"
+            raise ChannelLostError(reason, step="read_answer", peer=attempt.agent)
         await attempt.bill(self._parts.bookkeeper, end)
         self._parts.directory.succeeded(replica)
         self._parts.directory.ended(replica)
--- a/packages/heronladder-router/src/heronladder_router/role.py
+++ b/packages/heronladder-router/src/heronladder_router/role.py
@@ -1,4 +1,4 @@
-"""The router role: intake, leases, forwarding, bills, put together."""
+"""The router role: builds the components of a router, and starts, drains and stops them."""
 
 import asyncio
 from dataclasses import dataclass
@@ -42,19 +42,20 @@
 
 @dataclass(frozen=True)
 class RouterOptions:
-    """Settings of a router; times in seconds.
+    """Settings of a router; all times in seconds.
 
     Attributes:
         name: Name of the daemon.
-        region: Its region.
-        zone: Its zone.
+        region: Region that the daemon runs in.
+        zone: Zone that the daemon runs in.
         control_addresses: gRPC addresses of the control members.
-        heartbeat_s: Time between heartbeats.
-        request_timeout_s: Time for a whole answer.
-        admission_wait_s: Longest wait for budget or a free back end.
-        settle_wait_s: Longest time an answer's end waits for its durable bill.
-        settle_interval_s: Time over which settlements are batched.
-        lease_horizon_s: Spending that a lease is sized to cover.
+        heartbeat_s: Interval between heartbeats to control.
+        request_timeout_s: Time budget of a request, up to the end of its response.
+        admission_wait_s: Longest wait for budget tokens or a free backend.
+        settle_wait_s: Longest time that the end of a response is delayed until the
+            settlement is durable.
+        settle_interval_s: Interval over which settlements are batched.
+        lease_horizon_s: Time whose expected spending a lease is sized to cover.
         platform_address: IP:port of the platform that lists machines; empty for none.
     """
 
@@ -72,13 +73,13 @@
 
 
 class RouterRole:
-    """One router.
+    """One router process with all its components.
 
     Args:
         options: Settings.
-        channel: Reaches agents.
-        stubs: Makes stubs to control.
-        environment: Time and randomness.
+        channel: Transport to agents.
+        stubs: Creates gRPC stubs to control members.
+        environment: Supplies clock and random numbers.
     """
 
     def __init__(
@@ -163,15 +164,18 @@
         self.confirmations.notice(notice)
 
     def _start_new_incarnation(self) -> str:
-        """Go on under a new incarnation: the old one's leases are fenced."""
+        """Return a new incarnation after control has rejected the current one.
+
+        The leases of the rejected incarnation are fenced, so they are dropped here.
+        """
         self.leases.drop_all()
         self.confirmations.incarnation_ended(self.link.record.incarnation)
         return self.environment.new_id(self.options.name)
 
-    # ---- life -------------------------------------------------------------
+    # ---- lifecycle --------------------------------------------------------
 
     async def start(self) -> None:
-        """Connect to control and begin to serve."""
+        """Start the connection to control and all background tasks."""
         self.link.start()
         self.leases.start()
         self.settler.start()
@@ -179,11 +183,11 @@
             self.platform.start()
 
     def ready(self) -> bool:
-        """Whether requests can be served."""
+        """Return whether the configuration is fresh enough to serve requests."""
         return self.link.fresh
 
     async def drain(self, grace_s: float) -> None:
-        """Wait until no request is in flight.
+        """Wait until no request is in flight, and report the requests that remain.
 
         Args:
             grace_s: Longest time to wait, in seconds.
@@ -191,13 +195,16 @@
         deadline_s = self.environment.monotonic() + grace_s
         while self.forwarder.in_flight and self.environment.monotonic() < deadline_s:
             await asyncio.sleep(_DRAIN_POLL_INTERVAL_S)
-        cut = self.forwarder.in_flight
-        if cut:
-            self.metrics.add("planned_stop_cuts", amount=cut)
-            self.log.error("planned_stop_cuts_requests", step="drain", requests=cut)
+        remaining = self.forwarder.in_flight
+        if remaining:
+            self.metrics.add("planned_stop_cuts", amount=remaining)
+            self.log.error("planned_stop_cuts_requests", step="drain", requests=remaining)
 
     async def stop(self) -> None:
-        """Give leases back, send the last bills, say goodbye, and end."""
+        """Stop as planned: send all settlements, return all leases, confirm, and disconnect.
+
+        If control does not respond in time, the router stops without these steps.
+        """
         try:
             async with asyncio.timeout(_STOP_TIMEOUT_S):
                 await self.settler.flush()
@@ -209,7 +216,7 @@
         await self.link.stop()
 
     async def abort(self) -> None:
-        """End at once, as a crash would."""
+        """Stop immediately, without telling control, as in a crash."""
         await self.link.abort()
         await self._end_tasks()
 
@@ -227,18 +234,21 @@
     # ---- serving ----------------------------------------------------------
 
     async def forward(self, request: CallerRequest) -> CallerResponse:
-        """Return the answer to a request; its accounts are kept even if nobody waits.
+        """Return the response to a request.
+
+        If the caller cancels this call, forwarding goes on in the background, so that the
+        reservation is settled and the response is closed.
 
         Raises:
-            CallerError: If there is no answer; says whether the request ran.
+            CallerError: If there is no response. Its outcome says whether the request ran.
         """
-        work: asyncio.Task[CallerResponse | CallerError] = self._tasks.start(
+        task: asyncio.Task[CallerResponse | CallerError] = self._tasks.start(
             "forward", self._forward(request)
         )
         try:
-            result: CallerResponse | CallerError = await asyncio.shield(work)
+            result: CallerResponse | CallerError = await asyncio.shield(task)
         except asyncio.CancelledError:
-            work.add_done_callback(self._close_undelivered)
+            task.add_done_callback(self._close_undelivered)
             raise
         if isinstance(result, CallerError):
             raise result
@@ -250,23 +260,29 @@
         except CallerError as error:
             return error
 
-    def _close_undelivered(self, work: "asyncio.Task[CallerResponse | CallerError]") -> None:
-        if work.cancelled() or work.exception() is not None:
+    def _close_undelivered(self, task: "asyncio.Task[CallerResponse | CallerError]") -> None:
+        if task.cancelled() or task.exception() is not None:
             return
-        result = work.result()
+        result = task.result()
         if isinstance(result, CallerResponse):
             self._tasks.start("close_unread", result.close())
 
     async def outcome(self, tenant: str, key: str) -> ledger_pb2.Outcome.ValueType:
-        """Return what became of the request with a key.
+        """Return the outcome of the request with an idempotency key.
+
+        Args:
+            tenant: Name of the tenant that sent the request.
+            key: Idempotency key of the request.
 
         Raises:
             UnknownServiceError: If there is no request with this key.
-            ControlUnavailableError: If control cannot be asked.
+            ControlUnavailableError: If control is unreachable.
         """
         claim = await self.claims.read(tenant, key)
         if claim is None:
-            raise UnknownServiceError("there is no request with this key", step="outcome")
+            raise UnknownServiceError(
+                "no request with this idempotency key is known", step="outcome"
+            )
         if claim.state == ledger_pb2.CLAIM_STATE_DONE:
             return ledger_pb2.OUTCOME_RAN
         if claim.state == ledger_pb2.CLAIM_STATE_RELEASED:
@@ -274,7 +290,7 @@
         return await self._query_agent(claim)
 
     async def _query_agent(self, claim: ledger_pb2.Claim) -> ledger_pb2.Outcome.ValueType:
-        question = agent_pb2.Dispatch(
+        dispatch = agent_pb2.Dispatch(
             request_id=claim.request_id,
             attempt=claim.attempt,
             tenant=claim.tenant,
@@ -283,13 +299,13 @@
             attach=True,
         )
         try:
-            answer = await self._channel.dispatch(claim.agent_address, question, b"")
+            response = await self._channel.dispatch(claim.agent_address, dispatch, b"")
         except (ChannelNotSentError, ChannelLostError):
             return ledger_pb2.OUTCOME_UNKNOWN
-        if answer.chunks is not None:
-            await answer.chunks.aclose()  # type: ignore[attr-defined]
+        if response.chunks is not None:
+            await response.chunks.aclose()  # type: ignore[attr-defined]
             return ledger_pb2.OUTCOME_RAN
-        match answer.head.refusal:
+        match response.head.refusal:
             case agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST:
                 await self.claims.release(claim, agent_lost=False)
                 return ledger_pb2.OUTCOME_NOT_RUN
--- a/packages/heronladder-router/src/heronladder_router/server.py
+++ b/packages/heronladder-router/src/heronladder_router/server.py
@@ -1,4 +1,4 @@
-"""The router's HTTP listener for callers."""
+"""The HTTP server of a router: reads callers' requests and sends responses and errors."""
 
 import asyncio
 import json
@@ -36,34 +36,38 @@
 _READ_BODY_TIMEOUT_S = 30.0
 _MAX_HEADER_BYTES = 8_190
 
-
-RequestFactory = Callable[[RawCall, str], CallerRequest]
+RequestFactory = Callable[[RawCall, str], CallerRequest]  # raw call, request id
 
 
 class RequestForwarder(Protocol):
-    """What the listener needs of the router role."""
+    """The part of the router role that the HTTP server uses."""
 
     def ready(self) -> bool:
-        """Whether requests can be served."""
+        """Return whether requests can be served."""
 
     async def forward(self, request: CallerRequest) -> CallerResponse:
-        """Return the answer to a request."""
+        """Return the response to a request."""
 
     async def outcome(self, tenant: str, key: str) -> ledger_pb2.Outcome.ValueType:
-        """Return what became of the request with a key."""
+        """Return the outcome of the request with an idempotency key."""
 
 
 class RouterServer:
-    """Takes callers' requests over HTTP.
+    """HTTP server for callers.
 
     Args:
-        router: The router role.
-        intake: Makes requests of what callers send.
-        max_body_bytes: Largest body.
-        queue_limit: Requests held at once.
-        environment: Time.
-        metrics: Where it counts.
-        log: Where events are reported.
+        router: Forwards requests and reports their outcomes.
+        intake: Authenticates callers and parses their requests.
+        max_body_bytes: Largest request body that is accepted.
+        queue_limit: Largest number of requests that are held at the same time.
+        environment: Supplies the clock.
+        metrics: Metrics of the daemon.
+        log: Event log of the daemon.
+
+    Attributes:
+        leaving: Whether the health check reports that the router leaves. Requests are still
+            served.
+        draining: Whether new requests are rejected.
     """
 
     def __init__(
@@ -85,11 +89,11 @@
         self._log = log
         self._held_requests = 0
         self._service_levels = ServiceLevels(metrics)
-        self.leaving = False  # health says so; callers are still served
-        self.draining = False  # callers are refused
+        self.leaving = False
+        self.draining = False
 
     def application(self) -> web.Application:
-        """Return the application that serves callers."""
+        """Return the aiohttp application with all routes."""
         application = web.Application(
             client_max_size=self._max_body_bytes,
             handler_args={"max_field_size": _MAX_HEADER_BYTES},
@@ -104,17 +108,21 @@
         return application
 
     async def _health(self, request: web.Request) -> web.Response:
-        """Tell the platform's balancer whether to send callers here."""
+        """Respond to the health check by which the platform's load balancer selects routers."""
         ready = not self.leaving and self._router.ready()
         return web.Response(status=200 if ready else 503, text="ok\n" if ready else "leaving\n")
 
     # ---- requests ---------------------------------------------------------
 
     async def _chat(self, request: web.Request) -> web.StreamResponse:
-        return await self._serve(request, lambda call, name: self._model_request(call, name, True))
+        return await self._serve(
+            request, lambda call, request_id: self._model_request(call, request_id, True)
+        )
 
     async def _completions(self, request: web.Request) -> web.StreamResponse:
-        return await self._serve(request, lambda call, name: self._model_request(call, name, False))
+        return await self._serve(
+            request, lambda call, request_id: self._model_request(call, request_id, False)
+        )
 
     def _model_request(self, call: RawCall, request_id: str, chat: bool) -> CallerRequest:
         return self._intake.model_request(call, request_id, chat=chat)
@@ -126,7 +134,9 @@
             lambda call, request_id: self._intake.service_request(call, request_id, name),
         )
 
-    async def _serve(self, request: web.Request, make: RequestFactory) -> web.StreamResponse:
+    async def _serve(
+        self, request: web.Request, make_request: RequestFactory
+    ) -> web.StreamResponse:
         request_id = self._intake.new_request_id()
         started_s = self._environment.monotonic()
         self._held_requests += 1
@@ -134,11 +144,13 @@
             if self.draining:
                 raise DrainingError("this router is stopping", step="serve")
             if self._held_requests > self._queue_limit:
-                raise OverloadedError("this router holds too many requests", step="serve")
+                raise OverloadedError(
+                    f"this router already holds {self._queue_limit} requests", step="serve"
+                )
             call = await self._read_call(request)
-            caller_request = make(call, request_id)
-            answer = await self._router.forward(caller_request)
-            return await self._send_response(request, caller_request, answer, started_s)
+            caller_request = make_request(call, request_id)
+            caller_response = await self._router.forward(caller_request)
+            return await self._send_response(request, caller_request, caller_response, started_s)
         except CallerError as error:
             return self._error_response(request_id, error)
         except HeronladderError as error:
@@ -152,11 +164,12 @@
             body = await asyncio.wait_for(request.read(), _READ_BODY_TIMEOUT_S)
         except web.HTTPRequestEntityTooLarge:
             raise BodyTooLargeError(
-                f"the body may have at most {self._max_body_bytes} bytes", step="read_body"
+                f"request body is larger than {self._max_body_bytes} bytes", step="read_body"
             ) from None
         except TimeoutError:
             raise InvalidRequestError(
-                f"the body took over {_READ_BODY_TIMEOUT_S:.0f} s", step="read_body"
+                f"request body was not received within {_READ_BODY_TIMEOUT_S:.0f} s",
+                step="read_body",
             ) from None
         path = request.match_info.get("path", request.path)
         if request.query_string:
@@ -170,44 +183,46 @@
             body=body,
         )
 
-    # ---- answers ----------------------------------------------------------
+    # ---- responses --------------------------------------------------------
 
     async def _send_response(
         self,
         request: web.Request,
         caller_request: CallerRequest,
-        answer: CallerResponse,
+        caller_response: CallerResponse,
         started_s: float,
     ) -> web.StreamResponse:
         headers = {
-            REQUEST_ID_HEADER: answer.request_id,
+            REQUEST_ID_HEADER: caller_response.request_id,
             OUTCOME_HEADER: OUTCOME_WORDS[ledger_pb2.OUTCOME_RAN],
         }
         try:
-            if answer.chunks is None:
+            if caller_response.chunks is None:
                 elapsed_s = self._environment.monotonic() - started_s
                 self._service_levels.whole_answer(caller_request, elapsed_s)
-                headers["Content-Type"] = answer.content_type
-                return web.Response(status=answer.status, body=answer.body, headers=headers)
-            response = web.StreamResponse(status=answer.status, headers=headers)
-            response.content_type = answer.content_type
+                headers["Content-Type"] = caller_response.content_type
+                return web.Response(
+                    status=caller_response.status, body=caller_response.body, headers=headers
+                )
+            response = web.StreamResponse(status=caller_response.status, headers=headers)
+            response.content_type = caller_response.content_type
             await response.prepare(request)
-            await self._send_stream(response, caller_request, answer, started_s)
+            await self._send_stream(response, caller_request, caller_response, started_s)
             return response
         finally:
-            await answer.close()
+            await caller_response.close()
 
     async def _send_stream(
         self,
         response: web.StreamResponse,
         caller_request: CallerRequest,
-        answer: CallerResponse,
+        caller_response: CallerResponse,
         started_s: float,
     ) -> None:
-        assert answer.chunks is not None
+        assert caller_response.chunks is not None
         watch = self._service_levels.stream(caller_request, started_s)
         try:
-            async for chunk in answer.chunks:
+            async for chunk in caller_response.chunks:
                 watch.part(self._environment.monotonic())
                 await response.write(chunk)
         except (ConnectionResetError, ConnectionAbortedError):
@@ -235,7 +250,7 @@
         body = error_document(error.message, error.code)
         return web.Response(status=error.status, body=body, headers=headers)
 
-    # ---- small calls ------------------------------------------------------
+    # ---- models and outcomes ----------------------------------------------
 
     async def _models(self, request: web.Request) -> web.Response:
         try:
@@ -250,14 +265,14 @@
         return web.Response(text=document, content_type="application/json")
 
     async def _outcome(self, request: web.Request) -> web.Response:
-        """Tell what became of the request with an idempotency key."""
+        """Respond with the outcome of the request with an idempotency key."""
         try:
             tenant = self._intake.tenant_name(request.headers.get("Authorization", ""))
             outcome = await self._router.outcome(tenant, request.match_info["key"])
         except CallerError as error:
             return self._error_response("", error)
-        word = OUTCOME_WORDS[outcome]
-        document = json.dumps({"key": request.match_info["key"], "outcome": word})
+        outcome_text = OUTCOME_WORDS[outcome]
+        document = json.dumps({"key": request.match_info["key"], "outcome": outcome_text})
         return web.Response(
-            text=document, content_type="application/json", headers={OUTCOME_HEADER: word}
+            text=document, content_type="application/json", headers={OUTCOME_HEADER: outcome_text}
         )
