--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Parts of the router: leases, admission, balancers, replicas, requests."""
+"""Tests of the router's components: leases, admission, balancers, replicas and requests."""
 
 import asyncio
 import json
@@ -30,7 +30,11 @@
 
 
 class LedgerLink:
-    """A link to control that applies commands to a state at once, or after a delay."""
+    """A fake link to control that applies commands to a ledger state in the same process.
+
+    Attributes:
+        recall_from: Lease managers whose leases are recalled when the budget is exhausted.
+    """
 
     def __init__(self, driver: StateDriver, name: str) -> None:
         self.record = ledger_pb2.DaemonRecord(name=name, incarnation=f"{name}1", role="router")
@@ -47,7 +51,7 @@
         self.driver.index += 1
         result = self.driver.state.apply(self.driver.index, command.SerializeToString())
         if result.code == control_pb2.RESULT_CODE_EXHAUSTED:
-            for manager in self.recall_from:  # as control recalls from other holders
+            for manager in self.recall_from:  # control recalls leases of all holders
                 for lease_id in list(self.driver.state.ledger.leases):
                     manager.recall(lease_id, 0)
         return result
@@ -62,14 +66,14 @@
         self.links = [LedgerLink(self.driver, name) for name in names]
         return [LeaseManager(link, self.environment, 10.0, log) for link in self.links]
 
-    def test_a_budget_is_spent_to_its_end_over_routers_and_never_beyond(self) -> None:
+    def test_routers_spend_a_shared_budget_fully_and_never_exceed_it(self) -> None:
         async def scenario() -> None:
             managers = self._managers("xyz")
             for link in self.links:
                 link.recall_from = managers
             spent = 0
-            for number in range(400):
-                manager = managers[number % 3]
+            for request_number in range(400):
+                manager = managers[request_number % 3]
                 try:
                     reservation = await manager.reserve("b", 100, 5.0)
                 except BudgetExhaustedError:
@@ -86,18 +90,18 @@
 
         run_virtual(scenario())
 
-    def test_a_request_over_what_is_left_is_refused_at_once(self) -> None:
+    def test_request_above_the_remaining_budget_is_rejected_immediately(self) -> None:
         async def scenario() -> None:
             (manager,) = self._managers("x")
-            started = self.environment.monotonic()
+            started_s = self.environment.monotonic()
             with self.assertRaises(BudgetExhaustedError):
                 await manager.reserve("b", BUDGET_TOKENS + 1, 30.0)
-            self.assertLess(self.environment.monotonic() - started, 0.1)
+            self.assertLess(self.environment.monotonic() - started_s, 0.1)
             await manager.stop()
 
         run_virtual(scenario())
 
-    def test_a_router_does_not_ask_for_each_request(self) -> None:
+    def test_router_does_not_call_control_for_each_request(self) -> None:
         async def scenario() -> None:
             (manager,) = self._managers("x")
             for _ in range(60):
@@ -109,7 +113,7 @@
 
         run_virtual(scenario())
 
-    def test_everything_unspent_goes_back_at_a_planned_stop(self) -> None:
+    def test_planned_stop_returns_all_unspent_tokens(self) -> None:
         async def scenario() -> None:
             (manager,) = self._managers("x")
             reservation = await manager.reserve("b", 100, 5.0)
@@ -124,7 +128,7 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    def test_tenants_share_by_weight_and_priorities_go_first(self) -> None:
+    def test_admission_order_is_by_priority_then_tenant_weight(self) -> None:
         async def scenario() -> None:
             queue = AdmissionQueue(Environment(random.Random(1), virtual=True))
             order: list[str] = []
@@ -158,16 +162,16 @@
 
         run_virtual(scenario())
 
-    def test_a_wait_that_would_be_too_long_is_refused_at_once(self) -> None:
+    def test_too_long_an_expected_wait_is_rejected_immediately(self) -> None:
         async def scenario() -> None:
             environment = Environment(random.Random(1), virtual=True)
             queue = AdmissionQueue(environment)
-            bounds = {"weight": 1, "priority": 1, "tokens": 1, "limit": 1}
-            await queue.enter("s", "t", wait_s=1, **bounds)
-            waiting = asyncio.ensure_future(queue.enter("s", "t", wait_s=1, **bounds))
+            arguments = {"weight": 1, "priority": 1, "tokens": 1, "limit": 1}
+            await queue.enter("s", "t", wait_s=1, **arguments)
+            waiting = asyncio.ensure_future(queue.enter("s", "t", wait_s=1, **arguments))
             await asyncio.sleep(0)
             with self.assertRaises(OverloadedError):
-                await queue.enter("s", "t", wait_s=0.9, **bounds)
+                await queue.enter("s", "t", wait_s=0.9, **arguments)
             self.assertEqual(environment.monotonic(), 0)
             queue.leave("s", 0.1)
             await waiting
@@ -181,7 +185,7 @@
 
 
 class BalancersTest(unittest.TestCase):
-    def test_equal_prefixes_meet_one_replica_and_few_move_when_one_leaves(self) -> None:
+    def test_equal_prefixes_share_a_replica_and_few_move_when_one_is_removed(self) -> None:
         balancer = PrefixAffinity(150)
         replicas = _replicas(10)
         prompts = [f"prompt {number}".encode() for number in range(500)]
@@ -193,7 +197,7 @@
         moved = [p for p in prompts if before[p] != after[p]]
         self.assertTrue(all(before[p] == "replica-0" for p in moved))
 
-    def test_affinity_gives_way_to_load(self) -> None:
+    def test_affinity_skips_a_loaded_replica(self) -> None:
         balancer = PrefixAffinity(125)
         replicas = _replicas(4)
         first = balancer.choose(BalancingContext(replicas, b"p", 0.0))
@@ -224,7 +228,7 @@
             directory.notice(control_pb2.DaemonNotice(name=f"a{number}", incarnation="i"))
         return directory
 
-    def test_failures_eject_and_time_or_a_restart_brings_back(self) -> None:
+    def test_failures_eject_a_replica_until_time_passes_or_its_agent_restarts(self) -> None:
         async def scenario() -> None:
             directory = self._directory(Environment(random.Random(1), virtual=True))
             replica = directory.get("b0")
@@ -243,7 +247,7 @@
 
         run_virtual(scenario())
 
-    def test_a_replica_that_says_it_leaves_gets_no_new_work(self) -> None:
+    def test_replica_that_reports_leaving_gets_no_new_requests(self) -> None:
         async def scenario() -> None:
             directory = self._directory(Environment(random.Random(1), virtual=True))
             replica = directory.get("b1")
@@ -271,7 +275,7 @@
 
 
 class RequestsTest(unittest.TestCase):
-    def test_wrong_fields_are_named(self) -> None:
+    def test_errors_name_the_invalid_field(self) -> None:
         cases = [
             (b"{", "JSON"),
             (b"[]", "object"),
@@ -286,7 +290,7 @@
             with self.assertRaisesRegex(InvalidRequestError, field):
                 parse_model_call(body, chat=True)
 
-    def test_the_engine_gets_the_bound_and_is_asked_for_usage(self) -> None:
+    def test_engine_body_has_the_completion_bound_and_requests_usage(self) -> None:
         body = {"model": "m", "prompt": "é", "stream": True, "max_completion_tokens": 9}
         call = parse_model_call(json.dumps(body).encode(), chat=False)
         self.assertEqual((call.prompt_bytes, call.completion_bound), (2, 9))
@@ -295,7 +299,7 @@
         self.assertTrue(sent["stream_options"]["include_usage"])
         self.assertNotIn("max_completion_tokens", sent)
 
-    def test_retries_are_a_share_of_requests(self) -> None:
+    def test_retry_budget_is_a_percentage_of_requests(self) -> None:
         budget = RetryBudget()
         while budget.spend():
             pass
