--- a/packages/heronladder-router/src/heronladder_router/admission.py
+++ b/packages/heronladder-router/src/heronladder_router/admission.py
@@ -37,7 +37,7 @@
         mean_admitted_s: Exponentially smoothed time that a request stays admitted, in seconds.
         waiting: Requests that wait for admission.
         tenant_finish_tags: Finish tag of the last request of each tenant, in virtual time.
-        virtual_time: Start tag of the request that was admitted last.
+        virtual_time: Largest start tag of the waiting requests admitted so far.
         arrivals: Number of requests that have had to wait so far.
     """
 
--- a/packages/heronladder-router/src/heronladder_router/balancers.py
+++ b/packages/heronladder-router/src/heronladder_router/balancers.py
@@ -49,12 +49,12 @@
     """Selects the replicas in rotation."""
 
     def __init__(self) -> None:
-        self._next_index = 0
+        self._selection_count = 0
 
     def choose(self, context: BalancingContext) -> Replica:
         """Return the next replica."""
-        self._next_index += 1
-        return context.replicas[self._next_index % len(context.replicas)]
+        self._selection_count += 1
+        return context.replicas[self._selection_count % len(context.replicas)]
 
 
 class LeastOutstanding(Balancer):
--- a/packages/heronladder-router/src/heronladder_router/forwarding.py
+++ b/packages/heronladder-router/src/heronladder_router/forwarding.py
@@ -349,7 +349,7 @@
         if not request.repeatable:
             self._parts.await_outcome(attempt)
             raise OutcomeUnknownError(
-                "the backend was lost; query the outcome with the idempotency key of the request",
+                "the backend was lost; query the outcome by idempotency key or request id",
                 step=error.step,
                 peer=attempt.agent,
             ) from error
--- a/packages/heronladder-router/src/heronladder_router/role.py
+++ b/packages/heronladder-router/src/heronladder_router/role.py
@@ -203,7 +203,7 @@
     async def stop(self) -> None:
         """Stop as planned: send all settlements, return all leases, confirm, and disconnect.
 
-        If control does not respond in time, the router stops without these steps.
+        If control does not respond in time, the router stops without completing these steps.
         """
         try:
             async with asyncio.timeout(_STOP_TIMEOUT_S):
@@ -268,11 +268,11 @@
             self._tasks.start("close_unread", result.close())
 
     async def outcome(self, tenant: str, key: str) -> ledger_pb2.Outcome.ValueType:
-        """Return the outcome of the request with an idempotency key.
+        """Return the outcome of a request.
 
         Args:
             tenant: Name of the tenant that sent the request.
-            key: Idempotency key of the request.
+            key: Idempotency key of the request, or its identifier if it has no key.
 
         Raises:
             UnknownServiceError: If there is no request with this key.
@@ -280,9 +280,7 @@
         """
         claim = await self.claims.read(tenant, key)
         if claim is None:
-            raise UnknownServiceError(
-                "no request with this idempotency key is known", step="outcome"
-            )
+            raise UnknownServiceError("no request with this key is known", step="outcome")
         if claim.state == ledger_pb2.CLAIM_STATE_DONE:
             return ledger_pb2.OUTCOME_RAN
         if claim.state == ledger_pb2.CLAIM_STATE_RELEASED:
--- a/packages/heronladder-router/src/heronladder_router/server.py
+++ b/packages/heronladder-router/src/heronladder_router/server.py
@@ -49,7 +49,7 @@
         """Return the response to a request."""
 
     async def outcome(self, tenant: str, key: str) -> ledger_pb2.Outcome.ValueType:
-        """Return the outcome of the request with an idempotency key."""
+        """Return the outcome of the request with an idempotency key or request id."""
 
 
 class RouterServer:
@@ -265,7 +265,7 @@
         return web.Response(text=document, content_type="application/json")
 
     async def _outcome(self, request: web.Request) -> web.Response:
-        """Respond with the outcome of the request with an idempotency key."""
+        """Respond with the outcome of the request with an idempotency key or request id."""
         try:
             tenant = self._intake.tenant_name(request.headers.get("Authorization", ""))
             outcome = await self._router.outcome(tenant, request.match_info["key"])
