--- a/packages/heronladder-router/src/heronladder_router/confirmations.py
+++ b/packages/heronladder-router/src/heronladder_router/confirmations.py
@@ -1,10 +1,10 @@
-"""Confirmations: what a router had at a restarted agent is settled.
+"""Confirmations to control that all attempts at an earlier incarnation of an agent are settled.
 
-When a router is lost, control frees what is left in its leases once every agent
-has spoken. An agent that restarted may have forgotten runs of that router, so
-the rest would have to stay charged. A router that goes on after an agent's
-restart therefore settles what it had there and says so: from then on nothing
-can have been forgotten.
+When a router is lost, control releases the rest of its leases once every agent has reported
+the attempts that it ran for that router. An agent that restarted may have lost records of such
+attempts, so the rest of the leases would have to stay charged. A router that survives the
+restart of an agent therefore settles its attempts at the earlier incarnation and confirms this
+to control: after that, the restart cannot have hidden any attempt.
 """
 
 from heronladder_runtime.control_link import ControlLink
@@ -18,75 +18,95 @@
 
 _CALL_TIMEOUT_S = 5.0
 
-ReservationKey = tuple[int, int]  # lease id, sequence
+ReservationKey = tuple[int, int]  # lease id, sequence number
 AgentKey = tuple[str, str]  # name, incarnation
 
 
 class OpenAttempts:
-    """Reservations under which something may have run, by the agent's incarnation."""
+    """Reservations under which a request may have run, with the agent's incarnation.
+
+    Attributes:
+        closed: Pulse that is given whenever a reservation is settled.
+    """
 
     def __init__(self) -> None:
-        self._agents: dict[ReservationKey, AgentKey] = {}
+        self._agents_by_reservation: dict[ReservationKey, AgentKey] = {}
         self.closed = Pulse()
 
     def open(self, reservation: Reservation, agent: str, incarnation: str) -> None:
-        """Note that an attempt under a reservation goes to an agent."""
-        self._agents[reservation.lease_id, reservation.sequence] = (agent, incarnation)
+        """Record that an attempt under a reservation is sent to an agent."""
+        self._agents_by_reservation[reservation.lease_id, reservation.sequence] = (
+            agent,
+            incarnation,
+        )
 
     def close(self, reservation: Reservation) -> None:
-        """Note that a reservation's settlement is durable."""
-        if self._agents.pop((reservation.lease_id, reservation.sequence), None) is not None:
+        """Record that the settlement of a reservation is durable."""
+        if (
+            self._agents_by_reservation.pop((reservation.lease_id, reservation.sequence), None)
+            is not None
+        ):
             self.closed.give()
 
     async def wait_all_closed(self, opened: list[ReservationKey]) -> None:
-        """Wait until all of some reservations are settled."""
-        while any(key in self._agents for key in opened):
+        """Wait until all the given reservations are settled."""
+        while any(key in self._agents_by_reservation for key in opened):
             await self.closed.wait()
 
-    def all_open(self) -> list[ReservationKey]:
-        """Return the reservations that are not settled."""
-        return list(self._agents)
+    def open_reservations(self) -> list[ReservationKey]:
+        """Return the reservations that are not settled yet."""
+        return list(self._agents_by_reservation)
+
+    def has_open_at_earlier_incarnation(self, agent: str, incarnation: str) -> bool:
+        """Return whether an attempt at another incarnation of an agent is not settled.
 
-    def any_earlier(self, agent: str, incarnation: str) -> bool:
-        """Whether an attempt at another incarnation of an agent is not settled."""
-        return any(name == agent and known != incarnation for name, known in self._agents.values())
+        Args:
+            agent: Name of the agent.
+            incarnation: Current incarnation of the agent.
+        """
+        return any(
+            name == agent and known != incarnation
+            for name, known in self._agents_by_reservation.values()
+        )
 
 
-class ConfirmationKeeper:
-    """Tells control when nothing is open at earlier incarnations of an agent.
+class ConfirmationSender:
+    """Confirms to control that no attempt is open at earlier incarnations of an agent.
+
+    It also confirms that all attempts of an earlier incarnation of the router are settled.
 
     Args:
         link: The router's link to control.
-        attempts: What is open.
-        log: Where events are reported.
+        attempts: Attempts that are not settled yet.
+        log: Event log for failures of background tasks.
     """
 
     def __init__(self, link: ControlLink, attempts: OpenAttempts, log: EventLog) -> None:
         self._link = link
         self._attempts = attempts
         self._tasks = TaskGroupOwner(log)
-        self._known: dict[str, str] = {}
+        self._agent_incarnations: dict[str, str] = {}
 
     def notice(self, notice: control_pb2.DaemonNotice) -> None:
-        """Take in control's word on an agent; begin to confirm a restart."""
+        """Process an update from control on an agent; confirm if the agent has restarted."""
         if notice.gone:
             return
-        earlier = self._known.get(notice.name)
-        self._known[notice.name] = notice.incarnation
+        earlier = self._agent_incarnations.get(notice.name)
+        self._agent_incarnations[notice.name] = notice.incarnation
         if earlier is not None and earlier != notice.incarnation:
             self._tasks.start(
                 f"confirm-{notice.name}", self._confirm(notice.name, notice.incarnation)
             )
 
     async def _confirm(self, agent: str, incarnation: str) -> None:
-        while self._attempts.any_earlier(agent, incarnation):
+        while self._attempts.has_open_at_earlier_incarnation(agent, incarnation):
             await self._attempts.closed.wait()
         command = control_pb2.Command()
         command.confirm_agent.router = self._link.record.name
         command.confirm_agent.router_incarnation = self._link.record.incarnation
         command.confirm_agent.agent = agent
         command.confirm_agent.agent_incarnation = incarnation
-        while self._known.get(agent) == incarnation:
+        while self._agent_incarnations.get(agent) == incarnation:
             try:
                 await self._link.call(command, _CALL_TIMEOUT_S)
                 return
@@ -94,8 +114,14 @@
                 continue
 
     def incarnation_ended(self, incarnation: str) -> None:
-        """Confirm an earlier incarnation of this router once all it had is settled."""
-        opened = self._attempts.all_open()
+        """Confirm an ended incarnation of this router once all its attempts are settled.
+
+        The confirmation is sent by a background task.
+
+        Args:
+            incarnation: Incarnation of this router that has ended.
+        """
+        opened = self._attempts.open_reservations()
         self._tasks.start("confirm_settled", self._confirm_settled(incarnation, opened))
 
     async def _confirm_settled(self, incarnation: str, opened: list[ReservationKey]) -> None:
@@ -108,11 +134,11 @@
         command.confirm_settled.router_incarnation = incarnation
         return command
 
-    async def confirm_stop(self) -> None:
-        """Confirm this incarnation at its planned stop, if nothing is left open."""
-        if not self._attempts.all_open():
+    async def confirm_planned_stop(self) -> None:
+        """Confirm the current incarnation at a planned stop, unless an attempt is still open."""
+        if not self._attempts.open_reservations():
             await self._link.call(self._settled_command(self._link.record.incarnation))
 
     async def stop(self) -> None:
-        """End all tasks."""
+        """Cancel all background tasks."""
         await self._tasks.stop()
--- a/packages/heronladder-router/src/heronladder_router/forwarding.py
+++ b/packages/heronladder-router/src/heronladder_router/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding: from an admitted request to its answer, over as many attempts as allowed."""
+"""Forwarding of requests to replicas: admission, reservation, attempts and retries."""
 
 from heronladder_runtime.answers import EVENT_STREAM, AgentAnswer
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
@@ -8,7 +8,7 @@
 
 from heronladder_router.attaching import Attacher
 from heronladder_router.attempt import Attempt
-from heronladder_router.caller_answer import CallerAnswer
+from heronladder_router.caller_response import CallerResponse
 from heronladder_router.claims import ClaimHeldError
 from heronladder_router.errors import (
     BackendLostError,
@@ -26,23 +26,30 @@
 from heronladder_router.replicas import Replica
 from heronladder_router.requests import CallerRequest
 from heronladder_router.retry_budget import RetryBudget
-from heronladder_router.streaming import StreamPasser
+from heronladder_router.streaming import StreamRelay
 
-_DEFAULT_ATTEMPTS = 4
-_REPLICA_POLL_S = 0.25
+_DEFAULT_MAX_ATTEMPTS = 4
+_REPLICA_POLL_INTERVAL_S = 0.25
 _OVERLOAD_REFUSALS = (agent_pb2.REFUSAL_CODE_BUSY, agent_pb2.REFUSAL_CODE_DEADLINE)
 
 
 class _TryAgain(Exception):
-    """The attempt is proved not to have run; another may be made."""
+    """The attempt has failed and another one is allowed.
+
+    Either the attempt is known not to have run, or the request may be repeated and the lost
+    attempt is settled. The argument, if there is one, says whether the agent was overloaded.
+    """
 
 
 class Forwarder:
-    """Forwards requests.
+    """Forwards requests to replicas.
 
     Args:
         options: Settings.
-        parts: What it works with.
+        parts: Components shared by the modules that forward requests.
+
+    Attributes:
+        in_flight: Number of admitted requests whose responses are not closed yet.
     """
 
     def __init__(self, options: ForwardingOptions, parts: ForwardingParts) -> None:
@@ -52,41 +59,43 @@
         self._metrics = parts.metrics
         self._log = parts.log
         self._tasks = TaskGroupOwner(parts.log)
-        self._retries = RetryBudget()
-        self._streams = StreamPasser(parts, self._tasks)
+        self._retry_budget = RetryBudget()
+        self._stream_relay = StreamRelay(parts, self._tasks)
         self._attacher = Attacher(parts)
         self.in_flight = 0
 
     async def stop(self) -> None:
-        """End all background work."""
+        """Cancel all background tasks."""
         await self._tasks.stop()
 
     # ---- one request ------------------------------------------------------
 
-    async def forward(self, request: CallerRequest) -> CallerAnswer:
-        """Return the answer to a request.
+    async def forward(self, request: CallerRequest) -> CallerResponse:
+        """Return the response to a request.
+
+        The response must be closed; this ends the admission of the request.
 
         Raises:
-            CallerError: If there is none; says whether the request ran.
+            CallerError: If there is no response. Its outcome says whether the request ran.
         """
         if not self._parts.link.fresh:
             raise StaleError("this router's configuration is stale", step="forward")
-        await self._enter(request)
+        await self._admit(request)
         started_s = self._environment.monotonic()
         self.in_flight += 1
         try:
-            answer = await self._forward_admitted(request)
+            response = await self._forward_admitted(request)
         except BaseException:
-            self._leave(request, started_s)
+            self._end_admission(request, started_s)
             raise
 
         async def leave() -> None:
-            self._leave(request, started_s)
+            self._end_admission(request, started_s)
 
-        answer.on_close.append(leave)
-        return answer
+        response.on_close.append(leave)
+        return response
 
-    async def _enter(self, request: CallerRequest) -> None:
+    async def _admit(self, request: CallerRequest) -> None:
         limit = sum(
             replica.spec.concurrency for replica in self._parts.directory.usable(request.service)
         )
@@ -101,7 +110,7 @@
             wait_s=min(self._options.admission_wait_s, self._parts.left_s(request)),
         )
 
-    def _leave(self, request: CallerRequest, started_s: float) -> None:
+    def _end_admission(self, request: CallerRequest, started_s: float) -> None:
         self.in_flight -= 1
         held_s = self._environment.monotonic() - started_s
         self._parts.admission.leave(request.service, held_s)
@@ -110,50 +119,55 @@
         wait_s = min(self._options.admission_wait_s, self._parts.left_s(request))
         return await self._parts.leases.reserve(request.tenant_spec.budget, request.tokens, wait_s)
 
-    async def _forward_admitted(self, request: CallerRequest) -> CallerAnswer:
+    async def _forward_admitted(self, request: CallerRequest) -> CallerResponse:
         policy = self._parts.selector.policy(request.service_spec)
-        self._retries.request(policy.retry_budget_percent)
+        self._retry_budget.request(policy.retry_budget_percent)
         reservation = await self._reserve(request)
         tried: set[str] = set()
         attempt: Attempt | None = None
         overloaded = False
         lost = False
         try:
-            for number in range(1, (policy.attempts or _DEFAULT_ATTEMPTS) + 1):
+            for number in range(1, (policy.attempts or _DEFAULT_MAX_ATTEMPTS) + 1):
                 if attempt is not None and attempt.settled:
                     reservation = await self._reserve(request)
                 replica = await self._find_replica(request, tried)
-                attempt = self._prepare(request, reservation, replica, number)
+                attempt = self._prepare_attempt(request, reservation, replica, number)
                 tried.add(replica.name)
                 try:
-                    return await self._try(request, replica, attempt)
+                    return await self._run_attempt(request, replica, attempt)
                 except ClaimHeldError as held:
                     attempt.settle_not_run(self._parts.bookkeeper)
-                    attached = await self._attacher.attach(request, held.claim)
-                    if attached is not None:
-                        return attached
+                    attached_response = await self._attacher.attach(request, held.claim)
+                    if attached_response is not None:
+                        return attached_response
                     tried.clear()
-                except _TryAgain as again:
-                    overloaded = overloaded or bool(again.args and again.args[0])
+                except _TryAgain as failure:
+                    overloaded = overloaded or bool(failure.args and failure.args[0])
                     lost = lost or attempt.settled
                     self._metrics.add("retries", request.service)
         except CallerError as error:
-            self._close_unused(request, reservation, attempt)
+            self._settle_unused_reservation(request, reservation, attempt)
             if lost and error.outcome == ledger_pb2.OUTCOME_NOT_RUN:
-                # An earlier attempt may have run, so "not-run" would be untrue.
+                # An earlier attempt may have run, so the outcome "not-run" could be wrong.
                 raise BackendLostError(error.message, step=error.step, peer=error.peer) from error
             raise
-        self._close_unused(request, reservation, attempt)
+        self._settle_unused_reservation(request, reservation, attempt)
         if lost:
-            raise BackendLostError("the back ends tried were lost", step="forward")
+            raise BackendLostError("backends were lost during the attempts", step="forward")
         if overloaded:
-            raise OverloadedError("all back ends are busy", step="forward", peer=request.service)
-        raise NoBackendError("no back end took it", step="forward", peer=request.service)
+            raise OverloadedError("all backends are busy", step="forward", peer=request.service)
+        raise NoBackendError(
+            "no backend accepted the request", step="forward", peer=request.service
+        )
 
-    def _close_unused(
+    def _settle_unused_reservation(
         self, request: CallerRequest, reservation: Reservation, attempt: Attempt | None
     ) -> None:
-        """Settle a reservation under which nothing ran."""
+        """Settle the last reservation of a failed request, unless its attempt is settled.
+
+        Nothing has run under it. ``attempt`` may belong to an earlier reservation.
+        """
         if attempt is not None and attempt.reservation is reservation:
             if not attempt.settled:
                 attempt.settle_not_run(self._parts.bookkeeper)
@@ -166,26 +180,30 @@
         Attempt(dispatch, reservation, "", "").settle_not_run(self._parts.bookkeeper)
 
     async def _find_replica(self, request: CallerRequest, tried: set[str]) -> Replica:
-        """Return a replica to try, waiting a while when none is usable."""
+        """Return a replica for the next attempt; wait while none is usable.
+
+        Raises:
+            NoBackendError: If no replica becomes usable within the admission wait.
+        """
         wait_s = min(self._options.admission_wait_s, self._parts.left_s(request))
         deadline_s = self._environment.monotonic() + wait_s
         while True:
             replica = self._parts.selector.choose(request, tried)
             if replica is None and tried:
-                # All were tried; a refusal may have been of the moment only.
+                # Every usable replica was tried; the reason of a refusal may be gone by now.
                 replica = self._parts.selector.choose(request, set())
             if replica is not None:
                 return replica
-            left_s = deadline_s - self._environment.monotonic()
-            if left_s <= 0:
+            remaining_s = deadline_s - self._environment.monotonic()
+            if remaining_s <= 0:
                 raise NoBackendError(
-                    "no back end of the service can be reached",
+                    "no backend of the service is available",
                     step="find_replica",
                     peer=request.service,
                 )
-            await self._parts.directory.changed.wait(min(left_s, _REPLICA_POLL_S))
+            await self._parts.directory.changed.wait(min(remaining_s, _REPLICA_POLL_INTERVAL_S))
 
-    def _prepare(
+    def _prepare_attempt(
         self, request: CallerRequest, reservation: Reservation, replica: Replica, number: int
     ) -> Attempt:
         dispatch = agent_pb2.Dispatch(
@@ -213,20 +231,20 @@
         )
         dispatch.settled.extend(self._parts.settler.acknowledged(replica.spec.agent))
         attempt = Attempt(dispatch, reservation, replica.spec.agent_address, replica.spec.agent)
-        attempt.earlier_billed = request.already_billed
+        attempt.earlier_attempt_billed = request.already_billed
         return attempt
 
     # ---- one attempt ------------------------------------------------------
 
-    async def _try(
+    async def _run_attempt(
         self, request: CallerRequest, replica: Replica, attempt: Attempt
-    ) -> CallerAnswer:
-        """Make one attempt.
+    ) -> CallerResponse:
+        """Make one attempt: claim the request if needed, dispatch it, read the response.
 
         Raises:
-            _TryAgain: If another may be made.
+            _TryAgain: If the attempt failed and another one is allowed.
             ClaimHeldError: If another attempt of the request holds the claim.
-            CallerError: If the request ends without an answer.
+            CallerError: If the request ends without a response.
         """
         if request.claimed:
             claim = await self._parts.claims.take(request, attempt.dispatch, replica)
@@ -239,31 +257,38 @@
             attempt.reservation, attempt.agent, attempt.dispatch.agent_incarnation
         )
         try:
-            answer = await self._parts.channel.dispatch(
+            response = await self._parts.channel.dispatch(
                 attempt.address, attempt.dispatch, request.body
             )
-            directory.answered(replica, answer.head)
-            if answer.refused:
-                await self._refused(attempt, answer)
-            attempt.answer = answer
-            return await self._take_answer(request, replica, attempt)
+            directory.answered(replica, response.head)
+            if response.refused:
+                await self._handle_refusal(attempt, response)
+            attempt.response = response
+            return await self._receive_response(request, replica, attempt)
         except ChannelNotSentError as error:
             directory.ended(replica)
             directory.failed(replica, certain=True)
-            await self._free_claim(attempt)
+            await self._release_claim(attempt)
             raise _TryAgain from error
         except ChannelLostError as error:
             directory.ended(replica)
             directory.failed(replica)
-            await self._lost(request, attempt, error)
+            await self._handle_lost_agent(request, attempt, error)
             raise _TryAgain from error
         except BaseException:
             directory.ended(replica)
             raise
 
-    async def _refused(self, attempt: Attempt, answer: AgentAnswer) -> None:
-        """Go on after a refusal, which proves that the attempt never runs."""
-        refusal = answer.head.refusal
+    async def _handle_refusal(self, attempt: Attempt, response: AgentAnswer) -> None:
+        """Handle a refusal, which proves that the attempt never runs.
+
+        After the refusal of a duplicate, however, an earlier copy of the dispatch may have run.
+
+        Raises:
+            _TryAgain: If the attempt did not run.
+            ChannelLostError: If an earlier copy of the attempt may have run.
+        """
+        refusal = response.head.refusal
         invariant(
             refusal != agent_pb2.REFUSAL_CODE_UNSPECIFIED,
             "refusals_have_a_code",
@@ -271,47 +296,52 @@
             peer=attempt.agent,
         )
         if refusal == agent_pb2.REFUSAL_CODE_DUPLICATE:
-            await self._prove_not_run(attempt)
-        await self._free_claim(attempt)
+            await self._require_not_run(attempt)
+        await self._release_claim(attempt)
         raise _TryAgain(refusal in _OVERLOAD_REFUSALS)
 
-    async def _prove_not_run(self, attempt: Attempt) -> None:
-        """Find out what became of an attempt whose id was at the agent before.
+    async def _require_not_run(self, attempt: Attempt) -> None:
+        """Check with the agent that an attempt it has seen before did not run.
 
         Raises:
-            ChannelLostError: If it may have run.
+            ChannelLostError: If the attempt may have run.
+            ChannelNotSentError: If the agent cannot be connected to.
         """
-        answer = await self._parts.channel.dispatch(attempt.address, attempt.question(), b"")
-        if answer.head.refusal != agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST:
-            if answer.chunks is not None:
-                await answer.chunks.aclose()  # type: ignore[attr-defined]
+        response = await self._parts.channel.dispatch(
+            attempt.address, attempt.attach_dispatch(), b""
+        )
+        if response.head.refusal != agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST:
+            if response.chunks is not None:
+                await response.chunks.aclose()  # type: ignore[attr-defined]
             raise ChannelLostError(
-                "an earlier copy of the attempt ran", step="refused", peer=attempt.agent
+                "an earlier copy of the attempt may have run", step="refused", peer=attempt.agent
             )
 
-    async def _release_lost(self, attempt: Attempt) -> None:
+    async def _release_claim_of_lost_agent(self, attempt: Attempt) -> None:
         assert attempt.claim is not None
         try:
             await self._parts.claims.release(attempt.claim, agent_lost=True)
         except ControlUnavailableError as error:
-            # The attempt may have run: only its agent can tell.
+            # The attempt may have run, and only its agent knows the outcome.
             self._parts.await_outcome(attempt)
             raise BackendLostError(error.message, step=error.step, peer=attempt.agent) from error
 
-    async def _free_claim(self, attempt: Attempt) -> None:
+    async def _release_claim(self, attempt: Attempt) -> None:
         if attempt.claim is not None:
             await self._parts.claims.release(attempt.claim, agent_lost=False)
 
-    async def _lost(
+    async def _handle_lost_agent(
         self, request: CallerRequest, attempt: Attempt, error: ChannelLostError
     ) -> None:
-        """Go on after an agent was lost with the attempt's outcome unknown.
+        """Handle the loss of an agent while the outcome of the attempt is unknown.
 
-        Returns normally if another attempt may be made.
+        Returns normally if another attempt is allowed.
 
         Raises:
-            BackendLostError: If the retry budget or the time is used up.
-            OutcomeUnknownError: If the request may not be repeated.
+            BackendLostError: If the retry budget or the time budget is used up, if control did
+                not release the claim, or if it is unknown whether the agent has billed the
+                attempt.
+            OutcomeUnknownError: If the request must not be repeated.
         """
         self._log.info(
             "agent_lost", step=error.step, peer=attempt.agent, request_id=request.request_id
@@ -319,50 +349,50 @@
         if not request.repeatable:
             self._parts.await_outcome(attempt)
             raise OutcomeUnknownError(
-                "the back end was lost; ask for the outcome with the request's key",
+                "the backend was lost; query the outcome by idempotency key or request id",
                 step=error.step,
                 peer=attempt.agent,
             ) from error
         if attempt.claim is not None:
-            await self._release_lost(attempt)
+            await self._release_claim_of_lost_agent(attempt)
         durable = attempt.settle_lost(self._parts.bookkeeper)
-        if self._parts.left_s(request) > 0 and self._retries.spend():
-            # The agent may have billed the attempt already; then the next one is not.
+        if self._parts.left_s(request) > 0 and self._retry_budget.spend():
+            # The next attempt is not billed if the agent has already billed this one.
             billed_before = await self._parts.bookkeeper.billed_before(durable)
             if billed_before is not None:
                 request.already_billed = request.already_billed or billed_before
                 return
         raise BackendLostError(error.message, step=error.step, peer=attempt.agent) from error
 
-    # ---- the answer -------------------------------------------------------
+    # ---- responses --------------------------------------------------------
 
-    async def _take_answer(
+    async def _receive_response(
         self, request: CallerRequest, replica: Replica, attempt: Attempt
-    ) -> CallerAnswer:
-        answer = attempt.answer
-        assert answer is not None
+    ) -> CallerResponse:
+        response = attempt.response
+        assert response is not None
         invariant(
-            answer.head.request_id == request.request_id,
+            response.head.request_id == request.request_id,
             "answers_are_their_callers_own",
             step="take_answer",
             peer=attempt.agent,
-            detail=f"{answer.head.request_id} for {request.request_id}",
+            detail=f"{response.head.request_id} for {request.request_id}",
         )
-        if answer.content_type.startswith(EVENT_STREAM):
-            return self._streams.answer(request, replica, attempt, answer)
-        return await self._whole(request, replica, attempt, answer)
-
-    async def _whole(
-        self, request: CallerRequest, replica: Replica, attempt: Attempt, answer: AgentAnswer
-    ) -> CallerAnswer:
-        """Read an answer that comes in one piece, and bill it."""
-        assert answer.chunks is not None
-        body = b"".join([chunk async for chunk in answer.chunks])
-        end = answer.end
+        if response.content_type.startswith(EVENT_STREAM):
+            return self._stream_relay.response(request, replica, attempt, response)
+        return await self._read_complete_response(request, replica, attempt, response)
+
+    async def _read_complete_response(
+        self, request: CallerRequest, replica: Replica, attempt: Attempt, response: AgentAnswer
+    ) -> CallerResponse:
+        """Read a response that is not a stream, and settle the attempt."""
+        assert response.chunks is not None
+        body = b"".join([chunk async for chunk in response.chunks])
+        end = response.end
         if end is None or end.error:
-            why = end.error if end is not None else "the answer has no end"
-            raise ChannelLostError(why, step="read_answer", peer=attempt.agent)
+            reason = end.error if end is not None else "the response has no end message"
+            raise ChannelLostError(reason, step="read_answer", peer=attempt.agent)
         await attempt.bill(self._parts.bookkeeper, end)
         self._parts.directory.succeeded(replica)
         self._parts.directory.ended(replica)
-        return CallerAnswer(request.request_id, answer.status, answer.content_type, body)
+        return CallerResponse(request.request_id, response.status, response.content_type, body)
