--- a/packages/heronladder-router/src/heronladder_router/attaching.py
+++ b/packages/heronladder-router/src/heronladder_router/attaching.py
@@ -15,11 +15,11 @@
     ChannelNotSentError,
     OutcomeUnknownError,
 )
-from heronladder_router.parts import (
-    ATTACH_PAUSE_S,
-    ATTACH_TRIES,
+from heronladder_router.forwarding_context import (
+    ATTACH_ATTEMPTS,
+    ATTACH_RETRY_DELAY_S,
     DONE_EVENT,
-    ForwardingParts,
+    ForwardingContext,
     error_event,
 )
 from heronladder_router.requests import CallerRequest
@@ -32,7 +32,7 @@
         parts: What it works with.
     """
 
-    def __init__(self, parts: ForwardingParts) -> None:
+    def __init__(self, parts: ForwardingContext) -> None:
         self._parts = parts
 
     async def attach(self, request: CallerRequest, claim: ledger_pb2.Claim) -> CallerAnswer | None:
@@ -53,11 +53,11 @@
             attach=True,
         )
         refusal: agent_pb2.RefusalCode.ValueType = agent_pb2.REFUSAL_CODE_UNSPECIFIED
-        for _ in range(ATTACH_TRIES):
+        for _ in range(ATTACH_ATTEMPTS):
             try:
                 answer = await self._parts.channel.dispatch(claim.agent_address, question, b"")
             except (ChannelNotSentError, ChannelLostError):
-                await asyncio.sleep(ATTACH_PAUSE_S)
+                await asyncio.sleep(ATTACH_RETRY_DELAY_S)
                 continue
             if not answer.refused:
                 return await self._attached(request, claim, answer)
--- a/packages/heronladder-router/src/heronladder_router/attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/attempt.py
@@ -9,7 +9,7 @@
 
 from heronladder_router.bookkeeping import Bookkeeper
 from heronladder_router.leases import Reservation
-from heronladder_router.settler import Standing
+from heronladder_router.settlement_sender import SettlementStatus
 
 
 @dataclass
@@ -59,7 +59,7 @@
         """Settle the attempt as proved not to have run."""
         self._settle(bookkeeper, not_run_settlement(self.dispatch))
 
-    def settle_lost(self, bookkeeper: Bookkeeper) -> asyncio.Future[Standing]:
+    def settle_lost(self, bookkeeper: Bookkeeper) -> asyncio.Future[SettlementStatus]:
         """Settle the attempt as lost: charged, not billed."""
         self.settled = True
         # Its agent, if it lives, keeps its own bill: that tells what was really used.
@@ -67,6 +67,6 @@
 
     def _settle(
         self, bookkeeper: Bookkeeper, settlement: ledger_pb2.Settlement
-    ) -> asyncio.Future[Standing]:
+    ) -> asyncio.Future[SettlementStatus]:
         self.settled = True
         return bookkeeper.close(self.reservation, settlement, self.agent)
--- a/packages/heronladder-router/src/heronladder_router/balancers.py
+++ b/packages/heronladder-router/src/heronladder_router/balancers.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from heronladder_router.replicas import Replica, hash_pair
+from heronladder_router.replicas import Replica, rendezvous_hash
 
 DEFAULT_BALANCER = "prefix_affinity"
 _DEFAULT_PREFIX_BYTES = 1_024
@@ -98,7 +98,7 @@
         prefix_hash = xxhash.xxh3_64_hexdigest(choice.prefix)
         ranking = sorted(
             choice.replicas,
-            key=lambda replica: hash_pair(prefix_hash, replica.name),
+            key=lambda replica: rendezvous_hash(prefix_hash, replica.name),
             reverse=True,
         )
         for replica in ranking:
--- a/packages/heronladder-router/src/heronladder_router/bookkeeping.py
+++ b/packages/heronladder-router/src/heronladder_router/bookkeeping.py
@@ -4,10 +4,10 @@
 
 from heronladder_schema.v1 import ledger_pb2
 
+from heronladder_router.bill_copies import BillCopyDistributor
 from heronladder_router.confirmations import OpenAttempts
 from heronladder_router.leases import LeaseManager, Reservation
-from heronladder_router.settler import Settler, Standing
-from heronladder_router.witnesses import Witnesses
+from heronladder_router.settlement_sender import SettlementSender, SettlementStatus
 
 
 class Bookkeeper:
@@ -24,8 +24,8 @@
     def __init__(
         self,
         leases: LeaseManager,
-        settler: Settler,
-        witnesses: Witnesses,
+        settler: SettlementSender,
+        witnesses: BillCopyDistributor,
         attempts: OpenAttempts,
         settle_wait_s: float,
     ) -> None:
@@ -37,7 +37,7 @@
 
     def close(
         self, reservation: Reservation, settlement: ledger_pb2.Settlement, agent: str
-    ) -> asyncio.Future[Standing]:
+    ) -> asyncio.Future[SettlementStatus]:
         """Settle a reservation; the future is done once its bill is durable.
 
         Unused tokens go back to the lease only then: another settlement of the
@@ -49,12 +49,12 @@
         return durable
 
     def _release(
-        self, reservation: Reservation, used: int, durable: asyncio.Future[Standing]
+        self, reservation: Reservation, used: int, durable: asyncio.Future[SettlementStatus]
     ) -> None:
         if durable.cancelled():
             return
         self.attempts.close(reservation)
-        first = durable.result() is Standing.FIRST
+        first = durable.result() is SettlementStatus.FIRST
         self._leases.settle(reservation, used if first else reservation.tokens)
 
     async def settle_durably(self, settlement: ledger_pb2.Settlement, agent: str) -> None:
@@ -63,7 +63,10 @@
         await self.wait_durable(durable, settlement, agent)
 
     async def wait_durable(
-        self, durable: asyncio.Future[Standing], settlement: ledger_pb2.Settlement, agent: str
+        self,
+        durable: asyncio.Future[SettlementStatus],
+        settlement: ledger_pb2.Settlement,
+        agent: str,
     ) -> None:
         """Wait until a bill is durable, for a bounded time.
 
@@ -72,11 +75,11 @@
         """
         done, _ = await asyncio.wait([durable], timeout=self._settle_wait_s)
         if not done:
-            await self._witnesses.give(settlement, agent)
+            await self._witnesses.distribute(settlement, agent)
 
-    async def billed_before(self, durable: asyncio.Future[Standing]) -> bool | None:
+    async def billed_before(self, durable: asyncio.Future[SettlementStatus]) -> bool | None:
         """Return whether another bill went before one just settled; None if unknown."""
         done, _ = await asyncio.wait([durable], timeout=self._settle_wait_s)
-        if not done or durable.result() is Standing.LEASE_CLOSED:
+        if not done or durable.result() is SettlementStatus.LEASE_CLOSED:
             return None
-        return durable.result() is Standing.BILLED_BEFORE
+        return durable.result() is SettlementStatus.BILLED_BEFORE
--- a/packages/heronladder-router/src/heronladder_router/errors.py
+++ b/packages/heronladder-router/src/heronladder_router/errors.py
@@ -4,7 +4,7 @@
 from heronladder_runtime.start_hint import RETRY_AT_START_S
 from heronladder_schema.v1 import ledger_pb2
 
-OUTCOME_WORDS = {
+OUTCOME_HEADER_VALUES = {
     ledger_pb2.OUTCOME_RAN: "ran",
     ledger_pb2.OUTCOME_NOT_RUN: "not-run",
     ledger_pb2.OUTCOME_UNKNOWN: "unknown",
@@ -26,7 +26,7 @@
     code = "internal_error"
     outcome: ledger_pb2.Outcome.ValueType = ledger_pb2.OUTCOME_NOT_RUN
     retry_after_s: float | None = None
-    by_configuration = False
+    depends_on_configuration = False
 
     def __init__(self, message: str, *, step: str, peer: str = "") -> None:
         super().__init__(message, step=step, peer=peer)
@@ -44,7 +44,7 @@
 
     status = 413
     code = "body_too_large"
-    by_configuration = True
+    depends_on_configuration = True
 
 
 class InvalidKeyError(CallerError):
@@ -52,7 +52,7 @@
 
     status = 401
     code = "invalid_api_key"
-    by_configuration = True
+    depends_on_configuration = True
 
 
 class ForbiddenServiceError(CallerError):
@@ -74,7 +74,7 @@
 
     status = 404
     code = "route_not_found"
-    by_configuration = True
+    depends_on_configuration = True
 
 
 class BudgetExhaustedError(CallerError):
@@ -97,7 +97,7 @@
 
     status = 402
     code = "prepaid_exhausted"
-    by_configuration = True
+    depends_on_configuration = True
 
 
 class PrepaidUnavailableError(CallerError):
--- a/packages/heronladder-router/src/heronladder_router/forwarding.py
+++ b/packages/heronladder-router/src/heronladder_router/forwarding.py
@@ -21,8 +21,8 @@
     OverloadedError,
     StaleError,
 )
+from heronladder_router.forwarding_context import ForwardingContext, ForwardingOptions
 from heronladder_router.leases import Reservation
-from heronladder_router.parts import ForwardingOptions, ForwardingParts
 from heronladder_router.replicas import Replica
 from heronladder_router.requests import CallerRequest
 from heronladder_router.retry_budget import RetryBudget
@@ -45,7 +45,7 @@
         parts: What it works with.
     """
 
-    def __init__(self, options: ForwardingOptions, parts: ForwardingParts) -> None:
+    def __init__(self, options: ForwardingOptions, parts: ForwardingContext) -> None:
         self._options = options
         self._parts = parts
         self._environment = parts.environment
@@ -98,7 +98,7 @@
             priority=spec.priority,
             tokens=request.tokens,
             limit=max(1, limit),
-            wait_s=min(self._options.admission_wait_s, self._parts.left_s(request)),
+            wait_s=min(self._options.admission_wait_s, self._parts.remaining_s(request)),
         )
 
     def _leave(self, request: CallerRequest, started_s: float) -> None:
@@ -107,7 +107,7 @@
         self._parts.admission.leave(request.service, held_s)
 
     async def _reserve(self, request: CallerRequest) -> Reservation:
-        wait_s = min(self._options.admission_wait_s, self._parts.left_s(request))
+        wait_s = min(self._options.admission_wait_s, self._parts.remaining_s(request))
         return await self._parts.leases.reserve(request.tenant_spec.budget, request.tokens, wait_s)
 
     async def _forward_admitted(self, request: CallerRequest) -> CallerAnswer:
@@ -167,7 +167,7 @@
 
     async def _find_replica(self, request: CallerRequest, tried: set[str]) -> Replica:
         """Return a replica to try, waiting a while when none is usable."""
-        wait_s = min(self._options.admission_wait_s, self._parts.left_s(request))
+        wait_s = min(self._options.admission_wait_s, self._parts.remaining_s(request))
         deadline_s = self._environment.monotonic() + wait_s
         while True:
             replica = self._parts.selector.choose(request, tried)
@@ -176,14 +176,14 @@
                 replica = self._parts.selector.choose(request, set())
             if replica is not None:
                 return replica
-            left_s = deadline_s - self._environment.monotonic()
-            if left_s <= 0:
+            remaining_s = deadline_s - self._environment.monotonic()
+            if remaining_s <= 0:
                 raise NoBackendError(
                     "no back end of the service can be reached",
                     step="find_replica",
                     peer=request.service,
                 )
-            await self._parts.directory.changed.wait(min(left_s, _REPLICA_POLL_S))
+            await self._parts.directory.changed.wait(min(remaining_s, _REPLICA_POLL_S))
 
     def _prepare(
         self, request: CallerRequest, reservation: Reservation, replica: Replica, number: int
@@ -192,18 +192,18 @@
             request_id=request.request_id,
             lease_id=reservation.lease_id,
             sequence=reservation.sequence,
-            reserved_prompt=request.prompt_bound,
-            reserved_completion=request.completion_bound,
+            reserved_prompt=request.prompt_token_limit,
+            reserved_completion=request.completion_token_limit,
             tenant=request.tenant,
             service=request.service,
             backend=replica.name,
             agent_incarnation=replica.incarnation,
             attempt=number,
             priority=request.tenant_spec.priority,
-            deadline_ms=int(self._parts.left_s(request) * MILLISECONDS_PER_SECOND),
+            deadline_ms=int(self._parts.remaining_s(request) * MILLISECONDS_PER_SECOND),
             stream=request.stream,
             include_usage=request.include_usage,
-            keep_answer=request.claimed,
+            keep_answer=request.needs_claim,
             method=request.method,
             path=request.path,
             content_type=request.content_type,
@@ -211,7 +211,7 @@
             router=self._options.router,
             router_incarnation=self._parts.link.record.incarnation,
         )
-        dispatch.settled.extend(self._parts.settler.acknowledged(replica.spec.agent))
+        dispatch.settled.extend(self._parts.settler.take_acknowledged(replica.spec.agent))
         attempt = Attempt(dispatch, reservation, replica.spec.agent_address, replica.spec.agent)
         attempt.earlier_billed = request.already_billed
         return attempt
@@ -228,13 +228,13 @@
             ClaimHeldError: If another attempt of the request holds the claim.
             CallerError: If the request ends without an answer.
         """
-        if request.claimed:
+        if request.needs_claim:
             claim = await self._parts.claims.take(request, attempt.dispatch, replica)
             attempt.claim = claim
             attempt.dispatch.attempt = claim.attempt
             attempt.dispatch.claim_revision = claim.revision
         directory = self._parts.directory
-        directory.sent(replica)
+        directory.record_attempt_sent(replica)
         self._parts.bookkeeper.attempts.open(
             attempt.reservation, attempt.agent, attempt.dispatch.agent_incarnation
         )
@@ -242,23 +242,23 @@
             answer = await self._parts.channel.dispatch(
                 attempt.address, attempt.dispatch, request.body
             )
-            directory.answered(replica, answer.head)
+            directory.record_response_head(replica, answer.head)
             if answer.refused:
                 await self._refused(attempt, answer)
             attempt.answer = answer
             return await self._take_answer(request, replica, attempt)
         except ChannelNotSentError as error:
-            directory.ended(replica)
-            directory.failed(replica, certain=True)
+            directory.record_attempt_ended(replica)
+            directory.record_failure(replica, certain=True)
             await self._free_claim(attempt)
             raise _TryAgain from error
         except ChannelLostError as error:
-            directory.ended(replica)
-            directory.failed(replica)
+            directory.record_attempt_ended(replica)
+            directory.record_failure(replica)
             await self._lost(request, attempt, error)
             raise _TryAgain from error
         except BaseException:
-            directory.ended(replica)
+            directory.record_attempt_ended(replica)
             raise
 
     async def _refused(self, attempt: Attempt, answer: AgentAnswer) -> None:
@@ -295,7 +295,7 @@
             await self._parts.claims.release(attempt.claim, agent_lost=True)
         except ControlUnavailableError as error:
             # The attempt may have run: only its agent can tell.
-            self._parts.await_outcome(attempt)
+            self._parts.defer_outcome(attempt)
             raise BackendLostError(error.message, step=error.step, peer=attempt.agent) from error
 
     async def _free_claim(self, attempt: Attempt) -> None:
@@ -317,7 +317,7 @@
             "agent_lost", step=error.step, peer=attempt.agent, request_id=request.request_id
         )
         if not request.repeatable:
-            self._parts.await_outcome(attempt)
+            self._parts.defer_outcome(attempt)
             raise OutcomeUnknownError(
                 "the back end was lost; ask for the outcome with the request's key",
                 step=error.step,
@@ -326,7 +326,7 @@
         if attempt.claim is not None:
             await self._release_lost(attempt)
         durable = attempt.settle_lost(self._parts.bookkeeper)
-        if self._parts.left_s(request) > 0 and self._retries.spend():
+        if self._parts.remaining_s(request) > 0 and self._retries.try_spend():
             # The agent may have billed the attempt already; then the next one is not.
             billed_before = await self._parts.bookkeeper.billed_before(durable)
             if billed_before is not None:
@@ -363,6 +363,6 @@
             why = end.error if end is not None else "the answer has no end"
             raise ChannelLostError(why, step="read_answer", peer=attempt.agent)
         await attempt.bill(self._parts.bookkeeper, end)
-        self._parts.directory.succeeded(replica)
-        self._parts.directory.ended(replica)
+        self._parts.directory.record_success(replica)
+        self._parts.directory.record_attempt_ended(replica)
         return CallerAnswer(request.request_id, answer.status, answer.content_type, body)
--- a/packages/heronladder-router/src/heronladder_router/parts.py
+++ b/packages/heronladder-router/src/heronladder_router/forwarding_context.py
@@ -19,10 +19,10 @@
 from heronladder_router.replicas import ReplicaDirectory
 from heronladder_router.requests import CallerRequest
 from heronladder_router.selection import ReplicaSelector
-from heronladder_router.settler import Settler
+from heronladder_router.settlement_sender import SettlementSender
 
-ATTACH_TRIES = 3
-ATTACH_PAUSE_S = 0.5
+ATTACH_ATTEMPTS = 3
+ATTACH_RETRY_DELAY_S = 0.5
 DONE_EVENT = b"data: [DONE]\n\n"
 
 
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class ForwardingParts:
+class ForwardingContext:
     """What forwarding works with."""
 
     link: ControlLink
@@ -49,7 +49,7 @@
     selector: ReplicaSelector
     admission: AdmissionQueue
     leases: LeaseManager
-    settler: Settler
+    settler: SettlementSender
     bookkeeper: Bookkeeper
     claims: ClaimClient
     outcome_queries: OutcomeQueries
@@ -57,11 +57,11 @@
     metrics: Metrics
     log: EventLog
 
-    def left_s(self, request: CallerRequest) -> float:
+    def remaining_s(self, request: CallerRequest) -> float:
         """Return the time left for a request's answer, in seconds."""
         return max(0.0, request.deadline_s - self.environment.monotonic())
 
-    def await_outcome(self, attempt: Attempt) -> None:
+    def defer_outcome(self, attempt: Attempt) -> None:
         """Leave an attempt whose outcome is unknown to outcome_queries, which settles it."""
         attempt.settled = True
         self.outcome_queries.add(
--- a/packages/heronladder-router/src/heronladder_router/gateway_server.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_server.py
@@ -12,7 +12,7 @@
 
 from heronladder_router.error_answer import OUTCOME_HEADER, error_document
 from heronladder_router.errors import (
-    OUTCOME_WORDS,
+    OUTCOME_HEADER_VALUES,
     BehindError,
     BodyTooLargeError,
     CallerError,
@@ -273,7 +273,7 @@
         That a route, a key or tokens are not there holds by the newest configuration
         only: said by one that may be older, it turns away what was just added.
         """
-        if not error.by_configuration or self._link.knows_newest:
+        if not error.depends_on_configuration or self._link.knows_newest:
             return error
         return UnconfirmedError(
             f"not known to be in force: {error.message}", step=error.step, peer=error.peer
@@ -302,7 +302,7 @@
             body=error_document(error.message, error.code),
             content_type="application/json",
         )
-        response.headers[OUTCOME_HEADER] = OUTCOME_WORDS[error.outcome]
+        response.headers[OUTCOME_HEADER] = OUTCOME_HEADER_VALUES[error.outcome]
         if request_id:
             response.headers[self._names.request_id] = request_id
         not_run = error.outcome == ledger_pb2.OUTCOME_NOT_RUN
--- a/packages/heronladder-router/src/heronladder_router/unread_prompt.py
+++ b/packages/heronladder-router/src/heronladder_router/pending_prefill.py
@@ -7,7 +7,7 @@
 from heronladder_router.replica_state import FleetReplica
 
 
-class UnreadPrompt:
+class PendingPrefill:
     """Takes a prompt off its replica's account once, when it has been read.
 
     Args:
@@ -41,13 +41,13 @@
         self._replicas.speeds.first_event(
             self._replica, FirstEvent(self._ahead, self._running - 1, took_ms)
         )
-        self.done()
+        self.release()
 
     def given_up(self, after_s: float) -> None:
         """Note that no event came in so long."""
         self._replicas.speeds.given_up(self._replica, after_s)
 
-    def done(self) -> None:
+    def release(self) -> None:
         """Note that the prompt is read, or will not be."""
         tokens, self._tokens = self._tokens, 0
         self._replicas.began(self._replica, tokens)
--- a/packages/heronladder-router/src/heronladder_router/platform_watch.py
+++ b/packages/heronladder-router/src/heronladder_router/platform_watch.py
@@ -47,7 +47,7 @@
                 try:
                     async with session.get(f"http://{self._address}/machines") as answer:
                         machines = await answer.json()
-                    self._directory.platform_says(
+                    self._directory.set_platform_leaving(
                         {str(machine["name"]) for machine in machines if machine.get("leaving")}
                     )
                 except (
--- a/packages/heronladder-router/src/heronladder_router/replica_attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_attempt.py
@@ -23,6 +23,7 @@
 from heronladder_router.gateway_names import GatewayNames
 from heronladder_router.gateway_request import AnswerSink, GatewayRequest, ReplicaAnswer
 from heronladder_router.hop_headers import passed_headers
+from heronladder_router.pending_prefill import PendingPrefill
 from heronladder_router.replica_client import (
     ReplicaClient,
     ReplicaLostError,
@@ -32,7 +33,6 @@
 from heronladder_router.replica_connector import HeadHeldBackError
 from heronladder_router.replica_state import FleetReplica
 from heronladder_router.rollouts.version_gates import AnswerSeen
-from heronladder_router.unread_prompt import UnreadPrompt
 
 _EVENT_STREAM = "text/event-stream"
 _PROMISES = frozenset({408, 429, 503})  # to a caller they say: not run, and never will be
@@ -105,7 +105,7 @@
         progress: AnswerProgress,
     ) -> None:
         unread = self._replicas.sent(replica, request.profile)
-        reading = UnreadPrompt(self._replicas, replica, unread, self._environment)
+        reading = PendingPrefill(self._replicas, replica, unread, self._environment)
         route = request.matched.route
         objective_s = route.objective_ms / MILLISECONDS_PER_SECOND
         seen = self._replicas.versions.sent(replica, route, objective_s, first=progress.sends == 1)
@@ -137,7 +137,7 @@
                 seen.given_up(self._environment.monotonic())
             raise
         finally:
-            reading.done()
+            reading.release()
             self._replicas.ended(replica)
             if response is not None:
                 response.close()  # a connection whose answer was whole is back in the pool
@@ -204,7 +204,7 @@
         response: aiohttp.ClientResponse,
         sink: AnswerSink,
         progress: AnswerProgress,
-        reading: UnreadPrompt,
+        reading: PendingPrefill,
         seen: AnswerSeen | None,
         sent_s: float,
     ) -> None:
@@ -259,7 +259,7 @@
         response: aiohttp.ClientResponse,
         sink: AnswerSink,
         progress: AnswerProgress,
-        reading: UnreadPrompt,
+        reading: PendingPrefill,
         seen: AnswerSeen | None,
     ) -> None:
         cutter = progress.cutter
--- a/packages/heronladder-router/src/heronladder_router/replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/replicas.py
@@ -126,7 +126,7 @@
         replica.reported_queued = 0
         replica.started_s = self._environment.monotonic()
 
-    def platform_says(self, leaving: set[str]) -> None:
+    def set_platform_leaving(self, leaving: set[str]) -> None:
         """Take in the platform's word: the agents whose machines are leaving."""
         self._platform_leaving = leaving
         for replica in self._replicas.values():
@@ -164,20 +164,20 @@
         """
         if size == 0 or len(replicas) <= size:
             return replicas
-        return sorted(replicas, key=lambda replica: hash_pair(router, replica.name))[-size:]
+        return sorted(replicas, key=lambda replica: rendezvous_hash(router, replica.name))[-size:]
 
     # ---- what attempts tell -----------------------------------------------
 
-    def sent(self, replica: Replica) -> None:
+    def record_attempt_sent(self, replica: Replica) -> None:
         """Note that an attempt goes to a replica."""
         replica.outstanding += 1
 
-    def ended(self, replica: Replica) -> None:
+    def record_attempt_ended(self, replica: Replica) -> None:
         """Note that an attempt at a replica is over."""
         replica.outstanding -= 1
         self.changed.give()
 
-    def answered(self, replica: Replica, head: agent_pb2.AnswerHead) -> None:
+    def record_response_head(self, replica: Replica, head: agent_pb2.AnswerHead) -> None:
         """Take in what an agent said of itself with its answer."""
         replica.reported_running = head.running
         replica.reported_queued = head.queued
@@ -185,12 +185,12 @@
             now = self._environment.monotonic()
             replica.leaving_until_s = now + _LEAVING_MEMORY_S
 
-    def succeeded(self, replica: Replica) -> None:
+    def record_success(self, replica: Replica) -> None:
         """Note a whole answer."""
         replica.failures = 0
         replica.ejections = 0
 
-    def failed(self, replica: Replica, *, certain: bool = False) -> None:
+    def record_failure(self, replica: Replica, *, certain: bool = False) -> None:
         """Note a failure; several in a row, or a certain one, eject the replica.
 
         Args:
@@ -208,6 +208,6 @@
         replica.started_s = replica.ejected_until_s
 
 
-def hash_pair(first: str, second: str) -> int:
+def rendezvous_hash(first: str, second: str) -> int:
     """Return a hash of two names that is the same in every process."""
     return int(xxhash.xxh3_64_intdigest(f"{first}\n{second}".encode()))
--- a/packages/heronladder-router/src/heronladder_router/intake.py
+++ b/packages/heronladder-router/src/heronladder_router/request_builder.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True)
-class RawCall:
+class RawRequest:
     """What a caller sent.
 
     Attributes:
@@ -43,7 +43,7 @@
     body: bytes
 
 
-class Intake:
+class RequestBuilder:
     """Makes requests of what callers send.
 
     Args:
@@ -110,7 +110,7 @@
         """
         return self._authenticate(authorization).metadata.name
 
-    def model_request(self, call: RawCall, request_id: str, *, chat: bool) -> CallerRequest:
+    def model_request(self, call: RawRequest, request_id: str, *, chat: bool) -> CallerRequest:
         """Return the request for a model.
 
         Raises:
@@ -124,21 +124,21 @@
                 f"there is no model {parsed.model!r}", step="intake", peer=parsed.model
             )
         spec = service.service
-        completion_bound = parsed.completion_bound or spec.default_max_tokens
+        completion_token_limit = parsed.completion_token_limit or spec.default_max_tokens
         request = self._request(call, request_id, tenant, service)
-        request.body = parsed.engine_body(completion_bound)
+        request.body = parsed.engine_body(completion_token_limit)
         request.path = CHAT_PATH if chat else COMPLETIONS_PATH
         request.content_type = "application/json"
         request.stream = parsed.stream
         request.include_usage = parsed.include_usage
         # A token stands for at least one byte, so that bytes bound tokens.
-        request.prompt_bound = parsed.prompt_bytes + spec.template_allowance
-        request.completion_bound = completion_bound
+        request.prompt_token_limit = parsed.prompt_bytes + spec.template_allowance
+        request.completion_token_limit = completion_token_limit
         request.prefix = parsed.prefix
         request.repeatable = True
         return request
 
-    def service_request(self, call: RawCall, request_id: str, name: str) -> CallerRequest:
+    def service_request(self, call: RawRequest, request_id: str, name: str) -> CallerRequest:
         """Return the request for a plain service.
 
         Raises:
@@ -152,14 +152,14 @@
                 f"there is no plain service {name!r}", step="intake", peer=name
             )
         request = self._request(call, request_id, tenant, service)
-        request.prompt_bound = service.service.call_tokens
+        request.prompt_token_limit = service.service.call_tokens
         request.repeatable = self._repeatable(service.service, call.method, call.path)
         request.prefix = call.path.encode()
         return request
 
     def _request(
         self,
-        call: RawCall,
+        call: RawRequest,
         request_id: str,
         tenant: resources_pb2.Resource,
         service: resources_pb2.Resource,
--- a/packages/heronladder-router/src/heronladder_router/requests.py
+++ b/packages/heronladder-router/src/heronladder_router/requests.py
@@ -49,8 +49,8 @@
     body: bytes
     stream: bool = False
     include_usage: bool = False
-    prompt_bound: int = 0
-    completion_bound: int = 0
+    prompt_token_limit: int = 0
+    completion_token_limit: int = 0
     prefix: bytes = b""
     key: str = ""
     repeatable: bool = True
@@ -65,10 +65,10 @@
     @property
     def tokens(self) -> int:
         """Most tokens it can cost."""
-        return self.prompt_bound + self.completion_bound
+        return self.prompt_token_limit + self.completion_token_limit
 
     @property
-    def claimed(self) -> bool:
+    def needs_claim(self) -> bool:
         """Whether it is claimed at control before it is dispatched."""
         return bool(self.key) or not self.repeatable
 
@@ -97,12 +97,12 @@
     stream: bool
     include_usage: bool
     prompt_bytes: int
-    completion_bound: int
+    completion_token_limit: int
     prefix: bytes
 
-    def engine_body(self, completion_bound: int) -> bytes:
+    def engine_body(self, completion_token_limit: int) -> bytes:
         """Return the body for the engine: capped, and with usage in its stream."""
-        document = {**self.document, "max_tokens": completion_bound}
+        document = {**self.document, "max_tokens": completion_token_limit}
         document.pop("max_completion_tokens", None)
         if self.stream:
             options = document.get("stream_options")
@@ -146,7 +146,7 @@
         stream=stream,
         include_usage=bool(options.get("include_usage", False)),
         prompt_bytes=len(prompt),
-        completion_bound=_completion_bound(document),
+        completion_token_limit=_completion_bound(document),
         prefix=prompt,
     )
 
--- a/packages/heronladder-router/src/heronladder_router/retry_budget.py
+++ b/packages/heronladder-router/src/heronladder_router/retry_budget.py
@@ -15,7 +15,7 @@
         """Count a request; ``percent`` is the share of retries, 0 for the default."""
         self._balance = min(_BURST, self._balance + (percent or _DEFAULT_PERCENT))
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one retry out of the budget; return whether there was one."""
         if self._balance < _ONE_RETRY:
             return False
--- a/packages/heronladder-router/src/heronladder_router/role.py
+++ b/packages/heronladder-router/src/heronladder_router/role.py
@@ -14,6 +14,7 @@
 
 from heronladder_router.admission import AdmissionQueue
 from heronladder_router.agent_channel import AgentChannel
+from heronladder_router.bill_copies import BillCopyDistributor
 from heronladder_router.bookkeeping import Bookkeeper
 from heronladder_router.caller_answer import CallerAnswer
 from heronladder_router.claims import ClaimClient
@@ -25,16 +26,15 @@
     UnknownServiceError,
 )
 from heronladder_router.forwarding import Forwarder
-from heronladder_router.intake import Intake
+from heronladder_router.forwarding_context import ForwardingContext, ForwardingOptions
 from heronladder_router.leases import LeaseManager
 from heronladder_router.outcome_queries import OutcomeQueries
-from heronladder_router.parts import ForwardingOptions, ForwardingParts
 from heronladder_router.platform_watch import PlatformWatch
 from heronladder_router.replicas import ReplicaDirectory
+from heronladder_router.request_builder import RequestBuilder
 from heronladder_router.requests import CallerRequest
 from heronladder_router.selection import ReplicaSelector
-from heronladder_router.settler import Settler
-from heronladder_router.witnesses import Witnesses
+from heronladder_router.settlement_sender import SettlementSender
 
 _STOP_POLL_S = 0.05
 _LAST_RETURN_S = 10.0
@@ -112,8 +112,8 @@
         self.confirmations = ConfirmationKeeper(self.link, self.attempts, self.log)
         handlers.daemon_notice = self._agent_notice
         handlers.recall = self.leases.recall
-        self.settler = Settler(self.link, options.settle_interval_s, self.log)
-        self.intake = Intake(
+        self.settler = SettlementSender(self.link, options.settle_interval_s, self.log)
+        self.intake = RequestBuilder(
             options.region, configuration, environment, options.request_timeout_s, self.ready
         )
         self.claims = ClaimClient(self.link, environment)
@@ -128,7 +128,7 @@
 
     def _make_forwarder(self) -> Forwarder:
         options = self.options
-        parts = ForwardingParts(
+        parts = ForwardingContext(
             link=self.link,
             channel=self._channel,
             directory=self.directory,
@@ -153,7 +153,7 @@
         return Forwarder(forwarding_options, parts)
 
     def _make_bookkeeper(self) -> Bookkeeper:
-        witnesses = Witnesses(self.link, self._channel, self.directory, self.options.zone)
+        witnesses = BillCopyDistributor(self.link, self._channel, self.directory, self.options.zone)
         return Bookkeeper(
             self.leases, self.settler, witnesses, self.attempts, self.options.settle_wait_s
         )
--- a/packages/heronladder-router/src/heronladder_router/server.py
+++ b/packages/heronladder-router/src/heronladder_router/server.py
@@ -15,18 +15,18 @@
 from heronladder_router.caller_answer import CallerAnswer
 from heronladder_router.error_answer import OUTCOME_HEADER, error_document
 from heronladder_router.errors import (
-    OUTCOME_WORDS,
+    OUTCOME_HEADER_VALUES,
     BodyTooLargeError,
     CallerError,
     DrainingError,
     InvalidRequestError,
     OverloadedError,
 )
-from heronladder_router.intake import (
+from heronladder_router.request_builder import (
     CHAT_PATH,
     COMPLETIONS_PATH,
-    Intake,
-    RawCall,
+    RawRequest,
+    RequestBuilder,
 )
 from heronladder_router.requests import CallerRequest
 from heronladder_router.service_levels import ServiceLevels
@@ -37,7 +37,7 @@
 _LONGEST_HEADER_BYTES = 8_190
 
 
-MakesRequest = Callable[[RawCall, str], CallerRequest]
+MakesRequest = Callable[[RawRequest, str], CallerRequest]
 
 
 class ForwardsRequests(Protocol):
@@ -69,7 +69,7 @@
     def __init__(
         self,
         router: ForwardsRequests,
-        intake: Intake,
+        intake: RequestBuilder,
         max_body_bytes: int,
         queue_limit: int,
         environment: Environment,
@@ -116,7 +116,7 @@
     async def _completions(self, request: web.Request) -> web.StreamResponse:
         return await self._serve(request, lambda call, name: self._model(call, name, False))
 
-    def _model(self, call: RawCall, request_id: str, chat: bool) -> CallerRequest:
+    def _model(self, call: RawRequest, request_id: str, chat: bool) -> CallerRequest:
         return self._intake.model_request(call, request_id, chat=chat)
 
     async def _service(self, request: web.Request) -> web.StreamResponse:
@@ -147,7 +147,7 @@
         finally:
             self._held -= 1
 
-    async def _read(self, request: web.Request) -> RawCall:
+    async def _read(self, request: web.Request) -> RawRequest:
         try:
             body = await asyncio.wait_for(request.read(), _BODY_TIMEOUT_S)
         except web.HTTPRequestEntityTooLarge:
@@ -161,7 +161,7 @@
         path = request.match_info.get("path", request.path)
         if request.query_string:
             path += "?" + request.query_string
-        return RawCall(
+        return RawRequest(
             authorization=request.headers.get("Authorization", ""),
             key=request.headers.get(KEY_HEADER, ""),
             method=request.method,
@@ -181,12 +181,12 @@
     ) -> web.StreamResponse:
         headers = {
             REQUEST_ID_HEADER: answer.request_id,
-            OUTCOME_HEADER: OUTCOME_WORDS[ledger_pb2.OUTCOME_RAN],
+            OUTCOME_HEADER: OUTCOME_HEADER_VALUES[ledger_pb2.OUTCOME_RAN],
         }
         try:
             if answer.chunks is None:
                 elapsed_s = self._environment.monotonic() - started_s
-                self.levels.whole_answer(caller_request, elapsed_s)
+                self.levels.record_complete_response(caller_request, elapsed_s)
                 headers["Content-Type"] = answer.content_type
                 return web.Response(status=answer.status, body=answer.body, headers=headers)
             response = web.StreamResponse(status=answer.status, headers=headers)
@@ -208,12 +208,12 @@
         watch = self.levels.stream(caller_request, started_s)
         try:
             async for chunk in answer.chunks:
-                watch.part(self._environment.monotonic())
+                watch.record_chunk(self._environment.monotonic())
                 await response.write(chunk)
         except (ConnectionResetError, ConnectionAbortedError):
             self._metrics.add("callers_gone", caller_request.service)
         finally:
-            watch.done()
+            watch.finish()
 
     def _error(self, request_id: str, error: CallerError) -> web.Response:
         self._metrics.add("refused", error.code)
@@ -227,7 +227,7 @@
         )
         headers = {
             REQUEST_ID_HEADER: request_id,
-            OUTCOME_HEADER: OUTCOME_WORDS[error.outcome],
+            OUTCOME_HEADER: OUTCOME_HEADER_VALUES[error.outcome],
             "Content-Type": "application/json",
         }
         if error.retry_after_s is not None:
@@ -256,7 +256,7 @@
             outcome = await self._router.outcome(tenant, request.match_info["key"])
         except CallerError as error:
             return self._error("", error)
-        word = OUTCOME_WORDS[outcome]
+        word = OUTCOME_HEADER_VALUES[outcome]
         document = json.dumps({"key": request.match_info["key"], "outcome": word})
         return web.Response(
             text=document, content_type="application/json", headers={OUTCOME_HEADER: word}
--- a/packages/heronladder-router/src/heronladder_router/service_levels.py
+++ b/packages/heronladder-router/src/heronladder_router/service_levels.py
@@ -11,7 +11,7 @@
 WHOLE_CALL = "whole_call"
 
 
-class StreamWatch:
+class StreamLatencyRecorder:
     """Watches the parts of one stream.
 
     Args:
@@ -30,7 +30,7 @@
         self._gaps = 0
         self._gaps_met = 0
 
-    def part(self, now_s: float) -> None:
+    def record_chunk(self, now_s: float) -> None:
         """Note that a part of the answer goes to the caller."""
         if not self._last_s:
             self._levels.first_token(self._request, now_s - self._started_s)
@@ -39,7 +39,7 @@
             self._gaps_met += now_s - self._last_s <= self._gap_limit_s
         self._last_s = now_s
 
-    def done(self) -> None:
+    def finish(self) -> None:
         """Note that the stream is over."""
         if self._gap_limit_s:
             self._levels.count(self._request, TOKEN_GAP, self._gaps, self._gaps_met)
@@ -68,7 +68,7 @@
         if limit_ms:
             self.count(request, FIRST_TOKEN, 1, int(seconds * MILLISECONDS_PER_SECOND <= limit_ms))
 
-    def whole_answer(self, request: CallerRequest, seconds: float) -> None:
+    def record_complete_response(self, request: CallerRequest, seconds: float) -> None:
         """Note the time to a whole answer."""
         self._metrics.observe("whole_answer", seconds, request.service)
         limit_ms = request.service_spec.call_objective_ms
@@ -76,6 +76,6 @@
         if limit_ms and plain:
             self.count(request, WHOLE_CALL, 1, int(seconds * MILLISECONDS_PER_SECOND <= limit_ms))
 
-    def stream(self, request: CallerRequest, started_s: float) -> StreamWatch:
+    def stream(self, request: CallerRequest, started_s: float) -> StreamLatencyRecorder:
         """Return a watch for one stream."""
-        return StreamWatch(self, request, started_s)
+        return StreamLatencyRecorder(self, request, started_s)
--- a/packages/heronladder-router/src/heronladder_router/settler.py
+++ b/packages/heronladder-router/src/heronladder_router/settlement_sender.py
@@ -15,7 +15,7 @@
 _ACKNOWLEDGED_KEPT = 1_000
 
 
-class Standing(Enum):
+class SettlementStatus(Enum):
     """How a settlement stands to others of its reservation."""
 
     FIRST = "first"
@@ -24,12 +24,14 @@
     LEASE_CLOSED = "lease closed"
 
 
-def _standing(result: control_pb2.CommandResult, position: int) -> Standing:
+def _standing(result: control_pb2.CommandResult, position: int) -> SettlementStatus:
     if position in result.billed_before:
-        return Standing.BILLED_BEFORE
+        return SettlementStatus.BILLED_BEFORE
     if position in result.lost_before:
-        return Standing.LOST_BEFORE
-    return Standing.LEASE_CLOSED if position in result.lease_closed else Standing.FIRST
+        return SettlementStatus.LOST_BEFORE
+    return (
+        SettlementStatus.LEASE_CLOSED if position in result.lease_closed else SettlementStatus.FIRST
+    )
 
 
 @dataclass
@@ -38,10 +40,10 @@
 
     settlement: ledger_pb2.Settlement
     agent: str
-    durable: asyncio.Future[Standing]
+    durable: asyncio.Future[SettlementStatus]
 
 
-class Settler:
+class SettlementSender:
     """Sends settlements until they are durable.
 
     Args:
@@ -68,20 +70,22 @@
         """End at once."""
         await self._tasks.stop()
 
-    def settle(self, settlement: ledger_pb2.Settlement, agent: str) -> asyncio.Future[Standing]:
+    def settle(
+        self, settlement: ledger_pb2.Settlement, agent: str
+    ) -> asyncio.Future[SettlementStatus]:
         """Send a settlement; the future is done once it is durable.
 
         Args:
             settlement: The bill.
             agent: Agent that holds a copy and may forget it then; "" for none.
         """
-        durable: asyncio.Future[Standing] = asyncio.get_running_loop().create_future()
+        durable: asyncio.Future[SettlementStatus] = asyncio.get_running_loop().create_future()
         self._waiting.append(_Waiting(settlement, agent, durable))
         self._unconfirmed += 1
         self._pulse.give()
         return durable
 
-    def acknowledged(self, agent: str) -> list[agent_pb2.SettledReservation]:
+    def take_acknowledged(self, agent: str) -> list[agent_pb2.SettledReservation]:
         """Return, once, the reservations whose bills an agent may forget."""
         return self._acknowledged.pop(agent, [])
 
--- a/packages/heronladder-router/src/heronladder_router/streaming.py
+++ b/packages/heronladder-router/src/heronladder_router/streaming.py
@@ -9,11 +9,11 @@
 from heronladder_router.attempt import Attempt
 from heronladder_router.caller_answer import CallerAnswer
 from heronladder_router.errors import BackendLostError, ChannelLostError, ChannelNotSentError
-from heronladder_router.parts import (
-    ATTACH_PAUSE_S,
-    ATTACH_TRIES,
+from heronladder_router.forwarding_context import (
+    ATTACH_ATTEMPTS,
+    ATTACH_RETRY_DELAY_S,
     DONE_EVENT,
-    ForwardingParts,
+    ForwardingContext,
     error_event,
 )
 from heronladder_router.replicas import Replica
@@ -28,7 +28,7 @@
         tasks: Runs what goes on after a caller went away.
     """
 
-    def __init__(self, parts: ForwardingParts, tasks: TaskGroupOwner) -> None:
+    def __init__(self, parts: ForwardingContext, tasks: TaskGroupOwner) -> None:
         self._parts = parts
         self._tasks = tasks
 
@@ -40,9 +40,9 @@
         caller_answer.chunks = self._pass(request, attempt, answer)
 
         async def finish() -> None:
-            self._parts.directory.ended(replica)
+            self._parts.directory.record_attempt_ended(replica)
             if attempt.settled:
-                self._parts.directory.succeeded(replica)
+                self._parts.directory.record_success(replica)
             else:
                 self._tasks.start("finish_abandoned", self._finish_abandoned(attempt))
 
@@ -84,22 +84,22 @@
         """Return the kept answer of a run whose stream was cut, from its start."""
         if not attempt.dispatch.keep_answer:
             return None
-        for _ in range(ATTACH_TRIES):
-            if self._parts.left_s(request) <= 0:
+        for _ in range(ATTACH_ATTEMPTS):
+            if self._parts.remaining_s(request) <= 0:
                 return None
             try:
                 answer = await self._parts.channel.dispatch(
                     attempt.address, attempt.question(), b""
                 )
             except (ChannelNotSentError, ChannelLostError):
-                await asyncio.sleep(ATTACH_PAUSE_S)
+                await asyncio.sleep(ATTACH_RETRY_DELAY_S)
                 continue
             return None if answer.refused else answer
         return None
 
     def _broken(self, request: CallerRequest, attempt: Attempt, why: str) -> bytes:
         if attempt.dispatch.keep_answer:
-            self._parts.await_outcome(attempt)
+            self._parts.defer_outcome(attempt)
         else:
             attempt.settle_lost(self._parts.bookkeeper)
         self._parts.metrics.add("streams_broken", request.service)
@@ -120,4 +120,4 @@
         if answer.end is not None:
             await attempt.bill(self._parts.bookkeeper, answer.end)
         else:
-            self._parts.await_outcome(attempt)
+            self._parts.defer_outcome(attempt)
--- a/packages/heronladder-tools/src/heronladder_tools/scale.py
+++ b/packages/heronladder-tools/src/heronladder_tools/scale.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from heronladder_router.leases import LeaseManager
-from heronladder_router.settler import Settler
+from heronladder_router.settlement_sender import SettlementSender
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.errors import HeronladderError
@@ -123,7 +123,7 @@
             record, addresses, self._stubs, options.heartbeat_s, LinkHandlers(), self._environment
         )
         self._leases = LeaseManager(self.link, self._environment, 10.0, self._log)
-        self._settler = Settler(self.link, _SETTLE_INTERVAL_S, self._log)
+        self._settler = SettlementSender(self.link, _SETTLE_INTERVAL_S, self._log)
         self._budgets = [
             f"budget-{(number * _BUDGETS_A_ROUTER + offset) % 64}"
             for offset in range(_BUDGETS_A_ROUTER)
--- a/packages/heronladder-tools/src/heronladder_tools/simulation/callers.py
+++ b/packages/heronladder-tools/src/heronladder_tools/simulation/callers.py
@@ -7,8 +7,8 @@
 from heronladder_emulator.network_errors import NetworkError
 from heronladder_emulator.pipe import Pipe
 from heronladder_router.caller_answer import CallerAnswer
-from heronladder_router.errors import OUTCOME_WORDS, CallerError
-from heronladder_router.intake import CHAT_PATH, RawCall
+from heronladder_router.errors import OUTCOME_HEADER_VALUES, CallerError
+from heronladder_router.request_builder import CHAT_PATH, RawRequest
 from heronladder_router.role import RouterRole
 
 from heronladder_tools.callers import (
@@ -86,7 +86,7 @@
         try:
             answer = await self._forward(role, call, request_id)
         except CallerError as error:
-            outcome = OUTCOME_WORDS[error.outcome]
+            outcome = OUTCOME_HEADER_VALUES[error.outcome]
             return CallerReply(error.status, outcome, request_id, error.code), None
         reply = CallerReply(answer.status, "ran", answer.request_id)
         if answer.chunks is None:
@@ -106,7 +106,7 @@
         path = call.path
         plain = path.startswith("/services/")
         name = path.split("/")[2] if plain else ""
-        raw = RawCall(
+        raw = RawRequest(
             authorization=f"Bearer {call.key}",
             key=call.idempotency_key,
             method="POST",
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -225,11 +225,11 @@
             replica = directory.get("b0")
             assert replica is not None
             for _ in range(3):
-                directory.failed(replica)
+                directory.record_failure(replica)
             self.assertEqual(len(directory.usable("s")), 3)
             await asyncio.sleep(3.1)
             self.assertEqual(len(directory.usable("s")), 4)
-            directory.failed(replica, certain=True)
+            directory.record_failure(replica, certain=True)
             self.assertEqual(len(directory.usable("s")), 3)
             directory.notice(control_pb2.DaemonNotice(name="a0", incarnation="i2"))
             self.assertEqual(len(directory.usable("s")), 4)
@@ -284,7 +284,7 @@
     def test_the_engine_gets_the_bound_and_is_asked_for_usage(self) -> None:
         body = {"model": "m", "prompt": "é", "stream": True, "max_completion_tokens": 9}
         call = parse_model_call(json.dumps(body).encode(), chat=False)
-        self.assertEqual((call.prompt_bytes, call.completion_bound), (2, 9))
+        self.assertEqual((call.prompt_bytes, call.completion_token_limit), (2, 9))
         sent = json.loads(call.engine_body(9))
         self.assertEqual(sent["max_tokens"], 9)
         self.assertTrue(sent["stream_options"]["include_usage"])
@@ -292,12 +292,12 @@
 
     def test_retries_are_a_share_of_requests(self) -> None:
         budget = RetryBudget()
-        while budget.spend():
+        while budget.try_spend():
             pass
         for _ in range(100):
             budget.request(20)
-        allowed = sum(budget.spend() for _ in range(100))
+        allowed = sum(budget.try_spend() for _ in range(100))
         self.assertLessEqual(allowed, 10)
         for _ in range(10):
             budget.request(20)
-        self.assertEqual(sum(budget.spend() for _ in range(10)), 2)
+        self.assertEqual(sum(budget.try_spend() for _ in range(10)), 2)
