--- a/packages/heronladder-router/src/heronladder_router/errors.py
+++ b/packages/heronladder-router/src/heronladder_router/errors.py
@@ -1,4 +1,8 @@
-"""Errors of a router; each knows how it is told to the caller."""
+"""Errors that routers and gateways return to callers.
+
+Each error class carries its HTTP status, its stable error code, the outcome of the request and
+the retry-after time, so that the HTTP servers can build a response from any of them.
+"""
 
 from heronladder_runtime.errors import HeronladderError
 from heronladder_runtime.start_hint import RETRY_AT_START_S
@@ -12,14 +16,16 @@
 
 
 class CallerError(HeronladderError):
-    """A request ends without an answer.
+    """A request failed, and the caller gets an error instead of a response.
 
     Attributes:
-        status: HTTP status.
-        code: Stable code of the error, for programs.
+        status: HTTP status of the response.
+        code: Stable, machine-readable error code.
         outcome: Whether the request ran.
-        retry_after_s: When the caller may come back, in seconds; None: it need not.
-        by_configuration: Whether it holds only by the newest configuration.
+        retry_after_s: Time after which the caller may retry, in seconds; None if a retry is
+            pointless.
+        depends_on_configuration: Whether the error is only valid for the newest configuration, so
+            that a gateway with an older one must not return it.
     """
 
     status = 500
@@ -40,7 +46,7 @@
 
 
 class BodyTooLargeError(CallerError):
-    """The body is over the limit."""
+    """The request body exceeds the size limit."""
 
     status = 413
     code = "body_too_large"
@@ -48,7 +54,7 @@
 
 
 class InvalidKeyError(CallerError):
-    """The tenant's key is missing or unknown."""
+    """The tenant's API key is missing or unknown."""
 
     status = 401
     code = "invalid_api_key"
@@ -56,21 +62,21 @@
 
 
 class ForbiddenServiceError(CallerError):
-    """The tenant may not call this service."""
+    """The tenant is not allowed to call this service."""
 
     status = 403
     code = "service_not_allowed"
 
 
 class UnknownServiceError(CallerError):
-    """There is no such model or service."""
+    """The requested model or service does not exist."""
 
     status = 404
     code = "model_not_found"
 
 
 class UnknownRouteError(CallerError):
-    """No route leads to this host and path."""
+    """No route matches the host and path of the request."""
 
     status = 404
     code = "route_not_found"
@@ -78,14 +84,14 @@
 
 
 class BudgetExhaustedError(CallerError):
-    """The prepaid budget has too few tokens left for this request."""
+    """The tenant's prepaid budget has too few tokens left for this request."""
 
     status = 429
     code = "budget_exhausted"
 
 
 class BudgetUnavailableError(CallerError):
-    """The budget's tokens could not be got hold of in time."""
+    """No tokens of the budget could be leased in time."""
 
     status = 503
     code = "budget_unavailable"
@@ -93,7 +99,7 @@
 
 
 class PrepaidExhaustedError(CallerError):
-    """What is left of the tenant's prepaid tokens cannot hold the request."""
+    """The tenant has fewer prepaid tokens left than the request may use."""
 
     status = 402
     code = "prepaid_exhausted"
@@ -101,13 +107,13 @@
 
 
 class PrepaidUnavailableError(CallerError):
-    """Prepaid tokens may be left, but none could be got hold of in time.
+    """Prepaid tokens may be left, but this gateway could not obtain any in time.
 
     Args:
-        message: Why there were none.
-        step: What was being done.
-        peer: The tenant.
-        retry_after_s: When they are likely to be had, in seconds.
+        message: Reason why no tokens were available.
+        step: Operation that failed.
+        peer: Name of the tenant.
+        retry_after_s: Time until tokens are likely to be available, in seconds.
     """
 
     status = 503
@@ -119,7 +125,7 @@
 
 
 class NotReadyError(CallerError):
-    """This gateway knows no configuration yet that control has confirmed."""
+    """This gateway has not received a configuration confirmed by control yet."""
 
     status = 503
     code = "not_ready"
@@ -127,23 +133,23 @@
 
 
 class BehindError(CallerError):
-    """This gateway knows that something newer than it holds is in force; others serve."""
+    """A newer configuration than this gateway's is in force; other gateways can serve."""
 
     status = 503
     code = "configuration_behind"
-    retry_after_s = 0.2  # an update of many routes takes so long at 5 Mbit/s
+    retry_after_s = 0.2  # an update of many routes takes 0.2 s at 5 Mbit/s
 
 
 class UnconfirmedError(CallerError):
-    """What this gateway holds does not allow the request; what is in force may."""
+    """This gateway's configuration rejects the request, but a newer one may accept it."""
 
     status = 503
     code = "configuration_unconfirmed"
-    retry_after_s = 0.2  # callers come back to another gateway, which may know more
+    retry_after_s = 0.2  # a retry reaches another gateway, which may be up to date
 
 
 class StoppingError(CallerError):
-    """This gateway is about to end; others serve."""
+    """This gateway is shutting down; other gateways can serve."""
 
     status = 503
     code = "stopping"
@@ -151,7 +157,7 @@
 
 
 class RejectedEverywhereError(CallerError):
-    """No replica took the request; it has not run and will not."""
+    """No replica accepted the request; it has not run and will not run."""
 
     status = 503
     code = "no_replica"
@@ -159,13 +165,13 @@
 
 
 class PlacesTakenError(CallerError):
-    """All places of a plain service are taken for longer than the request has; it was not sent.
+    """No slot of a plain service becomes free within the time budget; the request was not sent.
 
     Args:
-        message: When a place is expected.
-        step: What was being done.
-        peer: The service.
-        retry_after_s: When a place is expected for this caller, in seconds.
+        message: Says when a slot is expected.
+        step: Operation that failed.
+        peer: Name of the service.
+        retry_after_s: Time until a slot is expected for this caller, in seconds.
     """
 
     status = 503
@@ -177,7 +183,7 @@
 
 
 class AnswerLostError(CallerError):
-    """A replica may have run the request, and its answer was lost or broken."""
+    """A replica may have run the request, but its response was lost or truncated."""
 
     status = 502
     code = "answer_lost"
@@ -185,18 +191,19 @@
 
 
 class CrashesReplicasError(CallerError):
-    """Replicas crashed under this request before: it is sent to none, and need not come again.
+    """Replicas crashed while running this request, so it is not sent to any more of them.
 
-    The status is not one after which clients' libraries commonly send a request again.
+    The caller should not retry. Client libraries commonly retry after certain status codes, and
+    this one is not among them.
     """
 
     status = 501
     code = "request_crashes_replicas"
-    outcome = ledger_pb2.OUTCOME_UNKNOWN  # not sent this time, but replicas began to run it before
+    outcome = ledger_pb2.OUTCOME_UNKNOWN  # not sent this time, but replicas had started to run it
 
 
 class TimeLimitError(CallerError):
-    """The time for the request ran out while a replica may have been at work."""
+    """The request's time budget ran out while a replica may have been running it."""
 
     status = 504
     code = "time_limit"
@@ -204,7 +211,7 @@
 
 
 class OverloadedError(CallerError):
-    """No back end would answer in time."""
+    """No backend can respond within the time limit."""
 
     status = 503
     code = "overloaded"
@@ -212,7 +219,7 @@
 
 
 class NoBackendError(CallerError):
-    """No back end of the service can be reached."""
+    """No backend of the service can be reached."""
 
     status = 503
     code = "no_backend"
@@ -220,23 +227,23 @@
 
 
 class EvacuatedError(CallerError):
-    """All replicas that could serve the request are in zones that are evacuated."""
+    """All replicas that could serve the request are in evacuated zones."""
 
     status = 503
     code = "service_evacuated"
-    retry_after_s = 2  # an evacuation lasts for seconds at least
+    retry_after_s = 2  # an evacuation lasts at least several seconds
 
 
 class VersionNotAdmittedError(CallerError):
-    """No replica is of a version that may be sent to."""
+    """No replica runs a version that is admitted by the rollout."""
 
     status = 503
     code = "version_not_admitted"
-    retry_after_s = 1  # a roll-out goes on or back within moments
+    retry_after_s = 1  # a rollout advances or is rolled back within about a second
 
 
 class RegionUnservedError(CallerError):
-    """No replica is in a region in which the request may be served."""
+    """No replica is in a region that may serve the request."""
 
     status = 503
     code = "region_unserved"
@@ -244,31 +251,31 @@
 
 
 class ReplicasColdError(CallerError):
-    """All replicas are cold, and this gateway's share of what they bear is used up."""
+    """All replicas are cold, and this gateway has used its share of their cold capacity."""
 
     status = 503
     code = "replicas_cold"
-    retry_after_s = 1  # a share is counted over a second
+    retry_after_s = 1  # shares are counted over intervals of one second
 
 
 class ReplicasLimitedError(CallerError):
-    """All replicas are rate-limited, and this gateway's part of what they take is used up."""
+    """All replicas are rate-limited, and this gateway has used its share of their rate."""
 
     status = 503
     code = "replicas_limited"
-    retry_after_s = 1  # where nothing better is known
+    retry_after_s = 1  # used when no better estimate is known
 
 
 class ReplicasBackingOffError(CallerError):
-    """All replicas that are left turned requests away and asked for back-off."""
+    """All remaining replicas have rejected requests and asked for back-off."""
 
     status = 503
     code = "replicas_backing_off"
-    retry_after_s = 1  # where none of them is known any more
+    retry_after_s = 1  # used when none of these replicas is known any more
 
 
 class ReplicasLeavingError(CallerError):
-    """All replicas of the service said that they leave, and no other is known yet."""
+    """All replicas of the service are leaving, and no other replica is known yet."""
 
     status = 503
     code = "replicas_leaving"
@@ -276,7 +283,7 @@
 
 
 class StaleError(CallerError):
-    """This router cannot confirm its configuration; another one may."""
+    """This router cannot confirm that its configuration is current; another router may."""
 
     status = 503
     code = "configuration_stale"
@@ -284,7 +291,7 @@
 
 
 class DrainingError(CallerError):
-    """This router is stopping; another one serves."""
+    """This router is shutting down; another router can serve."""
 
     status = 503
     code = "router_stopping"
@@ -292,7 +299,7 @@
 
 
 class ControlUnavailableError(CallerError):
-    """A claim could not be confirmed by control; nothing was dispatched."""
+    """Control did not confirm the claim of the request; nothing was dispatched."""
 
     status = 503
     code = "control_unavailable"
@@ -300,14 +307,14 @@
 
 
 class KeyConflictError(CallerError):
-    """The idempotency key was used before with another body."""
+    """The idempotency key was already used with a different request body."""
 
     status = 422
     code = "idempotency_key_conflict"
 
 
 class BackendLostError(CallerError):
-    """The back end was lost before its answer was whole; the request may be sent again."""
+    """The backend was lost before its response was complete; the caller may retry."""
 
     status = 502
     code = "backend_lost"
@@ -316,7 +323,7 @@
 
 
 class OutcomeUnknownError(CallerError):
-    """It is not known whether the request ran; ask for its outcome later."""
+    """It is not known whether the request ran; the caller can query its outcome later."""
 
     status = 504
     code = "outcome_unknown"
@@ -325,7 +332,7 @@
 
 
 class AlreadyRanError(CallerError):
-    """The request ran before, and its answer is not kept any more."""
+    """The request ran before, but its response is no longer stored."""
 
     status = 409
     code = "already_ran"
@@ -333,8 +340,8 @@
 
 
 class ChannelNotSentError(HeronladderError):
-    """Nothing reached the agent."""
+    """The connection to the agent failed before anything was sent."""
 
 
 class ChannelLostError(HeronladderError):
-    """The agent was lost after something may have reached it."""
+    """The connection to the agent was lost after it may have received the request."""
--- a/packages/heronladder-router/src/heronladder_router/platform_watch.py
+++ b/packages/heronladder-router/src/heronladder_router/platform_watch.py
@@ -1,7 +1,8 @@
-"""The platform's list of live and leaving machines, which lags.
+"""Polls the platform's list of machines for those that are about to leave.
 
-The list is one of three words on a replica's leaving; the agent's own word and
-failed calls are the others. Whichever is strictest counts.
+The list is one of three signals that a replica is leaving; the others are the agent's own report
+and failed calls. The list lags behind, so a replica is unusable as soon as any of the three says
+so.
 """
 
 import asyncio
@@ -12,18 +13,18 @@
 
 from heronladder_router.replicas import ReplicaDirectory
 
-_POLL_S = 1.0
-_TIMEOUT_S = 2.0
+_POLL_INTERVAL_S = 1.0
+_REQUEST_TIMEOUT_S = 2.0
 
 
 class PlatformWatch:
-    """Reads the platform's list and tells the directory which agents leave.
+    """Polls the platform's list and updates which agents are leaving in the directory.
 
     Args:
-        address: IP:port of the platform; serves ``GET /machines``, a list of
-            objects with ``name`` (of the agent) and ``leaving``.
-        directory: All replicas.
-        log: Where events are reported.
+        address: IP:port of the platform, which serves ``GET /machines``: a list of objects with
+            ``name`` (of the agent) and ``leaving``.
+        directory: Directory of replicas to update.
+        log: Receives log events.
     """
 
     def __init__(self, address: str, directory: ReplicaDirectory, log: EventLog) -> None:
@@ -33,20 +34,20 @@
         self._tasks = TaskGroupOwner(log)
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start polling."""
         self._tasks.start("platform_watch", self._run())
 
     async def stop(self) -> None:
-        """End."""
+        """Stop polling."""
         await self._tasks.stop()
 
     async def _run(self) -> None:
-        timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
+        timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 try:
-                    async with session.get(f"http://{self._address}/machines") as answer:
-                        machines = await answer.json()
+                    async with session.get(f"http://{self._address}/machines") as response:
+                        machines = await response.json()
                     self._directory.set_platform_leaving(
                         {str(machine["name"]) for machine in machines if machine.get("leaving")}
                     )
@@ -59,6 +60,6 @@
                     TypeError,
                     AttributeError,
                 ) as error:
-                    # An unreadable list says nothing; what it said before stands.
+                    # An unreadable list is no news: the last list read stays in effect.
                     self._log.debug("platform_unreadable", step="machines", error=repr(error))
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
--- a/packages/heronladder-router/src/heronladder_router/retry_budget.py
+++ b/packages/heronladder-router/src/heronladder_router/retry_budget.py
@@ -1,23 +1,30 @@
-"""A bound on retries: a share of the requests, so that retries cannot pile up."""
+"""Retry budget: limits retries to a percentage of requests.
+
+Without a limit, retries during an outage would multiply the load on the remaining replicas.
+"""
 
 _DEFAULT_PERCENT = 20
-_ONE_RETRY = 100  # hundredths of a retry; whole numbers add up exactly
-_BURST = 10 * _ONE_RETRY
+_RETRY_COST = 100  # in hundredths of a retry; integers avoid rounding errors
+_MAX_BALANCE = 10 * _RETRY_COST
 
 
 class RetryBudget:
-    """Counts what may still be retried: each request adds a part of a retry."""
+    """Tracks how many retries are allowed: each request adds a fraction of a retry."""
 
     def __init__(self) -> None:
-        self._balance = _BURST
+        self._balance = _MAX_BALANCE
 
     def request(self, percent: int) -> None:
-        """Count a request; ``percent`` is the share of retries, 0 for the default."""
-        self._balance = min(_BURST, self._balance + (percent or _DEFAULT_PERCENT))
+        """Add the retry allowance of one request.
+
+        Args:
+            percent: Allowed retries per 100 requests; 0 for the default.
+        """
+        self._balance = min(_MAX_BALANCE, self._balance + (percent or _DEFAULT_PERCENT))
 
     def try_spend(self) -> bool:
-        """Take one retry out of the budget; return whether there was one."""
-        if self._balance < _ONE_RETRY:
+        """Consume one retry; return False if the budget is exhausted."""
+        if self._balance < _RETRY_COST:
             return False
-        self._balance -= _ONE_RETRY
+        self._balance -= _RETRY_COST
         return True
--- a/packages/heronladder-router/src/heronladder_router/selection.py
+++ b/packages/heronladder-router/src/heronladder_router/selection.py
@@ -1,4 +1,8 @@
-"""Which replica an attempt goes to: policy, subset, zone, balancer."""
+"""Selection of the replica for an attempt.
+
+The usable replicas are reduced to the router's subset, then to its own zone if its load permits,
+and the balancer of the routing policy picks one of the rest.
+"""
 
 from dataclasses import dataclass, field
 
@@ -15,21 +19,21 @@
 
 @dataclass
 class _PolicyBalancer:
-    """A balancer and the policy it was made for."""
+    """A balancer and the policy values that it was created with."""
 
     key: tuple[str, int]
     balancer: Balancer = field(repr=False)
 
 
 class ReplicaSelector:
-    """Chooses replicas as the services' routing policies say.
+    """Chooses replicas according to the services' routing policies.
 
     Args:
         router: Name of the router.
-        zone: Its zone.
+        zone: Zone of the router.
         configuration: The router's configuration.
-        directory: All replicas.
-        environment: Time and randomness.
+        directory: Directory of all replicas.
+        environment: Clock and random numbers.
     """
 
     def __init__(
@@ -48,7 +52,7 @@
         self._balancers: dict[str, _PolicyBalancer] = {}
 
     def policy(self, service: resources_pb2.Service) -> resources_pb2.RoutingPolicy:
-        """Return the routing policy of a service, or the defaults."""
+        """Return the routing policy of a service, or the default policy if it has none."""
         found = self._configuration.policy(service.routing_policy)
         return found if found is not None else resources_pb2.RoutingPolicy()
 
@@ -56,8 +60,8 @@
         """Return a replica for an attempt, or None when none is usable.
 
         Args:
-            request: The request.
-            tried: Names of replicas not to be tried again.
+            request: Request to be sent.
+            tried: Names of replicas that must not be tried again.
         """
         usable = [
             replica
@@ -76,16 +80,16 @@
     def _prefer_zone(
         self, replicas: list[Replica], policy: resources_pb2.RoutingPolicy
     ) -> list[Replica]:
-        """Return the replicas of the own zone, or all once those are loaded."""
+        """Return the replicas in the router's zone, or all if the local mean load is too high."""
         if policy.spill_percent == 0:
             return replicas
         local = [replica for replica in replicas if replica.spec.zone == self._zone]
         if not local:
             return replicas
         now = self._environment.monotonic()
-        limit = policy.spill_percent / _PERCENT
-        mean = sum(replica.load(now) for replica in local) / len(local)
-        return local if mean < limit else replicas
+        max_load = policy.spill_percent / _PERCENT
+        mean_load = sum(replica.load(now) for replica in local) / len(local)
+        return local if mean_load < max_load else replicas
 
     def _balancer(self, service: str, policy: resources_pb2.RoutingPolicy) -> Balancer:
         key = (policy.balancer, policy.load_bound_percent)
--- a/packages/heronladder-router/src/heronladder_router/tenants.py
+++ b/packages/heronladder-router/src/heronladder_router/tenants.py
@@ -1,4 +1,4 @@
-"""Who calls: tenants by the hash of their key."""
+"""Authentication of tenants by the hash of their API key."""
 
 import hashlib
 import hmac
@@ -12,10 +12,10 @@
 
 
 class TenantDirectory:
-    """Finds the tenant of a key.
+    """Looks up tenants by API key.
 
     Args:
-        configuration: The router's configuration.
+        configuration: The router's configuration; holds the tenants.
     """
 
     def __init__(self, configuration: ConfigurationStore) -> None:
@@ -31,24 +31,24 @@
         }
 
     def authenticate(self, authorization: str) -> resources_pb2.Resource:
-        """Return the tenant of an Authorization header.
+        """Return the tenant that an Authorization header identifies.
 
         Raises:
-            InvalidKeyError: If there is no key, or no tenant has it.
+            InvalidKeyError: If the header has no key, or no tenant has this key.
         """
         if not authorization.startswith(_SCHEME):
             raise InvalidKeyError(
-                "send the tenant's key as 'Authorization: Bearer KEY'", step="authenticate"
+                "send the tenant's API key as 'Authorization: Bearer KEY'", step="authenticate"
             )
         key = authorization.removeprefix(_SCHEME).strip()
         key_hash = hashlib.sha256(key.encode()).hexdigest()
-        found = self._by_hash.get(key_hash)
-        # The table is searched by a hash of the key, whose timing tells nothing
-        # of the key; the last comparison takes constant time besides.
-        known = next(iter(found.tenant.key_sha256), "") if found is not None else ""
-        for candidate in found.tenant.key_sha256 if found is not None else ():
+        tenant = self._by_hash.get(key_hash)
+        # The table is indexed by the hash of the key, so lookup timing reveals nothing about the
+        # key. The final comparison also takes constant time.
+        known = next(iter(tenant.tenant.key_sha256), "") if tenant is not None else ""
+        for candidate in tenant.tenant.key_sha256 if tenant is not None else ():
             if hmac.compare_digest(candidate, key_hash):
                 known = candidate
-        if found is None or not hmac.compare_digest(known, key_hash):
-            raise InvalidKeyError("the key is not known", step="authenticate")
-        return found
+        if tenant is None or not hmac.compare_digest(known, key_hash):
+            raise InvalidKeyError("the API key is unknown", step="authenticate")
+        return tenant
