--- a/packages/heronladder-router/src/heronladder_router/bill_copies.py
+++ b/packages/heronladder-router/src/heronladder_router/bill_copies.py
@@ -1,8 +1,8 @@
-"""Witnesses: agents that hold copies of bills while control cannot be reached.
+"""Copies of bills at agents while control cannot be reached.
 
-Router and agent both hold a bill until it is durable. When control is away for
-long, both may be lost before it is back; so two agents in other zones hold it
-as well. Copies fall on the ledger's watermark.
+The router and the agent that ran the request both hold a bill until it is durable. When control
+is unreachable for long, both may be lost before it is back, so two agents in other zones hold a
+copy as well. The ledger's watermark removes copies of bills that became durable.
 """
 
 import asyncio
@@ -13,17 +13,17 @@
 from heronladder_router.agent_channel import AgentChannel
 from heronladder_router.replicas import Replica, ReplicaDirectory
 
-_COPIES = 2
+_COPY_COUNT = 2
 
 
 class BillCopyDistributor:
-    """Gives copies of bills to agents.
+    """Distributes copies of bills to agents.
 
     Args:
-        link: The router's link to control; knows its incarnation.
-        channel: Reaches agents.
-        directory: All replicas.
-        zone: The router's zone; other zones are preferred.
+        link: The router's link to control; knows the router's incarnation.
+        channel: Connection to the agents.
+        directory: Directory of all replicas.
+        zone: Zone of the router; agents in other zones are preferred.
     """
 
     def __init__(
@@ -35,28 +35,34 @@
         self._zone = zone
 
     async def distribute(self, settlement: ledger_pb2.Settlement, agent: str) -> None:
-        """Give copies of a bill to agents other than ``agent``, which holds it already."""
+        """Send copies of a bill to up to two agents.
+
+        Args:
+            settlement: The bill.
+            agent: Agent that already holds the bill; it gets no copy.
+        """
         bill = agent_pb2.HeldBill(
             settlement=settlement,
             router=self._link.record.name,
             router_incarnation=self._link.record.incarnation,
         )
-        given = 0
+        held_copies = 0
         for group in self._candidate_groups(settlement, agent):
-            wanted = group[: _COPIES - given]
-            if not wanted:
+            targets = group[: _COPY_COUNT - held_copies]
+            if not targets:
                 return
-            held = await asyncio.gather(
-                *(self._channel.hold(replica.spec.agent_address, bill) for replica in wanted)
+            results = await asyncio.gather(
+                *(self._channel.hold(replica.spec.agent_address, bill) for replica in targets)
             )
-            given += sum(held)
+            held_copies += sum(results)
 
     def _candidate_groups(
         self, settlement: ledger_pb2.Settlement, agent: str
     ) -> list[list[Replica]]:
-        """Return agents to ask, a group at a time: other zones, the own one, others again.
+        """Return candidates by preference, grouped: other zones, own zone, then the rest of both.
 
-        A zone that is cut off can only be helped by its own agents.
+        Agents in the own zone are candidates too, because while the zone is partitioned no other
+        agents can be reached.
         """
         usable = [
             replica for replica in self._directory.all_usable() if replica.spec.agent != agent
@@ -64,7 +70,7 @@
         if not usable:
             return []
         start = settlement.sequence % len(usable)
-        turned = usable[start:] + usable[:start]
-        own = [replica for replica in turned if replica.spec.zone == self._zone]
-        others = [replica for replica in turned if replica.spec.zone != self._zone]
-        return [others[:_COPIES], own[:_COPIES], others[_COPIES:], own[_COPIES:]]
+        rotated = usable[start:] + usable[:start]
+        own = [replica for replica in rotated if replica.spec.zone == self._zone]
+        others = [replica for replica in rotated if replica.spec.zone != self._zone]
+        return [others[:_COPY_COUNT], own[:_COPY_COUNT], others[_COPY_COUNT:], own[_COPY_COUNT:]]
--- a/packages/heronladder-router/src/heronladder_router/forwarding_context.py
+++ b/packages/heronladder-router/src/heronladder_router/forwarding_context.py
@@ -1,4 +1,4 @@
-"""What forwarding works with, and what its parts share."""
+"""Settings and components shared by the modules that forward requests to agents."""
 
 import json
 from dataclasses import dataclass
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True)
 class ForwardingOptions:
-    """Settings of forwarding.
+    """Settings for forwarding requests.
 
     Attributes:
         router: Name of the router.
-        admission_wait_s: Longest wait for budget or a free back end, in seconds.
+        admission_wait_s: Maximum wait for budget tokens or a free backend, in seconds.
     """
 
     router: str
@@ -41,7 +41,7 @@
 
 @dataclass
 class ForwardingContext:
-    """What forwarding works with."""
+    """Components that forwarding uses."""
 
     link: ControlLink
     channel: AgentChannel
@@ -58,11 +58,11 @@
     log: EventLog
 
     def remaining_s(self, request: CallerRequest) -> float:
-        """Return the time left for a request's answer, in seconds."""
+        """Return the time left until the request's deadline, in seconds; at least 0."""
         return max(0.0, request.deadline_s - self.environment.monotonic())
 
     def defer_outcome(self, attempt: Attempt) -> None:
-        """Leave an attempt whose outcome is unknown to outcome_queries, which settles it."""
+        """Hand an attempt with unknown outcome over to ``outcome_queries``, which settles it."""
         attempt.settled = True
         self.outcome_queries.add(
             UnresolvedAttempt(
@@ -76,6 +76,6 @@
 
 
 def error_event(error: CallerError) -> bytes:
-    """Return the event that tells the reader of a stream that it broke."""
+    """Return the server-sent event that reports an error to the reader of a stream."""
     document = {"error": {"message": error.message, "type": error.code, "code": error.code}}
     return b"data: " + json.dumps(document).encode() + b"\n\n"
--- a/packages/heronladder-router/src/heronladder_router/leases.py
+++ b/packages/heronladder-router/src/heronladder_router/leases.py
@@ -1,7 +1,7 @@
-"""The router's leases: tokens of budgets that it may spend without asking.
+"""The router's leases: budget tokens that it may spend without a call to control.
 
-A lease is a quantity, not a time: what the router holds is charged to the
-budget already, so spending it needs no clock and no contact with control.
+A lease is an amount of tokens and has no expiry time. The tokens that the router holds are already
+charged to the budget, so spending them needs no clock and no connection to control.
 """
 
 import asyncio
@@ -19,21 +19,21 @@
 from heronladder_router.errors import BudgetExhaustedError, BudgetUnavailableError
 
 _CALL_TIMEOUT_S = 5.0
-_RETRY_PAUSE_S = 0.2
-_SURPLUS_CHECK_S = 5.0
+_RETRY_DELAY_S = 0.2
+_SURPLUS_CHECK_INTERVAL_S = 5.0
 _SURPLUS_FACTOR = 4
 _RATE_WINDOW_S = 10.0
-_BASE_REQUESTS = 8  # a lease covers at least so many requests of the last size
+_MIN_LEASE_REQUESTS = 8  # a lease covers at least this many requests of the largest recent size
 
 
 @dataclass(frozen=True)
 class Reservation:
-    """Tokens set aside for one attempt.
+    """Tokens reserved for one attempt.
 
     Attributes:
-        lease_id: Lease they are from.
-        sequence: Number of the reservation in its lease, from 1, without gaps.
-        tokens: Most tokens the attempt may use.
+        lease_id: Id of the lease that the tokens come from.
+        sequence: Number of the reservation within its lease; counts from 1 without gaps.
+        tokens: Maximum number of tokens that the attempt may use.
         budget: Name of the budget.
     """
 
@@ -45,7 +45,19 @@
 
 @dataclass
 class HeldLease:
-    """A lease as its holder sees it; all amounts in tokens."""
+    """The holder's view of a lease; all amounts are in tokens.
+
+    Attributes:
+        lease_id: Id of the lease.
+        budget: Name of the budget.
+        granted: Total granted by control.
+        returned: Total returned to control.
+        spent: Total used by settled reservations.
+        reserved: Total of the reservations that are not settled yet.
+        last_sequence: Number of the last reservation.
+        last_return_number: Number of the last return; control ignores repeated numbers.
+        return_lock: Serializes returns of this lease.
+    """
 
     lease_id: int
     budget: str
@@ -59,19 +71,31 @@
 
     @property
     def available(self) -> int:
-        """Tokens that may be reserved."""
+        """Number of tokens that may still be reserved."""
         return self.granted - self.returned - self.spent - self.reserved
 
 
 @dataclass
 class _BudgetState:
-    """What the router knows of one budget."""
+    """The router's state for one budget.
+
+    Attributes:
+        name: Name of the budget.
+        lease: Current lease; None before the first grant.
+        request_number: Number of the last lease request to control.
+        request_in_flight: Whether a lease request to control is in flight.
+        rate: Smoothed demand in tokens per second.
+        rate_at_s: Time of the last update of ``rate``, in seconds on the event loop's clock.
+        largest_recent: Size of the largest recent request in tokens; decays over time.
+        refusal: Control's last response if it refused the lease request; None otherwise.
+        changed: Signals that tokens or a refusal may have arrived.
+    """
 
     name: str
     lease: HeldLease | None = None
-    ask_number: int = 0
-    asking: bool = False
-    rate: float = 0.0  # tokens a second, smoothed
+    request_number: int = 0
+    request_in_flight: bool = False
+    rate: float = 0.0
     rate_at_s: float = 0.0
     largest_recent: int = 0
     refusal: control_pb2.CommandResult | None = None
@@ -79,13 +103,13 @@
 
 
 class LeaseManager:
-    """Gets, spends and gives back leases.
+    """Requests, spends and returns leases.
 
     Args:
         link: The router's link to control.
-        environment: Time.
-        horizon_s: Spending that a lease is sized to cover, in seconds.
-        log: Where events are reported.
+        environment: Clock.
+        horizon_s: Time for which a lease should cover the current demand, in seconds.
+        log: Receives log events.
     """
 
     def __init__(
@@ -100,45 +124,47 @@
         self._leases: dict[int, HeldLease] = {}
 
     def start(self) -> None:
-        """Begin to give back what is not needed."""
+        """Start returning surplus tokens periodically."""
         self._tasks.start("return_surplus", self._return_surplus())
 
     async def stop(self) -> None:
-        """End all tasks."""
+        """Stop all tasks."""
         await self._tasks.stop()
 
     # ---- spending ---------------------------------------------------------
 
     async def reserve(self, budget: str, tokens: int, wait_s: float) -> Reservation:
-        """Set tokens aside for one attempt.
+        """Reserve tokens for one attempt.
 
         Args:
             budget: Name of the budget.
-            tokens: Most tokens the attempt may use.
-            wait_s: Longest time to wait for a lease, in seconds.
+            tokens: Maximum number of tokens that the attempt may use.
+            wait_s: Maximum time to wait for a lease, in seconds.
 
         Raises:
-            BudgetExhaustedError: If the budget has not so many tokens left.
-            BudgetUnavailableError: If they could not be got in time.
+            BudgetExhaustedError: If the budget has too few tokens left.
+            BudgetUnavailableError: If no tokens were leased in time.
         """
         state = self._budgets.setdefault(budget, _BudgetState(budget))
-        self._note_demand(state, tokens)
+        self._record_demand(state, tokens)
         deadline_s = self._environment.monotonic() + wait_s
         while True:
-            reservation = self._take(state, tokens)
+            reservation = self._reserve_now(state, tokens)
             if reservation is not None:
-                self._ask_ahead(state)
+                self._request_ahead(state)
                 return reservation
-            self._start_asking(state, tokens)
-            left_s = deadline_s - self._environment.monotonic()
-            woken = left_s > 0 and await state.changed.wait(left_s)
+            self._start_request(state, tokens)
+            remaining_s = deadline_s - self._environment.monotonic()
+            woken = remaining_s > 0 and await state.changed.wait(remaining_s)
             self._check_refusal(state, tokens)
             if not woken:
                 raise BudgetUnavailableError(
-                    "the budget's tokens are held elsewhere", step="reserve", peer=budget
+                    "the remaining tokens of the budget are held elsewhere",
+                    step="reserve",
+                    peer=budget,
                 )
 
-    def _take(self, state: _BudgetState, tokens: int) -> Reservation | None:
+    def _reserve_now(self, state: _BudgetState, tokens: int) -> Reservation | None:
         lease = state.lease
         if lease is None or lease.available < tokens:
             return None
@@ -152,17 +178,22 @@
             return
         if refusal.code == control_pb2.RESULT_CODE_NOT_FOUND:
             raise BudgetUnavailableError(refusal.message, step="reserve", peer=state.name)
-        own = state.lease.available if state.lease is not None else 0
-        if own + refusal.available + refusal.recallable < tokens:
+        held = state.lease.available if state.lease is not None else 0
+        if held + refusal.available + refusal.recallable < tokens:
             raise BudgetExhaustedError(
                 f"the request needs up to {tokens} tokens; the budget has "
-                f"{own + refusal.available} left here",
+                f"{held + refusal.available} left for this router",
                 step="reserve",
                 peer=state.name,
             )
 
     def settle(self, reservation: Reservation, used: int) -> None:
-        """Note what a reservation came to; the rest may be reserved again."""
+        """Settle a reservation; its unused tokens may be reserved again.
+
+        Args:
+            reservation: Reservation to settle.
+            used: Number of tokens that the attempt used.
+        """
         lease = self._leases.get(reservation.lease_id)
         if lease is None:
             return
@@ -177,12 +208,12 @@
         lease.spent += used
         state = self._budgets[reservation.budget]
         if state.lease is not lease:
-            self._tasks.start("return_old_lease", self._give_back(lease, lease.available))
+            self._tasks.start("return_old_lease", self._return_tokens(lease, lease.available))
         state.changed.give()
 
-    # ---- size of a lease --------------------------------------------------
+    # ---- demand and lease size --------------------------------------------
 
-    def _note_demand(self, state: _BudgetState, tokens: int) -> None:
+    def _record_demand(self, state: _BudgetState, tokens: int) -> None:
         now = self._environment.monotonic()
         elapsed_s = now - state.rate_at_s if state.rate_at_s else 0.0
         state.rate = state.rate * max(0.0, 1 - elapsed_s / _RATE_WINDOW_S)
@@ -191,40 +222,40 @@
         state.largest_recent = max(tokens, int(state.largest_recent * 0.9))
 
     def _target(self, state: _BudgetState) -> int:
-        base = state.largest_recent * _BASE_REQUESTS
+        base = state.largest_recent * _MIN_LEASE_REQUESTS
         return max(base, int(state.rate * self._horizon_s))
 
-    def _ask_ahead(self, state: _BudgetState) -> None:
+    def _request_ahead(self, state: _BudgetState) -> None:
         if state.lease is not None and state.lease.available < self._target(state) // 2:
-            self._start_asking(state, 0)
+            self._start_request(state, 0)
 
-    # ---- asking control ---------------------------------------------------
+    # ---- requesting tokens ------------------------------------------------
 
-    def _start_asking(self, state: _BudgetState, tokens: int) -> None:
-        if not state.asking:
-            state.asking = True
-            self._tasks.start(f"ask-{state.name}", self._ask(state, tokens))
+    def _start_request(self, state: _BudgetState, tokens: int) -> None:
+        if not state.request_in_flight:
+            state.request_in_flight = True
+            self._tasks.start(f"ask-{state.name}", self._request_lease(state, tokens))
 
-    async def _ask(self, state: _BudgetState, tokens: int) -> None:
+    async def _request_lease(self, state: _BudgetState, tokens: int) -> None:
         available = state.lease.available if state.lease is not None else 0
-        state.ask_number += 1
+        state.request_number += 1
         command = control_pb2.Command()
-        ask = command.grant_lease
-        ask.budget = state.name
-        ask.holder = self._link.record.name
-        ask.incarnation = self._link.record.incarnation
-        ask.minimum = max(0, tokens - available)
-        ask.wanted = max(ask.minimum, self._target(state) - available)
-        ask.number = state.ask_number
+        grant = command.grant_lease
+        grant.budget = state.name
+        grant.holder = self._link.record.name
+        grant.incarnation = self._link.record.incarnation
+        grant.minimum = max(0, tokens - available)
+        grant.wanted = max(grant.minimum, self._target(state) - available)
+        grant.number = state.request_number
         try:
-            await self._send_ask(state, command, urgent=tokens > 0)
+            await self._send_request(state, command, urgent=tokens > 0)
         except PeerUnavailableError:
             pass
         finally:
-            state.asking = False
+            state.request_in_flight = False
             state.changed.give()
 
-    async def _send_ask(
+    async def _send_request(
         self, state: _BudgetState, command: control_pb2.Command, *, urgent: bool
     ) -> None:
         result = await self._link.call(command, _CALL_TIMEOUT_S)
@@ -233,62 +264,66 @@
         refused = result.code != control_pb2.RESULT_CODE_OK
         state.refusal = result if refused else None
         if result.HasField("lease"):
-            self._take_lease(state, result.lease)
+            self._apply_lease(state, result.lease)
         state.changed.give()
         if refused and urgent:
-            # Others are being asked to give back; look again soon, not at once.
-            await asyncio.sleep(_RETRY_PAUSE_S)
+            # Control is recalling tokens from other holders; delay the next request a little.
+            await asyncio.sleep(_RETRY_DELAY_S)
 
-    def _take_lease(self, state: _BudgetState, lease: ledger_pb2.Lease) -> None:
+    def _apply_lease(self, state: _BudgetState, lease: ledger_pb2.Lease) -> None:
         held = self._leases.get(lease.lease_id)
         if held is None:
             held = HeldLease(lease.lease_id, state.name)
             self._leases[lease.lease_id] = held
             earlier, state.lease = state.lease, held
-            if earlier is not None:  # a new period began
-                self._tasks.start("return_old", self._give_back(earlier, earlier.available))
+            if earlier is not None:  # a new budget period has begun
+                self._tasks.start("return_old", self._return_tokens(earlier, earlier.available))
         held.granted = max(held.granted, lease.granted)
         self._reconcile(held, lease)
 
     @staticmethod
     def _reconcile(held: HeldLease, lease: ledger_pb2.Lease) -> None:
-        """Take over the ledger's reckoning when nothing is under way on either side.
+        """Adopt the ledger's figures when nothing is in flight on either side.
 
-        Here a reservation that another settlement went before counts as used
-        whole; the ledger knows what it really came to.
+        If another settlement of a reservation was recorded earlier, the router counts all of its
+        tokens as used; only the ledger knows the actual number.
         """
         returned_all = lease.last_return_number == held.last_return_number
-        quiet = held.reserved == 0 and returned_all
-        if quiet and lease.watermark == held.last_sequence:
-            # Unused tokens of lost attempts went from the lease to the account.
+        idle = held.reserved == 0 and returned_all
+        if idle and lease.watermark == held.last_sequence:
+            # The ledger has moved unused tokens of lost attempts from the lease to the account.
             freed = lease.returned - held.returned
             held.spent = lease.billed + lease.withheld + freed
 
-    # ---- giving back ------------------------------------------------------
+    # ---- returning tokens -------------------------------------------------
 
     def recall(self, lease_id: int, keep: int) -> None:
-        """Give back all of a lease but ``keep`` tokens, as control asked."""
+        """Return all available tokens of a lease except ``keep``, as requested by control."""
         lease = self._leases.get(lease_id)
         if lease is not None and lease.available > keep:
-            self._tasks.start("recall", self._give_back(lease, lease.available - keep))
+            self._tasks.start("recall", self._return_tokens(lease, lease.available - keep))
 
     async def _return_surplus(self) -> None:
         while True:
-            await asyncio.sleep(_SURPLUS_CHECK_S)
+            await asyncio.sleep(_SURPLUS_CHECK_INTERVAL_S)
             for state in list(self._budgets.values()):
                 self._age_demand(state)
                 lease = state.lease
                 keep = self._target(state)
                 if lease is not None and lease.available > keep * _SURPLUS_FACTOR:
-                    await self._give_back(lease, lease.available - keep)
+                    await self._return_tokens(lease, lease.available - keep)
 
     def _age_demand(self, state: _BudgetState) -> None:
-        self._note_demand(state, 0)
+        self._record_demand(state, 0)
         if state.rate < 1:
             state.largest_recent = 0
 
-    async def _give_back(self, lease: HeldLease, tokens: int) -> None:
-        """Return tokens; they are taken off here before control adds them there."""
+    async def _return_tokens(self, lease: HeldLease, tokens: int) -> None:
+        """Return tokens to control.
+
+        They are deducted here before control credits them to the account, so that no token can
+        be spent twice.
+        """
         async with lease.return_lock:
             tokens = min(tokens, lease.available)
             if tokens <= 0:
@@ -302,21 +337,24 @@
             await self._link.call(command)
 
     async def return_all(self) -> None:
-        """Give back everything that is not reserved."""
+        """Return all tokens that are not reserved."""
         for lease in list(self._leases.values()):
-            await self._give_back(lease, lease.available)
+            await self._return_tokens(lease, lease.available)
 
     def drop_all(self) -> None:
-        """Forget all leases: this incarnation was declared gone and they are fenced."""
+        """Drop all leases.
+
+        Control has declared this incarnation of the router gone, so its leases are fenced.
+        """
         self._leases.clear()
         for state in self._budgets.values():
             state.lease = None
-            state.ask_number = 0
+            state.request_number = 0
             state.refusal = None
             state.changed.give()
         self._log.warning("leases_dropped", step="drop_leases")
 
     def available(self, budget: str) -> int:
-        """Return the tokens of a budget that this router may reserve now."""
+        """Return the number of tokens of a budget that this router may reserve now."""
         state = self._budgets.get(budget)
         return state.lease.available if state is not None and state.lease is not None else 0
--- a/packages/heronladder-router/src/heronladder_router/outcome_queries.py
+++ b/packages/heronladder-router/src/heronladder_router/outcome_queries.py
@@ -1,7 +1,7 @@
-"""Attempts whose outcome is unknown: asked after until it is known.
+"""Queries for the outcome of attempts whose outcome is unknown, repeated until it is known.
 
-The reservation of such an attempt stays set aside, and no bill is sent for it:
-the agent may have run it, and holds the true bill.
+The tokens of such an attempt stay reserved and the router sends no bill for it, because the agent
+may have run the request and then holds the correct bill.
 """
 
 import asyncio
@@ -19,8 +19,8 @@
 from heronladder_router.leases import LeaseManager, Reservation
 from heronladder_router.replicas import ReplicaDirectory
 
-_PAUSE_S = 1.0
-_LONGEST_PAUSE_S = 30.0
+_MIN_RETRY_DELAY_S = 1.0
+_MAX_RETRY_DELAY_S = 30.0
 
 
 @dataclass
@@ -28,11 +28,11 @@
     """An attempt whose outcome is unknown.
 
     Attributes:
-        dispatch: The attempt.
-        reservation: What was set aside for it.
-        address: Address of its agent.
-        agent: Name of its agent.
-        already_billed: An earlier attempt of the request was billed.
+        dispatch: Dispatch message that started the attempt.
+        reservation: Tokens reserved for the attempt.
+        address: Address of the agent that it was sent to.
+        agent: Name of this agent.
+        already_billed: Whether an earlier attempt of the request was billed.
     """
 
     dispatch: agent_pb2.Dispatch
@@ -43,15 +43,18 @@
 
 
 class OutcomeQueries:
-    """Resolves attempts whose outcome is unknown.
+    """Queries agents until the outcome of each attempt is known, then settles it.
 
     Args:
-        channel: Reaches agents.
-        directory: Knows the agents' incarnations.
+        channel: Connection to the agents.
+        directory: Directory of replicas; knows the agents' incarnations.
         leases: The router's leases.
         bookkeeper: Closes reservations.
-        environment: Time and randomness.
-        log: Where events are reported.
+        environment: Clock and random numbers.
+        log: Receives log events.
+
+    Attributes:
+        unresolved: Number of attempts whose outcome is not known yet.
     """
 
     def __init__(
@@ -73,11 +76,11 @@
         self.unresolved = 0
 
     async def stop(self) -> None:
-        """End all tasks; what is unresolved is left to the agents."""
+        """Stop all tasks; the agents settle attempts that are still unresolved."""
         await self._tasks.stop()
 
     def add(self, attempt: UnresolvedAttempt) -> None:
-        """Begin to ask after an attempt."""
+        """Start querying the outcome of an attempt."""
         self.unresolved += 1
         self._log.info(
             "outcome_unknown",
@@ -88,38 +91,42 @@
         self._tasks.start(f"resolve-{attempt.dispatch.request_id}", self._resolve(attempt))
 
     async def _resolve(self, attempt: UnresolvedAttempt) -> None:
-        pause_s = _PAUSE_S
+        delay_s = _MIN_RETRY_DELAY_S
         while True:
-            await asyncio.sleep(self._environment.jitter(pause_s))
-            pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
-            settlement = await self._ask(attempt)
+            await asyncio.sleep(self._environment.jitter(delay_s))
+            delay_s = min(delay_s * 2, _MAX_RETRY_DELAY_S)
+            settlement = await self._query(attempt)
             if settlement is not None:
                 break
         self.unresolved -= 1
         if settlement.outcome == ledger_pb2.OUTCOME_UNSPECIFIED:
-            # The agent billed it; how much is not known here any more.
+            # The agent billed the attempt, but no longer has the amount: assume the maximum.
             self._leases.settle(attempt.reservation, attempt.reservation.tokens)
             return
         self._bookkeeper.close(attempt.reservation, settlement, attempt.agent)
 
-    async def _ask(self, attempt: UnresolvedAttempt) -> ledger_pb2.Settlement | None:
+    async def _query(self, attempt: UnresolvedAttempt) -> ledger_pb2.Settlement | None:
+        """Return the settlement of an attempt, or None if its outcome is still unknown.
+
+        The settlement is empty if the agent billed the attempt and deleted its record.
+        """
         dispatch = attempt.dispatch
         current = self._directory.incarnation(attempt.agent)
         if current and current != dispatch.agent_incarnation:
             return lost_settlement(dispatch)
-        question = agent_pb2.Dispatch()
-        question.CopyFrom(dispatch)
-        question.attach = True
+        query = agent_pb2.Dispatch()
+        query.CopyFrom(dispatch)
+        query.attach = True
         try:
-            answer = await self._channel.dispatch(attempt.address, question, b"")
-            if not answer.refused and answer.chunks is not None:
-                async for _ in answer.chunks:
+            response = await self._channel.dispatch(attempt.address, query, b"")
+            if not response.refused and response.chunks is not None:
+                async for _ in response.chunks:
                     pass
         except (ChannelNotSentError, ChannelLostError):
             return None
-        if answer.end is not None:
-            return settlement_of(dispatch, answer.end, already_billed=attempt.already_billed)
-        match answer.head.refusal:
+        if response.end is not None:
+            return settlement_of(dispatch, response.end, already_billed=attempt.already_billed)
+        match response.head.refusal:
             case agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST:
                 return not_run_settlement(dispatch)
             case agent_pb2.REFUSAL_CODE_WRONG_INCARNATION | agent_pb2.REFUSAL_CODE_ANSWER_BROKEN:
--- a/packages/heronladder-router/src/heronladder_router/pending_prefill.py
+++ b/packages/heronladder-router/src/heronladder_router/pending_prefill.py
@@ -1,4 +1,4 @@
-"""A prompt that a replica has been sent and has not read yet."""
+"""Accounting of prompt tokens that a replica has been sent but not processed yet (prefill)."""
 
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 
@@ -8,13 +8,13 @@
 
 
 class PendingPrefill:
-    """Takes a prompt off its replica's account once, when it has been read.
+    """Removes a prompt's tokens from a replica's pending tokens once, after prefill.
 
     Args:
-        replicas: Where the account is kept.
-        replica: The replica.
-        tokens: What it has to read.
-        environment: Time.
+        replicas: Keeps the count of pending tokens per replica.
+        replica: Replica that the prompt was sent to.
+        tokens: Number of prompt tokens that the replica has to process.
+        environment: Clock.
     """
 
     def __init__(
@@ -29,25 +29,29 @@
         self._tokens = tokens
         self._environment = environment
         self._sent_s = environment.monotonic()
-        self._ahead, self._running = replicas.loads.now_at(replica)
-        self._counted = False
+        self._tokens_ahead, self._running_requests = replicas.loads.now_at(replica)
+        self._first_event_recorded = False
 
     def read(self) -> None:
-        """Note that events came: the first one tells how fast the replica is."""
-        if self._counted:
+        """Record that events arrived; the first one is a sample of the replica's speed."""
+        if self._first_event_recorded:
             return
-        self._counted = True
-        took_ms = (self._environment.monotonic() - self._sent_s) * MILLISECONDS_PER_SECOND
+        self._first_event_recorded = True
+        elapsed_ms = (self._environment.monotonic() - self._sent_s) * MILLISECONDS_PER_SECOND
         self._replicas.speeds.first_event(
-            self._replica, FirstEvent(self._ahead, self._running - 1, took_ms)
+            self._replica, FirstEvent(self._tokens_ahead, self._running_requests - 1, elapsed_ms)
         )
         self.release()
 
     def given_up(self, after_s: float) -> None:
-        """Note that no event came in so long."""
+        """Record that no event arrived within the attempt timeout.
+
+        Args:
+            after_s: Length of the timeout, in seconds.
+        """
         self._replicas.speeds.given_up(self._replica, after_s)
 
     def release(self) -> None:
-        """Note that the prompt is read, or will not be."""
+        """Remove the prompt from the pending tokens: it is processed, or never will be."""
         tokens, self._tokens = self._tokens, 0
         self._replicas.began(self._replica, tokens)
--- a/packages/heronladder-router/src/heronladder_router/replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/replicas.py
@@ -1,4 +1,8 @@
-"""Replicas of services: which there are, and how each is doing."""
+"""Directory of the backends of all services, with the health and load of each.
+
+The router's selection, forwarding and admission share it. It is updated from the configuration,
+from control's notices, from the platform's list of machines, and from the results of attempts.
+"""
 
 from dataclasses import dataclass
 
@@ -8,31 +12,33 @@
 from heronladder_runtime.pulse import Pulse
 from heronladder_schema.v1 import agent_pb2, control_pb2, resources_pb2
 
-_EJECT_FAILURES = 3
-_EJECT_FIRST_S = 2.0
-_EJECT_LONGEST_S = 60.0
+_EJECTION_FAILURES = 3
+_MIN_EJECTION_S = 2.0
+_MAX_EJECTION_S = 60.0
 _SLOW_START_S = 10.0
-_SLOW_START_LEAST = 0.1
-_LEAVING_MEMORY_S = 10.0
+_SLOW_START_MIN_FRACTION = 0.1
+_LEAVING_REPORT_VALID_S = 10.0
 
 
 @dataclass
 class Replica:
-    """One back end and its agent, as this router sees them.
+    """State of one backend and its agent, as known to this router.
 
     Attributes:
         name: Name of the Backend resource.
-        spec: The Backend.
-        incarnation: Incarnation of its agent; empty while it is not known.
-        outstanding: Requests that this router has there now.
-        reported_running: Requests running there when it last answered.
-        reported_queued: Requests waiting there when it last answered.
-        failures: Failures in a row.
-        ejections: Ejections in a row; each lasts twice as long as the one before.
-        ejected_until_s: When it may be tried again.
-        leaving_until_s: It said that it leaves; believed until then.
-        platform_leaving: The platform's list says that its machine leaves.
-        started_s: When it came, or came back; its load is raised slowly from then.
+        spec: Specification of the Backend resource.
+        incarnation: Incarnation of its agent; empty while unknown.
+        outstanding: Number of requests that this router has in flight there.
+        reported_running: Number of running requests in its last response.
+        reported_queued: Number of queued requests in its last response.
+        failures: Number of consecutive failures.
+        ejections: Number of consecutive ejections; each lasts twice as long as the one before.
+        ejected_until_s: End of its ejection, in seconds on the event loop's clock.
+        leaving_until_s: Time until which the agent's report that it leaves is valid, in seconds
+            on the event loop's clock.
+        started_s: Time at which its agent (re)started or its last ejection ends, in seconds on
+            the event loop's clock; slow start begins then.
+        platform_leaving: Whether the platform lists its machine as leaving.
     """
 
     name: str
@@ -49,7 +55,7 @@
     platform_leaving: bool = False
 
     def usable(self, now_s: float) -> bool:
-        """Whether new work may be sent to it."""
+        """Return whether new requests may be sent to this backend."""
         return (
             bool(self.incarnation)
             and not self.spec.draining
@@ -59,21 +65,27 @@
         )
 
     def load(self, now_s: float) -> float:
-        """Return its load as a share of what it can run at once."""
-        others = max(0, self.reported_running + self.reported_queued - self.outstanding)
-        share = (self.outstanding + others) / max(1, self.spec.concurrency)
+        """Return the load as a fraction of the requests that the backend can run concurrently.
+
+        During slow start the load is scaled up, so that a restarted backend gets fewer requests.
+
+        Args:
+            now_s: Current time, in seconds on the event loop's clock.
+        """
+        others_load = max(0, self.reported_running + self.reported_queued - self.outstanding)
+        load = (self.outstanding + others_load) / max(1, self.spec.concurrency)
         age_s = now_s - self.started_s
         if self.started_s and age_s < _SLOW_START_S:
-            share /= max(_SLOW_START_LEAST, age_s / _SLOW_START_S)
-        return share
+            load /= max(_SLOW_START_MIN_FRACTION, age_s / _SLOW_START_S)
+        return load
 
 
 class ReplicaDirectory:
-    """All replicas, kept up to date from configuration, notices and answers.
+    """All replicas, updated from configuration, control's notices and responses of agents.
 
     Args:
         configuration: The router's configuration.
-        environment: Time.
+        environment: Clock and random numbers.
     """
 
     def __init__(self, configuration: ConfigurationStore, environment: Environment) -> None:
@@ -102,7 +114,7 @@
         self.changed.give()
 
     def notice(self, notice: control_pb2.DaemonNotice) -> None:
-        """Take in control's word on an agent's incarnation."""
+        """Apply a notice from control that an agent started or is gone."""
         if notice.gone:
             if self._incarnations.get(notice.name) == notice.incarnation:
                 self._incarnations[notice.name] = ""
@@ -114,10 +126,10 @@
             incarnation = self._incarnations.get(notice.name, "")
             if incarnation != replica.incarnation:
                 replica.incarnation = incarnation
-                self._start_anew(replica)
+                self._reset(replica)
         self.changed.give()
 
-    def _start_anew(self, replica: Replica) -> None:
+    def _reset(self, replica: Replica) -> None:
         replica.failures = 0
         replica.ejections = 0
         replica.ejected_until_s = 0.0
@@ -127,19 +139,23 @@
         replica.started_s = self._environment.monotonic()
 
     def set_platform_leaving(self, leaving: set[str]) -> None:
-        """Take in the platform's word: the agents whose machines are leaving."""
+        """Replace the set of agents whose machines the platform lists as leaving.
+
+        Args:
+            leaving: Names of these agents.
+        """
         self._platform_leaving = leaving
         for replica in self._replicas.values():
             replica.platform_leaving = replica.spec.agent in leaving
 
-    # ---- reading ----------------------------------------------------------
+    # ---- queries ----------------------------------------------------------
 
     def get(self, name: str) -> Replica | None:
-        """Return a replica by the name of its Backend."""
+        """Return a replica by the name of its Backend resource, or None."""
         return self._replicas.get(name)
 
     def incarnation(self, agent: str) -> str:
-        """Return the current incarnation of an agent, or "" if it is gone or unknown."""
+        """Return the current incarnation of an agent, or "" if the agent is gone or unknown."""
         return self._incarnations.get(agent, "")
 
     def of_service(self, service: str) -> list[Replica]:
@@ -147,60 +163,67 @@
         return self._by_service.get(service, [])
 
     def usable(self, service: str) -> list[Replica]:
-        """Return the replicas of a service that may be sent new work."""
+        """Return the replicas of a service that new requests may be sent to."""
         now = self._environment.monotonic()
         return [replica for replica in self.of_service(service) if replica.usable(now)]
 
     def all_usable(self) -> list[Replica]:
-        """Return the replicas of all services that may be sent new work."""
+        """Return the replicas of all services that new requests may be sent to."""
         now = self._environment.monotonic()
         return [replica for replica in self._replicas.values() if replica.usable(now)]
 
     def subset(self, replicas: list[Replica], router: str, size: int) -> list[Replica]:
-        """Return the part of the replicas that a router looks at.
+        """Return the subset of replicas that a router uses.
 
-        Each router takes the ``size`` replicas with the highest hash of router
-        and replica: even over routers, and little changed when one comes or goes.
+        Each router uses the ``size`` replicas with the highest hash of router and replica
+        (rendezvous hashing). This spreads the replicas evenly over routers and changes few
+        assignments when a replica is added or removed.
+
+        Args:
+            replicas: Replicas to choose from.
+            router: Name of the router.
+            size: Size of the subset; 0 for all replicas.
         """
         if size == 0 or len(replicas) <= size:
             return replicas
         return sorted(replicas, key=lambda replica: rendezvous_hash(router, replica.name))[-size:]
 
-    # ---- what attempts tell -----------------------------------------------
+    # ---- results of attempts ----------------------------------------------
 
     def record_attempt_sent(self, replica: Replica) -> None:
-        """Note that an attempt goes to a replica."""
+        """Record that an attempt is sent to a replica."""
         replica.outstanding += 1
 
     def record_attempt_ended(self, replica: Replica) -> None:
-        """Note that an attempt at a replica is over."""
+        """Record that an attempt at a replica has ended."""
         replica.outstanding -= 1
         self.changed.give()
 
     def record_response_head(self, replica: Replica, head: agent_pb2.AnswerHead) -> None:
-        """Take in what an agent said of itself with its answer."""
+        """Record the load and leaving state that an agent reports in a response header."""
         replica.reported_running = head.running
         replica.reported_queued = head.queued
         if head.leaving:
             now = self._environment.monotonic()
-            replica.leaving_until_s = now + _LEAVING_MEMORY_S
+            replica.leaving_until_s = now + _LEAVING_REPORT_VALID_S
 
     def record_success(self, replica: Replica) -> None:
-        """Note a whole answer."""
+        """Record a complete response; resets the counts of failures and ejections."""
         replica.failures = 0
         replica.ejections = 0
 
     def record_failure(self, replica: Replica, *, certain: bool = False) -> None:
-        """Note a failure; several in a row, or a certain one, eject the replica.
+        """Record a failure; three consecutive failures eject the replica.
 
         Args:
-            replica: The replica.
-            certain: It took no connection, so that more tries prove nothing.
+            replica: Replica that failed.
+            certain: Whether the replica accepted no connection; then a single failure ejects it,
+                because further attempts would give no more information.
         """
         replica.failures += 1
-        if replica.failures < _EJECT_FAILURES and not certain:
+        if replica.failures < _EJECTION_FAILURES and not certain:
             return
-        pause_s = min(_EJECT_FIRST_S * 2**replica.ejections, _EJECT_LONGEST_S)
+        pause_s = min(_MIN_EJECTION_S * 2**replica.ejections, _MAX_EJECTION_S)
         now = self._environment.monotonic()
         replica.ejections += 1
         replica.failures = 0
@@ -209,5 +232,5 @@
 
 
 def rendezvous_hash(first: str, second: str) -> int:
-    """Return a hash of two names that is the same in every process."""
+    """Return a hash of two names that is the same in all processes."""
     return int(xxhash.xxh3_64_intdigest(f"{first}\n{second}".encode()))
--- a/packages/heronladder-router/src/heronladder_router/request_builder.py
+++ b/packages/heronladder-router/src/heronladder_router/request_builder.py
@@ -1,4 +1,9 @@
-"""From what came over HTTP to an admitted request: tenant, service, bounds."""
+"""Building of admitted requests from HTTP requests.
+
+The builder authenticates the tenant, finds the service, checks that the tenant may call it, and
+computes the most tokens that the request can use. It is separate from the HTTP server so that
+the simulation uses it too.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -19,20 +24,20 @@
 CHAT_PATH = "/v1/chat/completions"
 COMPLETIONS_PATH = "/v1/completions"
 _SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
-_LONGEST_KEY = 256
+_MAX_KEY_CHARACTERS = 256
 
 
 @dataclass(frozen=True)
 class RawRequest:
-    """What a caller sent.
+    """An HTTP request as the caller sent it.
 
     Attributes:
-        authorization: The Authorization header.
-        key: The Idempotency-Key header; empty when there was none.
+        authorization: Value of the Authorization header.
+        key: Value of the Idempotency-Key header; empty if there was none.
         method: HTTP method.
-        path: Path and query at the back end.
+        path: Path and query string for the backend.
         content_type: Content type of the body.
-        body: The body.
+        body: Body of the request.
     """
 
     authorization: str
@@ -44,14 +49,14 @@
 
 
 class RequestBuilder:
-    """Makes requests of what callers send.
+    """Builds admitted requests from HTTP requests.
 
     Args:
-        region: Name of the region; every request id carries it.
+        region: Name of the region; part of every request id.
         configuration: The router's configuration.
-        environment: Time and randomness.
-        timeout_s: Time for a whole answer, in seconds.
-        fresh: Whether the configuration may be acted upon.
+        environment: Clock and random numbers.
+        timeout_s: Time limit for a complete response, in seconds.
+        fresh: Returns whether the configuration is recent enough to be used.
     """
 
     def __init__(
@@ -66,7 +71,7 @@
         self._configuration = configuration
         self._environment = environment
         self._timeout_s = timeout_s
-        self._fresh = fresh
+        self._is_fresh = fresh
         self._tenants = TenantDirectory(configuration)
         self._service_of_model: dict[str, resources_pb2.Resource] = {}
         configuration.listen(self._rebuild)
@@ -79,20 +84,21 @@
         }
 
     def new_request_id(self) -> str:
-        """Return a new identifier of a request."""
+        """Return a new request id."""
         return self._environment.new_id(self._region)
 
     def _authenticate(self, authorization: str) -> resources_pb2.Resource:
-        # A stale router might not know the tenant yet: it must not say so.
-        if not self._fresh():
-            raise StaleError("this router's configuration is stale", step="intake")
+        # With a stale configuration the tenant may be missing; do not report an unknown key then.
+        if not self._is_fresh():
+            raise StaleError("the configuration of this router is stale", step="intake")
         return self._tenants.authenticate(authorization)
 
     def models(self, authorization: str) -> list[str]:
-        """Return the models a tenant may call.
+        """Return the names of the models that a tenant may call, sorted.
 
         Raises:
-            InvalidKeyError: If the key is not known.
+            InvalidKeyError: If the API key is missing or unknown.
+            StaleError: If the router's configuration is stale.
         """
         tenant = self._authenticate(authorization)
         allowed = set(tenant.tenant.services)
@@ -103,25 +109,31 @@
         )
 
     def tenant_name(self, authorization: str) -> str:
-        """Return the name of the tenant that calls.
+        """Return the name of the calling tenant.
 
         Raises:
-            InvalidKeyError: If the key is not known.
+            InvalidKeyError: If the API key is missing or unknown.
+            StaleError: If the router's configuration is stale.
         """
         return self._authenticate(authorization).metadata.name
 
     def model_request(self, call: RawRequest, request_id: str, *, chat: bool) -> CallerRequest:
-        """Return the request for a model.
+        """Build a request for a model.
+
+        Args:
+            call: HTTP request.
+            request_id: Id of the new request.
+            chat: Whether it is a chat completion; otherwise it is a text completion.
 
         Raises:
-            CallerError: If it is malformed or not allowed.
+            CallerError: If the request is malformed or not allowed.
         """
         tenant = self._authenticate(call.authorization)
         parsed = parse_model_call(call.body, chat=chat)
         service = self._service_of_model.get(parsed.model)
         if service is None:
             raise UnknownServiceError(
-                f"there is no model {parsed.model!r}", step="intake", peer=parsed.model
+                f"unknown model {parsed.model!r}", step="intake", peer=parsed.model
             )
         spec = service.service
         completion_token_limit = parsed.completion_token_limit or spec.default_max_tokens
@@ -131,7 +143,7 @@
         request.content_type = "application/json"
         request.stream = parsed.stream
         request.include_usage = parsed.include_usage
-        # A token stands for at least one byte, so that bytes bound tokens.
+        # A token encodes at least one byte, so the size in bytes is an upper bound on tokens.
         request.prompt_token_limit = parsed.prompt_bytes + spec.template_allowance
         request.completion_token_limit = completion_token_limit
         request.prefix = parsed.prefix
@@ -139,18 +151,21 @@
         return request
 
     def service_request(self, call: RawRequest, request_id: str, name: str) -> CallerRequest:
-        """Return the request for a plain service.
+        """Build a request for a plain service.
+
+        Args:
+            call: HTTP request.
+            request_id: Id of the new request.
+            name: Name of the service.
 
         Raises:
-            CallerError: If it is malformed or not allowed.
+            CallerError: If the request is malformed or not allowed.
         """
         tenant = self._authenticate(call.authorization)
         service = self._configuration.services().get(name)
         plain = resources_pb2.SERVICE_KIND_PLAIN
         if service is None or service.service.kind != plain:
-            raise UnknownServiceError(
-                f"there is no plain service {name!r}", step="intake", peer=name
-            )
+            raise UnknownServiceError(f"unknown plain service {name!r}", step="intake", peer=name)
         request = self._request(call, request_id, tenant, service)
         request.prompt_token_limit = service.service.call_tokens
         request.repeatable = self._repeatable(service.service, call.method, call.path)
@@ -168,11 +183,13 @@
         allowed = tenant.tenant.services
         if allowed and name not in allowed:
             raise ForbiddenServiceError(
-                f"tenant {tenant.metadata.name} may not call {name}", step="intake", peer=name
+                f"tenant {tenant.metadata.name} is not allowed to call {name}",
+                step="intake",
+                peer=name,
             )
-        if len(call.key) > _LONGEST_KEY:
+        if len(call.key) > _MAX_KEY_CHARACTERS:
             raise InvalidRequestError(
-                f"Idempotency-Key: at most {_LONGEST_KEY} characters", step="intake"
+                f"Idempotency-Key: at most {_MAX_KEY_CHARACTERS} characters allowed", step="intake"
             )
         return CallerRequest(
             request_id=request_id,
--- a/packages/heronladder-router/src/heronladder_router/requests.py
+++ b/packages/heronladder-router/src/heronladder_router/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests, read from HTTP."""
+"""Requests of callers, and parsing of request bodies for model services."""
 
 import hashlib
 import json
@@ -9,33 +9,37 @@
 
 from heronladder_router.errors import InvalidRequestError
 
-_LARGEST_COMPLETION = 1 << 20
-_PLAIN_TOKEN_FIELDS = ("max_completion_tokens", "max_tokens")
+_MAX_COMPLETION_TOKENS = 1 << 20
+_TOKEN_LIMIT_FIELDS = ("max_completion_tokens", "max_tokens")
 
 
 @dataclass
 class CallerRequest:
-    """One request of a caller, admitted to the router.
+    """A caller's request that the router has admitted.
 
     Attributes:
-        request_id: Its identifier.
+        request_id: Unique id of the request.
         tenant: Name of the tenant.
-        tenant_spec: The tenant.
+        tenant_spec: Specification of the tenant.
         service: Name of the service.
-        service_spec: The service.
+        service_spec: Specification of the service.
         method: HTTP method.
-        path: Path at the back end, with its query.
+        path: Path and query string for the backend.
         content_type: Content type of the body.
-        body: Body for the back end.
-        stream: Whether the caller reads an event stream.
-        include_usage: Whether the caller wants the usage in the stream.
-        prompt_bound: Most tokens the prompt can have.
-        completion_bound: Most tokens the answer may have.
-        prefix: What the prompt begins with, for prefix affinity.
-        key: Idempotency key; empty when none was given.
-        repeatable: Whether it may be sent twice without harm.
-        deadline_s: When its whole answer is due, on the loop's clock.
-        already_billed: An attempt that was lost had been billed by its agent.
+        body: Body for the backend.
+        stream: Whether the caller asked for an event stream.
+        include_usage: Whether the caller asked for the token usage in the stream.
+        prompt_token_limit: Upper bound on the number of prompt tokens.
+        completion_token_limit: Upper bound on the number of completion tokens.
+        prefix: Prompt of a model call or path of a plain call; its start is used for
+            prefix-affinity balancing.
+        key: Idempotency key; empty if the caller gave none.
+        repeatable: Whether the request may run twice without harm.
+        deadline_s: Time by which the response must be complete, in seconds on the event loop's
+            clock.
+        already_billed: Whether the agent of an earlier, lost attempt has billed the request.
+        body_sha256: Hex SHA-256 of method, path and body at construction; detects an idempotency
+            key that is reused for a different request.
     """
 
     request_id: str
@@ -64,32 +68,33 @@
 
     @property
     def tokens(self) -> int:
-        """Most tokens it can cost."""
+        """Upper bound on the number of tokens that the request uses."""
         return self.prompt_token_limit + self.completion_token_limit
 
     @property
     def needs_claim(self) -> bool:
-        """Whether it is claimed at control before it is dispatched."""
+        """Whether the request must be claimed at control before it is dispatched."""
         return bool(self.key) or not self.repeatable
 
     @property
     def claim_key(self) -> str:
-        """The key it is claimed under."""
+        """Key under which the request is claimed."""
         return self.key or self.request_id
 
 
 @dataclass
 class ModelCall:
-    """What a call of a model says.
+    """Parsed body of a call to a model.
 
     Attributes:
         model: Name of the model.
-        body: Body for the engine, with the bounds put in.
-        stream: Whether an event stream is asked for.
-        include_usage: Whether the caller wants the usage in the stream.
-        prompt_bytes: Size of the prompt in UTF-8 bytes: a bound of its tokens.
-        completion_bound: Most tokens asked for; 0 when the call names none.
-        prefix: What the prompt begins with.
+        document: Decoded JSON body.
+        stream: Whether the caller asked for an event stream.
+        include_usage: Whether the caller asked for the token usage in the stream.
+        prompt_bytes: Size of the prompt in UTF-8 bytes; an upper bound on its tokens.
+        completion_token_limit: Largest number of completion tokens asked for; 0 if the call
+            sets no limit.
+        prefix: Prompt as UTF-8 bytes, for prefix-affinity balancing.
     """
 
     model: str
@@ -101,13 +106,19 @@
     prefix: bytes
 
     def engine_body(self, completion_token_limit: int) -> bytes:
-        """Return the body for the engine: capped, and with usage in its stream."""
+        """Return the body for the engine.
+
+        It limits the completion, and asks for the token usage in a stream, which billing needs.
+
+        Args:
+            completion_token_limit: Largest number of completion tokens.
+        """
         document = {**self.document, "max_tokens": completion_token_limit}
         document.pop("max_completion_tokens", None)
         if self.stream:
             options = document.get("stream_options")
-            known = options if isinstance(options, dict) else {}
-            document["stream_options"] = {**known, "include_usage": True}
+            given = options if isinstance(options, dict) else {}
+            document["stream_options"] = {**given, "include_usage": True}
         return json.dumps(document, ensure_ascii=False).encode()
 
 
@@ -116,10 +127,14 @@
 
 
 def parse_model_call(body: bytes, *, chat: bool) -> ModelCall:
-    """Read a chat completion's or completion's body.
+    """Parse the body of a chat completion or text completion.
+
+    Args:
+        body: Request body.
+        chat: Whether it is a chat completion; otherwise it is a text completion.
 
     Raises:
-        InvalidRequestError: Naming the wrong field and how to mend it.
+        InvalidRequestError: If a field is invalid; the message names the field and how to fix it.
     """
     try:
         document = json.loads(body)
@@ -129,14 +144,14 @@
         raise _invalid("the body must be a JSON object")
     model = document.get("model")
     if not isinstance(model, str) or not model:
-        raise _invalid("model: give the name of a model (text)")
+        raise _invalid("model: must be the name of a model (a non-empty string)")
     stream = document.get("stream", False)
     if not isinstance(stream, bool):
         raise _invalid("stream: must be true or false")
     choices = document.get("n", 1)
     if choices not in (1, None):
-        raise _invalid("n: only 1 is served; send several requests instead")
-    prompt = _chat_prompt(document) if chat else _plain_prompt(document)
+        raise _invalid("n: only 1 is supported; send several requests instead")
+    prompt = _chat_prompt_bytes(document) if chat else _completion_prompt_bytes(document)
     options = document.get("stream_options") or {}
     if not isinstance(options, dict):
         raise _invalid("stream_options: must be an object")
@@ -146,38 +161,38 @@
         stream=stream,
         include_usage=bool(options.get("include_usage", False)),
         prompt_bytes=len(prompt),
-        completion_token_limit=_completion_bound(document),
+        completion_token_limit=_parse_completion_limit(document),
         prefix=prompt,
     )
 
 
-def _completion_bound(document: dict[str, Any]) -> int:
-    for name in _PLAIN_TOKEN_FIELDS:
+def _parse_completion_limit(document: dict[str, Any]) -> int:
+    for name in _TOKEN_LIMIT_FIELDS:
         value = document.get(name)
         if value is None:
             continue
         if isinstance(value, bool) or not isinstance(value, int):
-            raise _invalid(f"{name}: must be a whole number")
-        if not 1 <= value <= _LARGEST_COMPLETION:
-            raise _invalid(f"{name}: must be 1 to {_LARGEST_COMPLETION}")
+            raise _invalid(f"{name}: must be an integer")
+        if not 1 <= value <= _MAX_COMPLETION_TOKENS:
+            raise _invalid(f"{name}: must be from 1 to {_MAX_COMPLETION_TOKENS}")
         return value
     return 0
 
 
-def _chat_prompt(document: dict[str, Any]) -> bytes:
+def _chat_prompt_bytes(document: dict[str, Any]) -> bytes:
     messages = document.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise _invalid("messages: give at least one message")
+        raise _invalid("messages: must be a list of at least one message")
     for position, message in enumerate(messages):
         if not isinstance(message, dict) or not isinstance(message.get("role"), str):
-            raise _invalid(f"messages[{position}].role: give system, user, assistant or tool")
-    extra = [document[name] for name in ("tools", "functions") if name in document]
-    parts = [json.dumps(part, ensure_ascii=False) for part in [*extra, *messages]]
+            raise _invalid(f"messages[{position}].role: must be system, user, assistant or tool")
+    tool_definitions = [document[name] for name in ("tools", "functions") if name in document]
+    parts = [json.dumps(part, ensure_ascii=False) for part in [*tool_definitions, *messages]]
     return "\n".join(parts).encode()
 
 
-def _plain_prompt(document: dict[str, Any]) -> bytes:
+def _completion_prompt_bytes(document: dict[str, Any]) -> bytes:
     prompt = document.get("prompt")
     if not isinstance(prompt, str):
-        raise _invalid("prompt: give one text; send several requests for several prompts")
+        raise _invalid("prompt: must be a single string; send one request per prompt")
     return prompt.encode()
--- a/packages/heronladder-router/src/heronladder_router/settlement_sender.py
+++ b/packages/heronladder-router/src/heronladder_router/settlement_sender.py
@@ -1,4 +1,8 @@
-"""Bills on their way to control, batched; and what agents may forget."""
+"""Sending of settlements (bills) to control in batches.
+
+The sender also keeps, per agent, which bills became durable, so that the agent can be told with
+the next dispatch to delete its copies.
+"""
 
 import asyncio
 from collections import defaultdict
@@ -11,12 +15,19 @@
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import agent_pb2, control_pb2, ledger_pb2
 
-_BATCH = 500
-_ACKNOWLEDGED_KEPT = 1_000
+_MAX_BATCH_SIZE = 500
+_MAX_ACKNOWLEDGED_PER_AGENT = 1_000
 
 
 class SettlementStatus(Enum):
-    """How a settlement stands to others of its reservation."""
+    """How the ledger treated a settlement, given earlier settlements of its reservation.
+
+    Attributes:
+        FIRST: No earlier settlement of the reservation.
+        BILLED_BEFORE: An earlier settlement billed the reservation.
+        LOST_BEFORE: An earlier settlement declared the attempt lost.
+        LEASE_CLOSED: The lease of the reservation was already closed.
+    """
 
     FIRST = "first"
     BILLED_BEFORE = "billed before"
@@ -24,7 +35,7 @@
     LEASE_CLOSED = "lease closed"
 
 
-def _standing(result: control_pb2.CommandResult, position: int) -> SettlementStatus:
+def _status_of(result: control_pb2.CommandResult, position: int) -> SettlementStatus:
     if position in result.billed_before:
         return SettlementStatus.BILLED_BEFORE
     if position in result.lost_before:
@@ -35,8 +46,8 @@
 
 
 @dataclass
-class _Waiting:
-    """A settlement that is not durable yet, and who waits for it."""
+class _PendingSettlement:
+    """A settlement to be sent, and the future that completes once it is durable."""
 
     settlement: ledger_pb2.Settlement
     agent: str
@@ -44,49 +55,53 @@
 
 
 class SettlementSender:
-    """Sends settlements until they are durable.
+    """Sends settlements to control until they are durable.
 
     Args:
         link: The router's link to control.
-        interval_s: Time over which settlements are batched, in seconds.
-        log: Where events are reported.
+        interval_s: Time during which settlements are collected into a batch, in seconds.
+        log: Receives log events.
     """
 
     def __init__(self, link: ControlLink, interval_s: float, log: EventLog) -> None:
         self._link = link
         self._interval_s = interval_s
         self._tasks = TaskGroupOwner(log)
-        self._waiting: list[_Waiting] = []
-        self._pulse = Pulse()
+        self._pending: list[_PendingSettlement] = []
+        self._added = Pulse()
         self._unconfirmed = 0
         self._confirmed = Pulse()
         self._acknowledged: dict[str, list[agent_pb2.SettledReservation]] = defaultdict(list)
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         self._tasks.start("settle", self._run())
 
     async def stop(self) -> None:
-        """End at once."""
+        """Stop immediately; pending settlements are not sent."""
         await self._tasks.stop()
 
     def settle(
         self, settlement: ledger_pb2.Settlement, agent: str
     ) -> asyncio.Future[SettlementStatus]:
-        """Send a settlement; the future is done once it is durable.
+        """Queue a settlement to be sent.
 
         Args:
             settlement: The bill.
-            agent: Agent that holds a copy and may forget it then; "" for none.
+            agent: Agent that holds a copy, which it may delete once the bill is durable; "" if
+                none does.
+
+        Returns:
+            A future that completes once the settlement is durable.
         """
         durable: asyncio.Future[SettlementStatus] = asyncio.get_running_loop().create_future()
-        self._waiting.append(_Waiting(settlement, agent, durable))
+        self._pending.append(_PendingSettlement(settlement, agent, durable))
         self._unconfirmed += 1
-        self._pulse.give()
+        self._added.give()
         return durable
 
     def take_acknowledged(self, agent: str) -> list[agent_pb2.SettledReservation]:
-        """Return, once, the reservations whose bills an agent may forget."""
+        """Return and clear the reservations whose bills an agent may delete."""
         return self._acknowledged.pop(agent, [])
 
     async def flush(self) -> None:
@@ -96,27 +111,27 @@
 
     async def _run(self) -> None:
         while True:
-            if not self._waiting:
-                await self._pulse.wait()
+            if not self._pending:
+                await self._added.wait()
             await asyncio.sleep(self._interval_s)
-            batch, self._waiting = self._waiting[:_BATCH], self._waiting[_BATCH:]
+            batch, self._pending = self._pending[:_MAX_BATCH_SIZE], self._pending[_MAX_BATCH_SIZE:]
             self._tasks.start("send_batch", self._send(batch))
 
-    async def _send(self, batch: list[_Waiting]) -> None:
+    async def _send(self, batch: list[_PendingSettlement]) -> None:
         command = control_pb2.Command()
-        command.settle.settlements.extend(waiting.settlement for waiting in batch)
+        command.settle.settlements.extend(pending.settlement for pending in batch)
         result = await self._link.call(command)
-        for position, waiting in enumerate(batch):
-            if not waiting.durable.done():
-                waiting.durable.set_result(_standing(result, position))
+        for position, pending in enumerate(batch):
+            if not pending.durable.done():
+                pending.durable.set_result(_status_of(result, position))
             self._unconfirmed -= 1
-            if waiting.agent:
-                self._acknowledge(waiting.settlement, waiting.agent)
+            if pending.agent:
+                self._acknowledge(pending.settlement, pending.agent)
         self._confirmed.give()
 
     def _acknowledge(self, settlement: ledger_pb2.Settlement, agent: str) -> None:
         known = self._acknowledged[agent]
-        if len(known) < _ACKNOWLEDGED_KEPT:
+        if len(known) < _MAX_ACKNOWLEDGED_PER_AGENT:
             known.append(
                 agent_pb2.SettledReservation(
                     lease_id=settlement.lease_id, sequence=settlement.sequence
