--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -243,7 +243,7 @@
             directory = self._directory(Environment(random.Random(1), virtual=True))
             replica = directory.get("b1")
             assert replica is not None
-            directory.answered(replica, agent_pb2.AnswerHead(leaving=True))
+            directory.record_response_head(replica, agent_pb2.AnswerHead(leaving=True))
             self.assertNotIn(replica, directory.usable("s"))
 
         run_virtual(scenario())
