--- a/packages/heronladder-router/src/heronladder_router/errors.py
+++ b/packages/heronladder-router/src/heronladder_router/errors.py
@@ -239,7 +239,7 @@
 
     status = 503
     code = "version_not_admitted"
-    retry_after_s = 1  # a rollout advances or is rolled back within about a second
+    retry_after_s = 1  # admitted versions change quickly during a rollout
 
 
 class RegionUnservedError(CallerError):
--- a/packages/heronladder-router/src/heronladder_router/request_builder.py
+++ b/packages/heronladder-router/src/heronladder_router/request_builder.py
@@ -1,8 +1,8 @@
 """Building of admitted requests from HTTP requests.
 
 The builder authenticates the tenant, finds the service, checks that the tenant may call it, and
-computes the most tokens that the request can use. It is separate from the HTTP server so that
-the simulation uses it too.
+computes an upper bound on the tokens that the request uses. It does not depend on the HTTP
+server, so that simulated callers can use it too.
 """
 
 from collections.abc import Callable
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,8 @@
-"""The whole path over loopback sockets: callers, operators, planned stops, replay."""
+"""End-to-end tests over loopback sockets, with a small fleet of real daemons.
+
+They cover callers (OpenAI client and plain HTTP), the operator API, planned stops, and replay of
+a control member's data folder.
+"""
 
 import asyncio
 import io
@@ -21,14 +25,14 @@
 PROFILE = PROFILES["comedores"]
 
 
-class FleetTest(unittest.IsolatedAsyncioTestCase):
+class HttpEndToEndTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         logging.getLogger("heronladder").setLevel(logging.CRITICAL)
         asyncio.get_running_loop().set_debug(False)
         BOOK.clear()
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = Path(folder.name)
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        self.folder = Path(temporary.name)
         self.fleet = DemoFleet(PROFILE, self.folder, 100_000)
         await self.fleet.start()
         self.addAsyncCleanup(self.fleet.stop)
@@ -50,25 +54,27 @@
     async def _post(
         self, path: str, body: object, key: str = "", **headers: str
     ) -> tuple[aiohttp.ClientResponse, bytes]:
-        sent = {"Authorization": f"Bearer {key or tenant_key(PROFILE, 0)}", **headers}
+        sent_headers = {"Authorization": f"Bearer {key or tenant_key(PROFILE, 0)}", **headers}
         data = io.BytesIO(json.dumps(body).encode())
         async with (
             aiohttp.ClientSession() as session,
-            session.post(f"http://{self.router}{path}", data=data, headers=sent) as answer,
+            session.post(
+                f"http://{self.router}{path}", data=data, headers=sent_headers
+            ) as response,
         ):
-            return answer, await answer.read()
+            return response, await response.read()
 
-    async def test_the_openai_client_works_unmodified(self) -> None:
+    async def test_unmodified_openai_client(self) -> None:
         client = self._openai()
         models = await client.models.list()
         self.assertEqual([model.id for model in models.data], ["menu-1"])
         messages = [{"role": "user", "content": "Which dishes have nuts?"}]
         expected = whole_answer(b"user: Which dishes have nuts?", 20)
-        whole = await client.chat.completions.create(
+        complete = await client.chat.completions.create(
             model="menu-1", messages=messages, max_tokens=20
         )
-        self.assertEqual(whole.choices[0].message.content, expected)
-        assert whole.usage is not None
+        self.assertEqual(complete.choices[0].message.content, expected)
+        assert complete.usage is not None
         stream = await client.chat.completions.create(
             model="menu-1",
             messages=messages,
@@ -82,20 +88,20 @@
             usage = chunk.usage or usage
         self.assertEqual(text, expected)
         assert usage is not None
-        self.assertEqual(usage.completion_tokens, whole.usage.completion_tokens)
+        self.assertEqual(usage.completion_tokens, complete.usage.completion_tokens)
         plain = await client.completions.create(model="menu-1", prompt="Soup", max_tokens=9)
         self.assertEqual(plain.choices[0].text, whole_answer(b"Soup", 9))
         with self.assertRaises(openai.AuthenticationError):
             await self._openai("wrong").models.list()
-        with self.assertRaises(openai.NotFoundError) as missing:
+        with self.assertRaises(openai.NotFoundError) as not_found:
             await client.completions.create(model="none", prompt="Soup", max_tokens=9)
-        self.assertEqual(missing.exception.code, "model_not_found")
-        with self.assertRaises(openai.RateLimitError) as refused:
+        self.assertEqual(not_found.exception.code, "model_not_found")
+        with self.assertRaises(openai.RateLimitError) as rate_limited:
             await client.completions.create(model="menu-1", prompt="x", max_tokens=200_000)
-        self.assertEqual(refused.exception.code, "budget_exhausted")
-        self.assertEqual(refused.exception.response.headers["Heronladder-Outcome"], "not-run")
+        self.assertEqual(rate_limited.exception.code, "budget_exhausted")
+        self.assertEqual(rate_limited.exception.response.headers["Heronladder-Outcome"], "not-run")
 
-    async def test_orders_run_once_and_errors_say_what_happened(self) -> None:
+    async def test_orders_run_once_and_errors_report_the_outcome(self) -> None:
         path = "/services/pre-orders/orders"
         key = {"Idempotency-Key": "order-1"}
         first, body = await self._post(path, {"order_id": "o1"}, **key)
@@ -108,25 +114,25 @@
         async with aiohttp.ClientSession() as session:
             url = f"http://{self.router}/v1/outcomes/order-1"
             headers = {"Authorization": f"Bearer {tenant_key(PROFILE, 0)}"}
-            async with session.get(url, headers=headers) as answer:
-                self.assertEqual((await answer.json())["outcome"], "ran")
+            async with session.get(url, headers=headers) as response:
+                self.assertEqual((await response.json())["outcome"], "ran")
         unknown, body = await self._post("/services/none/x", {})
         self.assertEqual(unknown.status, 404)
         self.assertEqual(json.loads(body)["error"]["code"], "model_not_found")
         large, body = await self._post(path, {"order_id": "x" * 5_000_000})
         self.assertEqual((large.status, json.loads(body)["error"]["code"]), (413, "body_too_large"))
 
-    async def test_a_caller_that_disconnects_stops_the_engine(self) -> None:
+    async def test_disconnected_caller_stops_the_engine(self) -> None:
         for engine in self.fleet.engines.values():
             engine.set_faults(EngineFaults(slow_factor=20.0))
         async with aiohttp.ClientSession() as session:
             body = {"model": "menu-1", "prompt": "a" * 31, "max_tokens": 64, "stream": True}
             headers = {"Authorization": f"Bearer {tenant_key(PROFILE, 0)}"}
             url = f"http://{self.router}/v1/completions"
-            async with session.post(url, json=body, headers=headers) as answer:
-                await answer.content.readline()
+            async with session.post(url, json=body, headers=headers) as response:
+                await response.content.readline()
         running = 1
-        for _ in range(200):
+        for _ in range(200):  # at most 10 s
             running = sum(len(engine._running) for engine in self.fleet.engines.values())
             if not running:
                 break
@@ -135,34 +141,34 @@
         (run,) = next(iter(self.fleet.books.engine_runs.values()))
         self.assertFalse(run.finished)
 
-    async def test_operators_declare_race_watch_and_see_status(self) -> None:
+    async def test_operator_api_writes_conflicts_watch_and_status(self) -> None:
         found = await self.operator.get("tenant", "tenant-0")
         assert found is not None
         self.assertTrue(found["status"]["inForce"])
         created = await self.operator.put(_policy("p"), 0, 20.0)
         self.assertTrue(created["status"]["inForce"])
-        with self.assertRaises(ApiError) as raced:
+        with self.assertRaises(ApiError) as conflict:
             await self.operator.put(_policy("p", "power_of_two"), 0, 0)
-        self.assertEqual(raced.exception.status, 409)
-        self.assertEqual(raced.exception.document["currentVersion"], 1)
-        stranger = OperatorClient(self.fleet.api_addresses, tenant_key(PROFILE, 0))
-        with self.assertRaises(ApiError) as closed:
-            await stranger.list("tenant")
-        self.assertEqual(closed.exception.status, 401)
-        with self.assertRaises(ApiError) as referred:
+        self.assertEqual(conflict.exception.status, 409)
+        self.assertEqual(conflict.exception.document["currentVersion"], 1)
+        tenant_client = OperatorClient(self.fleet.api_addresses, tenant_key(PROFILE, 0))
+        with self.assertRaises(ApiError) as unauthorized:
+            await tenant_client.list("tenant")
+        self.assertEqual(unauthorized.exception.status, 401)
+        with self.assertRaises(ApiError) as referenced:
             await self.operator.call("DELETE", "/v1/Budget/budget-0")
-        self.assertEqual(referred.exception.status, 409)
+        self.assertEqual(referenced.exception.status, 409)
         document = await self.operator.call("GET", "/v1/status")
         self.assertEqual(document["heldUpBy"], [])
         self.assertEqual(len(document["daemons"]), 15)
-        seen = []
+        watched_names = []
         async for event in self.operator.watch(0, "RoutingPolicy"):
             if event["type"] == "bookmark":
                 break
-            seen.append(event["resource"]["metadata"]["name"])
-        self.assertEqual(seen, ["default", "p"])
+            watched_names.append(event["resource"]["metadata"]["name"])
+        self.assertEqual(watched_names, ["default", "p"])
 
-    async def test_a_watch_of_what_was_compacted_away_is_told_to_begin_anew(self) -> None:
+    async def test_watch_from_a_compacted_revision_is_told_to_resync(self) -> None:
         leader = self.fleet.leader()
         assert leader is not None and leader.control is not None
         table = leader.control.state.resources
@@ -173,23 +179,23 @@
                 break
             kinds.append(event["type"])
         self.assertEqual(kinds[0], "resync")
-        self.assertEqual(kinds.count("put"), 35)  # all resources of the profile
-        later = []
+        self.assertEqual(kinds.count("put"), 35)  # number of resources in the profile
+        later_kinds = []
         async for event in self.operator.watch(table.compacted_revision, ""):
             if event["type"] == "bookmark":
                 break
-            later.append(event["type"])
-        self.assertEqual(later, ["put"] * 3)
+            later_kinds.append(event["type"])
+        self.assertEqual(later_kinds, ["put"] * 3)
 
-    async def test_a_planned_stop_cuts_nothing_and_gives_leases_back(self) -> None:
+    async def test_planned_stop_completes_streams_and_returns_leases(self) -> None:
         body = {"model": "menu-1", "prompt": "a" * 31, "max_tokens": 64, "stream": True}
         call = asyncio.ensure_future(self._post("/v1/completions", body))
         await asyncio.sleep(0.05)
         name = next(iter(self.fleet.routers))
         daemon = self.fleet.routers.pop(name)
         await daemon.stop()
-        _, answer = await call
-        self.assertTrue(answer.endswith(b"data: [DONE]\n\n"))
+        _, body_received = await call
+        self.assertTrue(body_received.endswith(b"data: [DONE]\n\n"))
         leader = self.fleet.leader()
         assert leader is not None and leader.control is not None
         account = leader.control.state.ledger.account("budget-0")
@@ -198,10 +204,10 @@
         self.assertGreater(account.billed, 0)
 
     async def test_replay_explains_a_bill_from_the_data_folder(self) -> None:
-        answer, _ = await self._post(
+        response, _ = await self._post(
             "/services/pre-orders/orders", {"order_id": "o1"}, **{"Idempotency-Key": "k"}
         )
-        request_id = answer.headers["Heronladder-Request-Id"]
+        request_id = response.headers["Heronladder-Request-Id"]
         leader = self.fleet.leader()
         assert leader is not None
         name = leader.settings.common.name
