--- a/packages/heronladder-router/src/heronladder_router/forwarding_context.py
+++ b/packages/heronladder-router/src/heronladder_router/forwarding_context.py
@@ -41,7 +41,23 @@
 
 @dataclass
 class ForwardingContext:
-    """Components that forwarding uses."""
+    """Components that forwarding uses.
+
+    Attributes:
+        link: Link of the router to control.
+        channel: Connection to the agents.
+        directory: Directory of all replicas.
+        selector: Chooses the replica for an attempt.
+        admission: Queue of requests that wait for a free backend.
+        leases: Leases of the router.
+        settler: Sends settlements to control.
+        bookkeeper: Settles attempts.
+        claims: Claims requests at control.
+        outcome_queries: Resolves attempts whose outcome is unknown.
+        environment: Clock and random numbers.
+        metrics: Receives counters and histograms.
+        log: Receives log events.
+    """
 
     link: ControlLink
     channel: AgentChannel
--- a/packages/heronladder-router/src/heronladder_router/service_levels.py
+++ b/packages/heronladder-router/src/heronladder_router/service_levels.py
@@ -41,7 +41,7 @@
             now_s: Current time, in seconds on the event loop's clock.
         """
         if not self._last_chunk_s:
-            self._levels.first_token(self._request, now_s - self._started_s)
+            self._levels.record_first_token(self._request, now_s - self._started_s)
         else:
             self._gaps += 1
             self._gaps_met += now_s - self._last_chunk_s <= self._gap_limit_s
@@ -50,7 +50,7 @@
     def finish(self) -> None:
         """Record the end of the stream."""
         if self._gap_limit_s:
-            self._levels.count(self._request, _TOKEN_GAP, self._gaps, self._gaps_met)
+            self._levels.record_events(self._request, _TOKEN_GAP, self._gaps, self._gaps_met)
 
 
 class ServiceLevels:
@@ -63,7 +63,7 @@
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def count(self, request: CallerRequest, objective: str, total: int, met: int) -> None:
+    def record_events(self, request: CallerRequest, objective: str, total: int, met: int) -> None:
         """Add events to the counters of an objective.
 
         Args:
@@ -76,12 +76,14 @@
         self._metrics.add("objective_events", label, total)
         self._metrics.add("objective_met", label, met)
 
-    def first_token(self, request: CallerRequest, seconds: float) -> None:
+    def record_first_token(self, request: CallerRequest, seconds: float) -> None:
         """Record the time to the first chunk of a stream, in seconds."""
         self._metrics.observe("first_token", seconds, request.service)
         limit_ms = request.service_spec.first_token_objective_ms
         if limit_ms:
-            self.count(request, _FIRST_TOKEN, 1, int(seconds * MILLISECONDS_PER_SECOND <= limit_ms))
+            self.record_events(
+                request, _FIRST_TOKEN, 1, int(seconds * MILLISECONDS_PER_SECOND <= limit_ms)
+            )
 
     def record_complete_response(self, request: CallerRequest, seconds: float) -> None:
         """Record the time to a complete response, in seconds."""
@@ -89,7 +91,7 @@
         limit_ms = request.service_spec.call_objective_ms
         plain = request.service_spec.kind == resources_pb2.SERVICE_KIND_PLAIN
         if limit_ms and plain:
-            self.count(
+            self.record_events(
                 request, _COMPLETE_CALL, 1, int(seconds * MILLISECONDS_PER_SECOND <= limit_ms)
             )
 
