--- a/packages/heronladder-router/src/heronladder_router/attaching.py
+++ b/packages/heronladder-router/src/heronladder_router/attaching.py
@@ -19,11 +19,11 @@
     ChannelNotSentError,
     OutcomeUnknownError,
 )
-from heronladder_router.parts import (
-    ATTACH_PAUSE_S,
-    ATTACH_TRIES,
+from heronladder_router.forwarding_context import (
+    ATTACH_ATTEMPTS,
+    ATTACH_RETRY_DELAY_S,
     DONE_EVENT,
-    ForwardingParts,
+    ForwardingContext,
     error_event,
 )
 from heronladder_router.requests import CallerRequest
@@ -36,7 +36,7 @@
         parts: Components shared by the modules that forward requests.
     """
 
-    def __init__(self, parts: ForwardingParts) -> None:
+    def __init__(self, parts: ForwardingContext) -> None:
         self._parts = parts
 
     async def attach(
@@ -66,11 +66,11 @@
             attach=True,
         )
         refusal: agent_pb2.RefusalCode.ValueType = agent_pb2.REFUSAL_CODE_UNSPECIFIED
-        for _ in range(ATTACH_TRIES):
+        for _ in range(ATTACH_ATTEMPTS):
             try:
                 response = await self._parts.channel.dispatch(claim.agent_address, dispatch, b"")
             except (ChannelNotSentError, ChannelLostError):
-                await asyncio.sleep(ATTACH_PAUSE_S)
+                await asyncio.sleep(ATTACH_RETRY_DELAY_S)
                 continue
             if not response.refused:
                 return await self._attached_response(request, claim, response)
--- a/packages/heronladder-router/src/heronladder_router/attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/attempt.py
@@ -9,7 +9,7 @@
 
 from heronladder_router.bookkeeping import Bookkeeper
 from heronladder_router.leases import Reservation
-from heronladder_router.settler import Standing
+from heronladder_router.settlement_sender import SettlementStatus
 
 
 @dataclass
@@ -68,7 +68,7 @@
         """Settle an attempt that is known not to have run; nothing is charged."""
         self._settle(bookkeeper, not_run_settlement(self.dispatch))
 
-    def settle_lost(self, bookkeeper: Bookkeeper) -> asyncio.Future[Standing]:
+    def settle_lost(self, bookkeeper: Bookkeeper) -> asyncio.Future[SettlementStatus]:
         """Settle an attempt whose agent was lost.
 
         The reserved tokens stay charged to the budget, but the tenant is not billed.
@@ -83,6 +83,6 @@
 
     def _settle(
         self, bookkeeper: Bookkeeper, settlement: ledger_pb2.Settlement
-    ) -> asyncio.Future[Standing]:
+    ) -> asyncio.Future[SettlementStatus]:
         self.settled = True
         return bookkeeper.close(self.reservation, settlement, self.agent)
--- a/packages/heronladder-router/src/heronladder_router/parts.py
+++ b/packages/heronladder-router/src/heronladder_router/forwarding_context.py
@@ -1,4 +1,4 @@
-"""What forwarding works with, and what its parts share."""
+"""Settings and components shared by the modules that forward requests to agents."""
 
 import json
 from dataclasses import dataclass
@@ -19,20 +19,20 @@
 from heronladder_router.replicas import ReplicaDirectory
 from heronladder_router.requests import CallerRequest
 from heronladder_router.selection import ReplicaSelector
-from heronladder_router.settler import Settler
+from heronladder_router.settlement_sender import SettlementSender
 
-ATTACH_TRIES = 3
-ATTACH_PAUSE_S = 0.5
+ATTACH_ATTEMPTS = 3
+ATTACH_RETRY_DELAY_S = 0.5
 DONE_EVENT = b"data: [DONE]\n\n"
 
 
 @dataclass(frozen=True)
 class ForwardingOptions:
-    """Settings of forwarding.
+    """Settings for forwarding requests.
 
     Attributes:
         router: Name of the router.
-        admission_wait_s: Longest wait for budget or a free back end, in seconds.
+        admission_wait_s: Maximum wait for budget tokens or a free backend, in seconds.
     """
 
     router: str
@@ -40,8 +40,24 @@
 
 
 @dataclass
-class ForwardingParts:
-    """What forwarding works with."""
+class ForwardingContext:
+    """Components that forwarding uses.
+
+    Attributes:
+        link: Link of the router to control.
+        channel: Connection to the agents.
+        directory: Directory of all replicas.
+        selector: Chooses the replica for an attempt.
+        admission: Queue of requests that wait for a free backend.
+        leases: Leases of the router.
+        settler: Sends settlements to control.
+        bookkeeper: Settles attempts.
+        claims: Claims requests at control.
+        outcome_queries: Resolves attempts whose outcome is unknown.
+        environment: Clock and random numbers.
+        metrics: Receives counters and histograms.
+        log: Receives log events.
+    """
 
     link: ControlLink
     channel: AgentChannel
@@ -49,7 +65,7 @@
     selector: ReplicaSelector
     admission: AdmissionQueue
     leases: LeaseManager
-    settler: Settler
+    settler: SettlementSender
     bookkeeper: Bookkeeper
     claims: ClaimClient
     outcome_queries: OutcomeQueries
@@ -57,12 +73,12 @@
     metrics: Metrics
     log: EventLog
 
-    def left_s(self, request: CallerRequest) -> float:
-        """Return the time left for a request's answer, in seconds."""
+    def remaining_s(self, request: CallerRequest) -> float:
+        """Return the time left until the request's deadline, in seconds; at least 0."""
         return max(0.0, request.deadline_s - self.environment.monotonic())
 
-    def await_outcome(self, attempt: Attempt) -> None:
-        """Leave an attempt whose outcome is unknown to outcome_queries, which settles it."""
+    def defer_outcome(self, attempt: Attempt) -> None:
+        """Hand an attempt with unknown outcome over to ``outcome_queries``, which settles it."""
         attempt.settled = True
         self.outcome_queries.add(
             UnresolvedAttempt(
@@ -76,6 +92,6 @@
 
 
 def error_event(error: CallerError) -> bytes:
-    """Return the event that tells the reader of a stream that it broke."""
+    """Return the server-sent event that reports an error to the reader of a stream."""
     document = {"error": {"message": error.message, "type": error.code, "code": error.code}}
     return b"data: " + json.dumps(document).encode() + b"\n\n"
--- a/packages/heronladder-router/src/heronladder_router/gateway_server.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_server.py
@@ -17,7 +17,7 @@
 from heronladder_router.cached_prompt_parts import parse_prompt_parts
 from heronladder_router.error_response import OUTCOME_HEADER, error_response_body
 from heronladder_router.errors import (
-    OUTCOME_WORDS,
+    OUTCOME_HEADER_VALUES,
     BehindError,
     BodyTooLargeError,
     CallerError,
@@ -310,7 +310,7 @@
         Returns:
             The error itself, or an UnconfirmedError in its place.
         """
-        if not error.by_configuration or self._link.knows_newest:
+        if not error.depends_on_configuration or self._link.knows_newest:
             return error
         return UnconfirmedError(
             f"configuration may be out of date: {error.message}", step=error.step, peer=error.peer
@@ -340,7 +340,7 @@
             body=error_response_body(error.message, error.code),
             content_type="application/json",
         )
-        response.headers[OUTCOME_HEADER] = OUTCOME_WORDS[error.outcome]
+        response.headers[OUTCOME_HEADER] = OUTCOME_HEADER_VALUES[error.outcome]
         if request_id:
             response.headers[self._names.request_id] = request_id
         not_run = error.outcome == ledger_pb2.OUTCOME_NOT_RUN
--- a/packages/heronladder-router/src/heronladder_router/replica_attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_attempt.py
@@ -22,6 +22,7 @@
 from heronladder_router.gateway_header_names import GatewayHeaderNames
 from heronladder_router.gateway_request import GatewayRequest, ReplicaResponse, ResponseSink
 from heronladder_router.hop_by_hop_headers import forwarded_headers
+from heronladder_router.pending_prefill import PendingPrefill
 from heronladder_router.replica_client import (
     ReplicaClient,
     ReplicaLostError,
@@ -32,7 +33,6 @@
 from heronladder_router.replica_state import FleetReplica
 from heronladder_router.response_signals import read_signals
 from heronladder_router.rollouts.version_gates import AttemptObservation
-from heronladder_router.unread_prompt import UnreadPrompt
 
 _EVENT_STREAM = "text/event-stream"
 # These statuses tell a caller that the request did not run and never will.
@@ -119,7 +119,7 @@
         progress: ResponseProgress,
     ) -> None:
         unread = self._replicas.sent(replica, request.profile)
-        reading = UnreadPrompt(self._replicas, replica, unread, self._environment)
+        reading = PendingPrefill(self._replicas, replica, unread, self._environment)
         route = request.matched.route
         objective_s = route.objective_ms / MILLISECONDS_PER_SECOND
         seen = self._replicas.versions.sent(replica, route, objective_s, first=progress.sends == 1)
@@ -153,7 +153,7 @@
                 seen.given_up(self._environment.monotonic())
             raise
         finally:
-            reading.done()
+            reading.release()
             self._replicas.ended(replica)
             if response is not None:
                 # No effect after a complete response: its connection is already in the pool.
@@ -221,7 +221,7 @@
         response: aiohttp.ClientResponse,
         sink: ResponseSink,
         progress: ResponseProgress,
-        reading: UnreadPrompt,
+        reading: PendingPrefill,
         seen: AttemptObservation | None,
         sent_s: float,
     ) -> None:
@@ -285,7 +285,7 @@
         response: aiohttp.ClientResponse,
         sink: ResponseSink,
         progress: ResponseProgress,
-        reading: UnreadPrompt,
+        reading: PendingPrefill,
         seen: AttemptObservation | None,
     ) -> None:
         cutter = progress.cutter
--- a/packages/heronladder-router/src/heronladder_router/role.py
+++ b/packages/heronladder-router/src/heronladder_router/role.py
@@ -14,6 +14,7 @@
 
 from heronladder_router.admission import AdmissionQueue
 from heronladder_router.agent_channel import AgentChannel
+from heronladder_router.bill_copies import BillCopyDistributor
 from heronladder_router.bookkeeping import Bookkeeper
 from heronladder_router.caller_response import CallerResponse
 from heronladder_router.claims import ClaimClient
@@ -25,16 +26,15 @@
     UnknownServiceError,
 )
 from heronladder_router.forwarding import Forwarder
-from heronladder_router.intake import Intake
+from heronladder_router.forwarding_context import ForwardingContext, ForwardingOptions
 from heronladder_router.leases import LeaseManager
 from heronladder_router.outcome_queries import OutcomeQueries
-from heronladder_router.parts import ForwardingOptions, ForwardingParts
 from heronladder_router.platform_watch import PlatformWatch
 from heronladder_router.replicas import ReplicaDirectory
+from heronladder_router.request_builder import RequestBuilder
 from heronladder_router.requests import CallerRequest
 from heronladder_router.selection import ReplicaSelector
-from heronladder_router.settler import Settler
-from heronladder_router.witnesses import Witnesses
+from heronladder_router.settlement_sender import SettlementSender
 
 _DRAIN_POLL_INTERVAL_S = 0.05
 _STOP_TIMEOUT_S = 10.0
@@ -113,8 +113,8 @@
         self.confirmations = ConfirmationSender(self.link, self.attempts, self.log)
         handlers.daemon_notice = self._handle_agent_notice
         handlers.recall = self.leases.recall
-        self.settler = Settler(self.link, options.settle_interval_s, self.log)
-        self.intake = Intake(
+        self.settler = SettlementSender(self.link, options.settle_interval_s, self.log)
+        self.intake = RequestBuilder(
             options.region, configuration, environment, options.request_timeout_s, self.ready
         )
         self.claims = ClaimClient(self.link, environment)
@@ -129,7 +129,7 @@
 
     def _make_forwarder(self) -> Forwarder:
         options = self.options
-        parts = ForwardingParts(
+        parts = ForwardingContext(
             link=self.link,
             channel=self._channel,
             directory=self.directory,
@@ -154,7 +154,7 @@
         return Forwarder(forwarding_options, parts)
 
     def _make_bookkeeper(self) -> Bookkeeper:
-        witnesses = Witnesses(self.link, self._channel, self.directory, self.options.zone)
+        witnesses = BillCopyDistributor(self.link, self._channel, self.directory, self.options.zone)
         return Bookkeeper(
             self.leases, self.settler, witnesses, self.attempts, self.options.settle_wait_s
         )
--- a/packages/heronladder-router/src/heronladder_router/server.py
+++ b/packages/heronladder-router/src/heronladder_router/server.py
@@ -15,18 +15,18 @@
 from heronladder_router.caller_response import CallerResponse
 from heronladder_router.error_response import OUTCOME_HEADER, error_response_body
 from heronladder_router.errors import (
-    OUTCOME_WORDS,
+    OUTCOME_HEADER_VALUES,
     BodyTooLargeError,
     CallerError,
     DrainingError,
     InvalidRequestError,
     OverloadedError,
 )
-from heronladder_router.intake import (
+from heronladder_router.request_builder import (
     CHAT_PATH,
     COMPLETIONS_PATH,
-    Intake,
-    RawCall,
+    RawRequest,
+    RequestBuilder,
 )
 from heronladder_router.requests import CallerRequest
 from heronladder_router.service_levels import ServiceLevels
@@ -36,7 +36,7 @@
 _READ_BODY_TIMEOUT_S = 30.0
 _MAX_HEADER_BYTES = 8_190
 
-RequestFactory = Callable[[RawCall, str], CallerRequest]  # raw call, request id
+RequestFactory = Callable[[RawRequest, str], CallerRequest]  # raw call, request id
 
 
 class RequestForwarder(Protocol):
@@ -73,7 +73,7 @@
     def __init__(
         self,
         router: RequestForwarder,
-        intake: Intake,
+        intake: RequestBuilder,
         max_body_bytes: int,
         queue_limit: int,
         environment: Environment,
@@ -124,7 +124,7 @@
             request, lambda call, request_id: self._model_request(call, request_id, False)
         )
 
-    def _model_request(self, call: RawCall, request_id: str, chat: bool) -> CallerRequest:
+    def _model_request(self, call: RawRequest, request_id: str, chat: bool) -> CallerRequest:
         return self._intake.model_request(call, request_id, chat=chat)
 
     async def _service(self, request: web.Request) -> web.StreamResponse:
@@ -159,7 +159,7 @@
         finally:
             self._held_requests -= 1
 
-    async def _read_call(self, request: web.Request) -> RawCall:
+    async def _read_call(self, request: web.Request) -> RawRequest:
         try:
             body = await asyncio.wait_for(request.read(), _READ_BODY_TIMEOUT_S)
         except web.HTTPRequestEntityTooLarge:
@@ -174,7 +174,7 @@
         path = request.match_info.get("path", request.path)
         if request.query_string:
             path += "?" + request.query_string
-        return RawCall(
+        return RawRequest(
             authorization=request.headers.get("Authorization", ""),
             key=request.headers.get(IDEMPOTENCY_KEY_HEADER, ""),
             method=request.method,
@@ -194,12 +194,12 @@
     ) -> web.StreamResponse:
         headers = {
             REQUEST_ID_HEADER: caller_response.request_id,
-            OUTCOME_HEADER: OUTCOME_WORDS[ledger_pb2.OUTCOME_RAN],
+            OUTCOME_HEADER: OUTCOME_HEADER_VALUES[ledger_pb2.OUTCOME_RAN],
         }
         try:
             if caller_response.chunks is None:
                 elapsed_s = self._environment.monotonic() - started_s
-                self._service_levels.whole_answer(caller_request, elapsed_s)
+                self._service_levels.record_complete_response(caller_request, elapsed_s)
                 headers["Content-Type"] = caller_response.content_type
                 return web.Response(
                     status=caller_response.status, body=caller_response.body, headers=headers
@@ -223,12 +223,12 @@
         watch = self._service_levels.stream(caller_request, started_s)
         try:
             async for chunk in caller_response.chunks:
-                watch.part(self._environment.monotonic())
+                watch.record_chunk(self._environment.monotonic())
                 await response.write(chunk)
         except (ConnectionResetError, ConnectionAbortedError):
             self._metrics.add("callers_gone", caller_request.service)
         finally:
-            watch.done()
+            watch.finish()
 
     def _error_response(self, request_id: str, error: CallerError) -> web.Response:
         self._metrics.add("refused", error.code)
@@ -242,7 +242,7 @@
         )
         headers = {
             REQUEST_ID_HEADER: request_id,
-            OUTCOME_HEADER: OUTCOME_WORDS[error.outcome],
+            OUTCOME_HEADER: OUTCOME_HEADER_VALUES[error.outcome],
             "Content-Type": "application/json",
         }
         if error.retry_after_s is not None:
@@ -271,7 +271,7 @@
             outcome = await self._router.outcome(tenant, request.match_info["key"])
         except CallerError as error:
             return self._error_response("", error)
-        outcome_text = OUTCOME_WORDS[outcome]
+        outcome_text = OUTCOME_HEADER_VALUES[outcome]
         document = json.dumps({"key": request.match_info["key"], "outcome": outcome_text})
         return web.Response(
             text=document, content_type="application/json", headers={OUTCOME_HEADER: outcome_text}
--- a/packages/heronladder-router/src/heronladder_router/streaming.py
+++ b/packages/heronladder-router/src/heronladder_router/streaming.py
@@ -9,11 +9,11 @@
 from heronladder_router.attempt import Attempt
 from heronladder_router.caller_response import CallerResponse
 from heronladder_router.errors import BackendLostError, ChannelLostError, ChannelNotSentError
-from heronladder_router.parts import (
-    ATTACH_PAUSE_S,
-    ATTACH_TRIES,
+from heronladder_router.forwarding_context import (
+    ATTACH_ATTEMPTS,
+    ATTACH_RETRY_DELAY_S,
     DONE_EVENT,
-    ForwardingParts,
+    ForwardingContext,
     error_event,
 )
 from heronladder_router.replicas import Replica
@@ -28,7 +28,7 @@
         tasks: Runs the reading of streams whose callers have disconnected.
     """
 
-    def __init__(self, parts: ForwardingParts, tasks: TaskGroupOwner) -> None:
+    def __init__(self, parts: ForwardingContext, tasks: TaskGroupOwner) -> None:
         self._parts = parts
         self._tasks = tasks
 
@@ -47,9 +47,9 @@
         caller_response.chunks = self._relay(request, attempt, response)
 
         async def finish() -> None:
-            self._parts.directory.ended(replica)
+            self._parts.directory.record_attempt_ended(replica)
             if attempt.settled:
-                self._parts.directory.succeeded(replica)
+                self._parts.directory.record_success(replica)
             else:
                 self._tasks.start("finish_abandoned", self._finish_abandoned(attempt))
 
@@ -100,15 +100,15 @@
         """
         if not attempt.dispatch.keep_answer:
             return None
-        for _ in range(ATTACH_TRIES):
-            if self._parts.left_s(request) <= 0:
+        for _ in range(ATTACH_ATTEMPTS):
+            if self._parts.remaining_s(request) <= 0:
                 return None
             try:
                 response = await self._parts.channel.dispatch(
                     attempt.address, attempt.attach_dispatch(), b""
                 )
             except (ChannelNotSentError, ChannelLostError):
-                await asyncio.sleep(ATTACH_PAUSE_S)
+                await asyncio.sleep(ATTACH_RETRY_DELAY_S)
                 continue
             return None if response.refused else response
         return None
@@ -116,7 +116,7 @@
     def _end_broken_stream(self, request: CallerRequest, attempt: Attempt, reason: str) -> bytes:
         """Settle the attempt of an interrupted stream and return the event that reports it."""
         if attempt.dispatch.keep_answer:
-            self._parts.await_outcome(attempt)
+            self._parts.defer_outcome(attempt)
         else:
             attempt.settle_lost(self._parts.bookkeeper)
         self._parts.metrics.add("streams_broken", request.service)
@@ -140,4 +140,4 @@
         if response.end is not None:
             await attempt.bill(self._parts.bookkeeper, response.end)
         else:
-            self._parts.await_outcome(attempt)
+            self._parts.defer_outcome(attempt)
