--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -21,7 +21,7 @@
 from heronladder_control.heartbeat_spread import HeartbeatSpread, SpreadView
 from heronladder_control.leader_asks import FleetOutcome, LeaderAsks, Standing
 from heronladder_control.member_context import MemberContext
-from heronladder_control.order_times import LeaderTimes, OrderTimes
+from heronladder_control.order_timing import LeaderStageTimer, OrderTiming
 from heronladder_control.registration_batches import RegistrationBatches
 from heronladder_control.results import failure, success
 from heronladder_control.returning_replicas import ReturningReplicas
@@ -174,12 +174,12 @@
 
     # ---- at the leader ----------------------------------------------------
 
-    def _order(self, kind: str, about: str) -> OrderTimes:
-        return OrderTimes(kind, about, self._member.environment)
+    def _order(self, kind: str, about: str) -> OrderTiming:
+        return OrderTiming(kind, about, self._member.environment)
 
     async def carry(self, request: control_pb2.CarryRequest) -> control_pb2.CarryReply:
         """Carry out a command, or read, as the leader."""
-        times = LeaderTimes(self._member.environment)
+        times = LeaderStageTimer(self._member.environment)
         try:
             if not request.HasField("command"):
                 return await self._read_as_leader(request.read_rollout)
--- a/packages/heronladder-control/src/heronladder_control/leader_asks.py
+++ b/packages/heronladder-control/src/heronladder_control/leader_asks.py
@@ -13,7 +13,7 @@
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_control.member_context import MemberContext
-from heronladder_control.order_times import OrderTimes
+from heronladder_control.order_timing import OrderTiming
 from heronladder_control.registration_relay import RegistrationRelay
 from heronladder_control.results import failure
 
@@ -63,7 +63,7 @@
         self,
         request: control_pb2.CarryRequest,
         patience_s: float,
-        order: OrderTimes | None = None,
+        order: OrderTiming | None = None,
     ) -> FleetOutcome:
         """Ask, and report how long an order waited.
 
@@ -79,7 +79,7 @@
         return outcome
 
     async def _ask_until_clear(
-        self, request: control_pb2.CarryRequest, patience_s: float, order: OrderTimes | None
+        self, request: control_pb2.CarryRequest, patience_s: float, order: OrderTiming | None
     ) -> control_pb2.CarryReply | None:
         asked = SilenceWatch(self._member.environment)
         while True:
--- a/packages/heronladder-control/src/heronladder_control/order_times.py
+++ b/packages/heronladder-control/src/heronladder_control/order_timing.py
@@ -11,7 +11,7 @@
 
 
 @dataclass
-class OrderTimes:
+class OrderTiming:
     """One order at the member that received it.
 
     Attributes:
@@ -33,7 +33,7 @@
     def __post_init__(self) -> None:
         self.began_s = self.environment.monotonic()
 
-    def sent(self) -> None:
+    def record_send(self) -> None:
         """Note that a leader is given it."""
         self.tries += 1
         self.sent_s = self.environment.monotonic()
@@ -72,7 +72,7 @@
         return leader_ms + later_ms if leader_ms is not None and later_ms else None
 
 
-class LeaderTimes:
+class LeaderStageTimer:
     """When a leader reached each stage of an order, since it was given it.
 
     Args:
