--- a/packages/heronladder-control/src/heronladder_control/evacuations.py
+++ b/packages/heronladder-control/src/heronladder_control/evacuations.py
@@ -50,7 +50,7 @@
         return result
 
 
-class LateOrders:
+class OvertakenOrders:
     """Tells an order that was overtaken by its opposite while a member held it.
 
     An operator that gets no answer sends an order again to another member. The first copy
@@ -67,7 +67,7 @@
         self._leads_since_s = 0.0
         self._changed_s: dict[str, float] = {}  # by zone: the newest change of this term
 
-    def begin(self, term: int) -> None:
+    def start_term(self, term: int) -> None:
         """Begin as the leader of a term: an earlier one may have changed any zone until now."""
         self._term = term
         self._leads_since_s = self._environment.monotonic()
@@ -77,7 +77,7 @@
         """Note that a zone was evacuated or taken back."""
         self._changed_s[zone] = self._environment.monotonic()
 
-    def is_late(self, zone: str, age_s: float, term: int) -> bool:
+    def is_overtaken(self, zone: str, age_s: float, term: int) -> bool:
         """Whether an order of this age is older than the newest change of its zone.
 
         Args:
--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -17,7 +17,7 @@
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_control.cold_reports import ColdReports
-from heronladder_control.evacuations import LateOrders
+from heronladder_control.evacuations import OvertakenOrders
 from heronladder_control.heartbeat_spread import HeartbeatSpread, SpreadView
 from heronladder_control.leader_asks import FleetOutcome, LeaderAsks, Standing
 from heronladder_control.member_context import MemberContext
@@ -44,7 +44,7 @@
         self._member = member
         self._returning = ReturningReplicas(member.environment)
         self._cold_reports = ColdReports(member.environment)
-        self._late_orders = LateOrders(member.environment)
+        self._late_orders = OvertakenOrders(member.environment)
         self._spread = HeartbeatSpread(member.environment)
         member.metrics.gauge("heartbeats_moved", lambda: self._spread.moved)
         self._asks = LeaderAsks(member, self.carry)
@@ -275,7 +275,7 @@
             return False
         order = request.command.set_evacuation
         age_s = request.age_ms / MILLISECONDS_PER_SECOND
-        is_late = self._late_orders.is_late(order.zone, age_s, self._member.node.term)
+        is_late = self._late_orders.is_overtaken(order.zone, age_s, self._member.node.term)
         self._member.log.info(
             "evacuation_ordered",
             step="evacuate",
@@ -291,7 +291,7 @@
 
     def begin_term(self) -> None:
         """Begin as the leader."""
-        self._late_orders.begin(self._member.node.term)
+        self._late_orders.start_term(self._member.node.term)
         self._rollout_orders.begin()
 
     def applied(self, command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
--- a/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
@@ -4,7 +4,7 @@
 
 from heronladder_schema.v1 import control_pb2
 
-from heronladder_control.evacuations import LateOrders
+from heronladder_control.evacuations import OvertakenOrders
 from heronladder_control.member_context import MemberContext
 from heronladder_control.rollouts.table import RUNNING, phase_name
 
@@ -22,13 +22,13 @@
 
     def __init__(self, member: MemberContext) -> None:
         self._member = member
-        self._late = LateOrders(member.environment)
+        self._late = OvertakenOrders(member.environment)
         self._ended_s: dict[str, float] = {}  # by service, in this term
         self._began_s = 0.0
 
     def begin(self) -> None:
         """Begin as the leader: any order may have ended just now."""
-        self._late.begin(self._member.node.term)
+        self._late.start_term(self._member.node.term)
         self._ended_s.clear()
         self._began_s = self._member.environment.monotonic()
 
@@ -43,7 +43,7 @@
         now_s = self._member.environment.monotonic()
         order.anew = now_s - self._ended_s.get(order.service, self._began_s) >= _REPEATS_S
         same = held is not None and held.target == order.target
-        late = not same and self._late.is_late(order.service, age_s, self._member.node.term)
+        late = not same and self._late.is_overtaken(order.service, age_s, self._member.node.term)
         self._member.log.info(
             "rollout_ordered",
             step="rollout",
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -4,7 +4,7 @@
 import unittest
 from typing import Any
 
-from heronladder_control.evacuations import EvacuationTable, LateOrders
+from heronladder_control.evacuations import EvacuationTable, OvertakenOrders
 from heronladder_control.resources import ResourceTable
 from heronladder_control.state import ControlState
 from heronladder_runtime.clock import Environment
@@ -60,23 +60,23 @@
 
     def setUp(self) -> None:
         self.clock = _Clock()
-        self.orders = LateOrders(self.clock)
-        self.orders.begin(1)
+        self.orders = OvertakenOrders(self.clock)
+        self.orders.start_term(1)
         self.clock.now_s += 60
 
     def test_one_that_its_opposite_has_overtaken_is_late(self) -> None:
         self.orders.changed("a")
         self.clock.now_s += 1.0
-        self.assertTrue(self.orders.is_late("a", 1.5, 1))
-        self.assertFalse(self.orders.is_late("a", 0.5, 1))
-        self.assertFalse(self.orders.is_late("b", 1.5, 1))
+        self.assertTrue(self.orders.is_overtaken("a", 1.5, 1))
+        self.assertFalse(self.orders.is_overtaken("a", 0.5, 1))
+        self.assertFalse(self.orders.is_overtaken("b", 1.5, 1))
 
     def test_a_new_leader_takes_no_order_from_before_its_term(self) -> None:
-        self.orders.begin(2)
+        self.orders.start_term(2)
         self.clock.now_s += 1.0
-        self.assertTrue(self.orders.is_late("a", 1.5, 2))
-        self.assertFalse(self.orders.is_late("a", 0.5, 2))
-        self.assertTrue(self.orders.is_late("a", 0.5, 3))  # a term that has yet to begin
+        self.assertTrue(self.orders.is_overtaken("a", 1.5, 2))
+        self.assertFalse(self.orders.is_overtaken("a", 0.5, 2))
+        self.assertTrue(self.orders.is_overtaken("a", 0.5, 3))  # a term that has yet to begin
 
 
 class EvacuationTest(unittest.IsolatedAsyncioTestCase):
