--- a/packages/heronladder-control/src/heronladder_control/daemon_session.py
+++ b/packages/heronladder-control/src/heronladder_control/daemon_session.py
@@ -4,7 +4,7 @@
 from heronladder_runtime.pulse import Pulse
 from heronladder_schema.v1 import control_pb2
 
-from heronladder_control.lender_news import LenderNews
+from heronladder_control.lender_updates import LenderUpdates
 
 
 class DaemonSession:
@@ -40,7 +40,7 @@
         self.told_routers = 0
         self.told_version = 0  # cluster version
         self.sent_limits = 0  # changes of replicas' limits up to this number were told
-        self.lenders = LenderNews()
+        self.lenders = LenderUpdates()
         # Whether it is told what others have under way at replicas. Gateways are from the first
         # heartbeat on: one that had nothing under way at its beats was never told, and sent its
         # first burst as if all replicas were idle.
--- a/packages/heronladder-control/src/heronladder_control/lender_news.py
+++ b/packages/heronladder-control/src/heronladder_control/lender_updates.py
@@ -5,20 +5,20 @@
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
 
-class LenderNews:
+class LenderUpdates:
     """Keeps what a stream has told of lenders, and what is still to be told."""
 
     def __init__(self) -> None:
         self._told: dict[str, tuple[str, str]] = {}  # zone and address, by name
         self._due: dict[str, control_pb2.Lender] = {}
 
-    def know_all(self, records: Iterable[ledger_pb2.DaemonRecord]) -> None:
+    def record_daemons(self, records: Iterable[ledger_pb2.DaemonRecord]) -> None:
         """Take in all daemons, for the first frame of a stream."""
         for record in records:
             if record.lending_address and not record.gone:
-                self.know(record)
+                self.record_daemon(record)
 
-    def know(self, record: ledger_pb2.DaemonRecord) -> bool:
+    def record_daemon(self, record: ledger_pb2.DaemonRecord) -> bool:
         """Take in a daemon that registered or is gone; return whether that is news.
 
         A restart alone is none: the name, zone and address are the same.
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -142,7 +142,7 @@
             if record.role == other_role:
                 self._notice(session, record.name, record.incarnation, record.gone)
         if hello.daemon.lending_address:
-            session.lenders.know_all(self._member.state.daemons.daemons.values())
+            session.lenders.record_daemons(self._member.state.daemons.daemons.values())
         if hello.daemon.role == ROLE_AGENT:
             for collection in self._member.state.daemons.collections.values():
                 if name in collection.awaited_agents:
