--- a/packages/heronladder-control/src/heronladder_control/allotments.py
+++ b/packages/heronladder-control/src/heronladder_control/allotments.py
@@ -14,7 +14,7 @@
 _LOW_SHARE = 8  # an account is low under 1/8 of what it was ever allotted
 
 
-class AllotmentKeeper:
+class AllotmentRequester:
     """Moves tokens from other regions' accounts into this region's.
 
     Args:
--- a/packages/heronladder-control/src/heronladder_control/member.py
+++ b/packages/heronladder-control/src/heronladder_control/member.py
@@ -17,7 +17,7 @@
 from heronladder_runtime.rpc import StubFactory
 from heronladder_schema.v1 import control_pb2
 
-from heronladder_control.allotments import AllotmentKeeper
+from heronladder_control.allotments import AllotmentRequester
 from heronladder_control.cluster_version import ClusterVersionKeeper
 from heronladder_control.crashes.refusals import Refusals
 from heronladder_control.daemons import ROLE_ROUTER
@@ -81,7 +81,7 @@
         self.rollouts = RolloutConductor(self)
         self.refusals = Refusals(self.state.crashes, environment, self.metrics, self.log)
         self.fleet_service = FleetService(self)
-        self.allotments = AllotmentKeeper(self)
+        self.allotments = AllotmentRequester(self)
         self.service = ControlService(
             self,
             SessionParts(self.promise_notes, self.rollouts, self.fleet_service, self.allotments),
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -13,7 +13,7 @@
 from heronladder_schema.v1 import control_pb2
 from heronladder_schema.v1.control_pb2_grpc import ControlServicer
 
-from heronladder_control.allotments import AllotmentKeeper
+from heronladder_control.allotments import AllotmentRequester
 from heronladder_control.config_feed import ConfigFeed
 from heronladder_control.daemon_builds import DaemonBuilds
 from heronladder_control.daemon_session import DaemonSession
@@ -46,7 +46,7 @@
     promise_notes: PromiseNotes
     rollouts: RolloutConductor
     fleet_service: FleetService
-    allotments: AllotmentKeeper
+    allotments: AllotmentRequester
 
 
 class ControlService(ControlServicer):
