--- a/packages/heronladder-control/src/heronladder_control/member.py
+++ b/packages/heronladder-control/src/heronladder_control/member.py
@@ -27,7 +27,7 @@
 from heronladder_control.member_context import MemberContext
 from heronladder_control.options import ControlOptions
 from heronladder_control.prepaid_watch import HolderKey
-from heronladder_control.promise_notes import PromiseNotes
+from heronladder_control.promise_recorder import PromiseRecorder
 from heronladder_control.rollouts.conductor import RolloutConductor
 from heronladder_control.sessions import ControlService, SessionParts
 from heronladder_control.state import ControlState
@@ -77,7 +77,7 @@
         )
         super().__init__(options, node, state, stubs, environment)
         self.cluster_versions = ClusterVersionKeeper(self)
-        self.promise_notes = PromiseNotes(self)
+        self.promise_notes = PromiseRecorder(self)
         self.rollouts = RolloutConductor(self)
         self.refusals = Refusals(self.state.crashes, environment, self.metrics, self.log)
         self.fleet_service = FleetService(self)
--- a/packages/heronladder-control/src/heronladder_control/promise_notes.py
+++ b/packages/heronladder-control/src/heronladder_control/promise_recorder.py
@@ -26,7 +26,7 @@
 _WITNESSES = 16  # routers whose wall clocks are noted; half of them must be heard again
 
 
-class PromiseNotes:
+class PromiseRecorder:
     """The leader's task that notes promises.
 
     Args:
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -21,7 +21,7 @@
 from heronladder_control.fleet_commands import FLEET_COMMANDS, RESOURCE_COMMANDS
 from heronladder_control.fleet_service import FleetService
 from heronladder_control.member_context import MemberContext
-from heronladder_control.promise_notes import PromiseNotes
+from heronladder_control.promise_recorder import PromiseRecorder
 from heronladder_control.recalls import recall_leases, recall_prepaid
 from heronladder_control.replica_limits import SharedReplicaLimits
 from heronladder_control.replica_loads import ReplicaLoads
@@ -43,7 +43,7 @@
         allotments: Knows whether tokens may come from other regions.
     """
 
-    promise_notes: PromiseNotes
+    promise_notes: PromiseRecorder
     rollouts: RolloutConductor
     fleet_service: FleetService
     allotments: AllotmentRequester
--- a/tests/lending_control.py
+++ b/tests/lending_control.py
@@ -13,7 +13,7 @@
 from heronladder_control.daemon_session import DaemonSession
 from heronladder_control.member import ControlMember
 from heronladder_control.prepaid_watch import PrepaidWatch
-from heronladder_control.promise_notes import PromiseNotes
+from heronladder_control.promise_recorder import PromiseRecorder
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 from heronladder_runtime.errors import HeronladderError
 from heronladder_runtime.logs import EventLog
@@ -63,7 +63,7 @@
         self.node = SimpleNamespace(is_leader=True, term=term, changed=Pulse())
         self.state = SimpleNamespace(prepaid=table, is_current=self.is_current)
         self._current = current
-        self.notes = PromiseNotes(cast(ControlMember, self))
+        self.notes = PromiseRecorder(cast(ControlMember, self))
         self.prepaid_watch.begin(term, table.last_promises)
 
     def is_current(self, name: str, incarnation: str) -> bool:
--- a/tests/test_prepaid_promises.py
+++ b/tests/test_prepaid_promises.py
@@ -8,7 +8,7 @@
 from decided_draws import DecidedPrepaidTable
 from heronladder_control import prepaid_watch
 from heronladder_control.prepaid_watch import HolderKey, PrepaidWatch
-from heronladder_control.promise_notes import PromiseNotes
+from heronladder_control.promise_recorder import PromiseRecorder
 from heronladder_router.tokens.window import SpendingWindow
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 from heronladder_runtime.prepaid_window import PACE_FROM_S, WINDOW_HOLDS_S, paced
@@ -93,24 +93,27 @@
             run_virtual(loss_amid_a_rush(3.4, leader_first=True, clock_ahead_s=4.0))
 
     def test_a_silence_that_the_notes_do_not_tell(self) -> None:
-        real = PromiseNotes._fill
+        real = PromiseRecorder._fill
 
-        def fill(notes: PromiseNotes, order: control_pb2.NotePromises) -> None:
+        def fill(notes: PromiseRecorder, order: control_pb2.NotePromises) -> None:
             real(notes, order)
             order.ClearField("silent")
 
-        with patch.object(PromiseNotes, "_fill", fill), self.assertRaises(AssertionError):
+        with patch.object(PromiseRecorder, "_fill", fill), self.assertRaises(AssertionError):
             run_virtual(loss_amid_a_rush(3.4))
 
     def test_heard_before_what_was_used_is_in_the_log(self) -> None:
-        real = PromiseNotes.heartbeat
+        real = PromiseRecorder.heartbeat
 
-        def heartbeat(notes: PromiseNotes, session: Any, told: control_pb2.Heartbeat) -> None:
+        def heartbeat(notes: PromiseRecorder, session: Any, told: control_pb2.Heartbeat) -> None:
             holder = (session.record.name, session.record.incarnation)
             notes._member.prepaid_watch.note_contact(holder, told)
             real(notes, session, told)
 
-        with patch.object(PromiseNotes, "heartbeat", heartbeat), self.assertRaises(AssertionError):
+        with (
+            patch.object(PromiseRecorder, "heartbeat", heartbeat),
+            self.assertRaises(AssertionError),
+        ):
             run_virtual(loss_as_silence_ends())
 
     def test_used_before_the_promise_is_in_the_log(self) -> None:
