--- a/packages/heronladder-control/src/heronladder_control/claims.py
+++ b/packages/heronladder-control/src/heronladder_control/claims.py
@@ -110,7 +110,7 @@
         if not settled_now and claim.state == ledger_pb2.CLAIM_STATE_DONE:
             claim.already_billed = True
 
-    def mark_ran_if(self, settlement: ledger_pb2.Settlement) -> None:
+    def mark_done_if_ran(self, settlement: ledger_pb2.Settlement) -> None:
         """Note that a claimed request was executed, if its settlement says so."""
         if settlement.outcome != ledger_pb2.OUTCOME_RAN:
             return
--- a/packages/heronladder-control/src/heronladder_control/daemons.py
+++ b/packages/heronladder-control/src/heronladder_control/daemons.py
@@ -80,7 +80,7 @@
         collection = self.collections.pop(key, None)
         if collection is not None:
             self._ledger.close(*key, records_lost=False)
-        self._ledger.free_kept(*key)
+        self._ledger.release_kept_charges(*key)
         return success()
 
     def forget_agent(self, name: str) -> None:
--- a/packages/heronladder-control/src/heronladder_control/ledger.py
+++ b/packages/heronladder-control/src/heronladder_control/ledger.py
@@ -200,7 +200,7 @@
         self._leased[key] += tokens
         self.check_conservation(self.accounts[key])
 
-    def give_back(self, order: control_pb2.ReturnLease) -> control_pb2.CommandResult:
+    def return_tokens(self, order: control_pb2.ReturnLease) -> control_pb2.CommandResult:
         """Move unspent tokens from a lease back into its account."""
         lease = self.leases.get(order.lease_id)
         if lease is None or lease.state != ledger_pb2.LEASE_STATE_OPEN:
@@ -270,7 +270,7 @@
         self.kept_charges.append(charge)
         del self.kept_charges[:-_KEPT_CHARGES]
 
-    def free_kept(self, holder: str, incarnation: str) -> None:
+    def release_kept_charges(self, holder: str, incarnation: str) -> None:
         """Free what stayed charged for a holder that turns out to have settled all."""
         kept = []
         for charge in self.kept_charges:
@@ -285,7 +285,7 @@
 
     # ---- settlements ------------------------------------------------------
 
-    def standing(self, settlement: ledger_pb2.Settlement) -> Standing:
+    def settlement_standing(self, settlement: ledger_pb2.Settlement) -> Standing:
         """Return how a settlement stands to what its reservation came to before."""
         lease = self.leases.get(settlement.lease_id)
         if lease is None:
--- a/packages/heronladder-control/src/heronladder_control/state.py
+++ b/packages/heronladder-control/src/heronladder_control/state.py
@@ -116,7 +116,7 @@
             case "grant_lease":
                 return self._grant(order.grant_lease)
             case "return_lease":
-                return self.ledger.give_back(order.return_lease)
+                return self.ledger.return_tokens(order.return_lease)
             case "settle":
                 return self._settle(order.settle)
             case "claim":
@@ -255,7 +255,7 @@
     def _settle(self, order: control_pb2.Settle) -> control_pb2.CommandResult:
         result = success()
         for position, settlement in enumerate(order.settlements):
-            standing = self.ledger.standing(settlement)
+            standing = self.ledger.settlement_standing(settlement)
             if standing is Standing.LEASE_CLOSED:
                 result.lease_closed.append(position)
             elif standing is Standing.BILLED_BEFORE:
@@ -263,7 +263,7 @@
             elif standing is Standing.LOST_BEFORE:
                 result.lost_before.append(position)
             if self._settle_one(settlement) and settlement.request_id:
-                self.claims.mark_ran_if(settlement)
+                self.claims.mark_done_if_ran(settlement)
         return result
 
     def _settle_one(self, settlement: ledger_pb2.Settlement) -> bool:
