--- a/packages/heronladder-control/src/heronladder_control/member.py
+++ b/packages/heronladder-control/src/heronladder_control/member.py
@@ -199,7 +199,7 @@
         self.fleet_service.begin_term()
         self.rollouts.begin()
         self.refusals.begin()
-        self.prepaid_watch.begin(self.node.term, self.state.prepaid.last_promises)
+        self.prepaid_watch.start_term(self.node.term, self.state.prepaid.last_promises)
         for session in self.sessions.values():
             self.service.note_connected(session)
 
@@ -302,7 +302,7 @@
     async def _close_prepaid_holder(self, holder: HolderKey) -> None:
         table = self.state.prepaid
         command = control_pb2.Command()
-        command.close_prepaid_holder.CopyFrom(self.prepaid_watch.charges(holder, table))
+        command.close_prepaid_holder.CopyFrom(self.prepaid_watch.close_command(holder, table))
         lived_on_s = self.prepaid_watch.lived_on_s(holder)
         held, spent = table.held_and_spent(holder)
         result = await self.propose(command)
--- a/packages/heronladder-control/src/heronladder_control/prepaid_watch.py
+++ b/packages/heronladder-control/src/heronladder_control/prepaid_watch.py
@@ -66,7 +66,7 @@
         self._starts: dict[str, list[_Start]] = {}
         self._wall_ahead_ms: dict[str, float] = {}  # at most, by router
 
-    def begin(self, term: int, notes: control_pb2.NotePromises) -> None:
+    def start_term(self, term: int, notes: control_pb2.NotePromises) -> None:
         """Begin as the leader of a term.
 
         Args:
@@ -78,7 +78,7 @@
         self._began_s = self._environment.monotonic()
         self._earlier.CopyFrom(notes)
 
-    def opened(self, holder: HolderKey, term: int) -> None:
+    def note_stream_opened(self, holder: HolderKey, term: int) -> None:
         """Note that a router opened a stream in a term, which may begin only then."""
         self._enter(term)
         self._contacts[holder] = _Contact()
@@ -92,7 +92,7 @@
         self._wall_ahead_ms.clear()
         self._earlier.Clear()
 
-    def wall_clock(self, router: str, heartbeat: control_pb2.Heartbeat) -> None:
+    def note_wall_clock(self, router: str, heartbeat: control_pb2.Heartbeat) -> None:
         """Take in a router's wall clock."""
         if not heartbeat.control_time_ms:
             return
@@ -118,7 +118,7 @@
         contact = self._contacts.get(holder)
         return contact.control_s if contact is not None else float("-inf")
 
-    def replaced(self, holder: str, incarnation: str, process_age_s: float = 0.0) -> None:
+    def note_successor(self, holder: str, incarnation: str, process_age_s: float = 0.0) -> None:
         """Note that a new incarnation of a router was heard of: the others have ended.
 
         Args:
@@ -141,9 +141,11 @@
             return False
         if self.last_contact_s(holder) > float("-inf") or not self._earlier.wall_ahead_ms:
             return False
-        return len(self._witnesses()) < self._needed_witnesses()
+        return len(self._shared_wall_clocks()) < self._required_wall_clocks()
 
-    def charges(self, holder: HolderKey, table: PrepaidTable) -> control_pb2.ClosePrepaidHolder:
+    def close_command(
+        self, holder: HolderKey, table: PrepaidTable
+    ) -> control_pb2.ClosePrepaidHolder:
         """Return the command that closes a lost router's accounts.
 
         A tenant without a charge in it is charged all that was held.
@@ -177,8 +179,8 @@
     def _earlier_contact_s(self, holder: HolderKey) -> float:
         """Return when a router surely heard an earlier leader, on this one's clock."""
         notes = self._earlier
-        witnesses = self._witnesses()
-        if holder[1] in notes.silent or len(witnesses) < self._needed_witnesses():
+        witnesses = self._shared_wall_clocks()
+        if holder[1] in notes.silent or len(witnesses) < self._required_wall_clocks():
             return float("-inf")
         made_ms = min(
             notes.leader_time_ms + notes.wall_ahead_ms[name] - self._wall_ahead_ms[name]
@@ -186,11 +188,11 @@
         )
         return (made_ms - notes.heard_within_ms) / MILLISECONDS_PER_SECOND
 
-    def _witnesses(self) -> list[str]:
+    def _shared_wall_clocks(self) -> list[str]:
         """Return the routers whose wall clock is known from the notes and from now."""
         return [name for name in self._earlier.wall_ahead_ms if name in self._wall_ahead_ms]
 
-    def _needed_witnesses(self) -> int:
+    def _required_wall_clocks(self) -> int:
         return max(_LEAST_WITNESSES, math.ceil(len(self._earlier.wall_ahead_ms) / 2))
 
     @staticmethod
--- a/packages/heronladder-control/src/heronladder_control/promise_recorder.py
+++ b/packages/heronladder-control/src/heronladder_control/promise_recorder.py
@@ -23,7 +23,7 @@
 # Without any that rose: how long ago the newest notes were made is charged at the pace.
 _LONGEST_PAUSE_S = 0.25
 _SILENT_AFTER_S = 1.0  # three heartbeats without a word that it heard us
-_WITNESSES = 16  # routers whose wall clocks are noted; half of them must be heard again
+_MAX_NOTED_WALL_CLOCKS = 16  # routers whose wall clocks are noted; half of them must be heard again
 
 
 class PromiseRecorder:
@@ -47,7 +47,7 @@
         now_ms = int(self._member.environment.monotonic() * MILLISECONDS_PER_SECOND)
         # It was read before it came here: the wall clock is ahead by no less.
         self._wall_ahead_ms[name] = heartbeat.wall_ms - now_ms
-        self._member.prepaid_watch.wall_clock(name, heartbeat)
+        self._member.prepaid_watch.note_wall_clock(name, heartbeat)
         if not heartbeat.promises:  # all that it promised is in the log
             self._member.prepaid_watch.note_contact((name, session.record.incarnation), heartbeat)
             return
@@ -117,5 +117,5 @@
             else:
                 longest_s = max(longest_s, age_s)
         notes.heard_within_ms = int(longest_s * MILLISECONDS_PER_SECOND) + 1
-        for name in sorted(self._wall_ahead_ms)[:_WITNESSES]:
+        for name in sorted(self._wall_ahead_ms)[:_MAX_NOTED_WALL_CLOCKS]:
             notes.wall_ahead_ms[name] = self._wall_ahead_ms[name]
--- a/tests/lending_control.py
+++ b/tests/lending_control.py
@@ -64,7 +64,7 @@
         self.state = SimpleNamespace(prepaid=table, is_current=self.is_current)
         self._current = current
         self.notes = PromiseRecorder(cast(ControlMember, self))
-        self.prepaid_watch.begin(term, table.last_promises)
+        self.prepaid_watch.start_term(term, table.last_promises)
 
     def is_current(self, name: str, incarnation: str) -> bool:
         """Whether a router's incarnation may act."""
@@ -89,7 +89,7 @@
     def open_session(self, record: ledger_pb2.DaemonRecord) -> DaemonSession:
         """Open a router's stream."""
         session = DaemonSession(control_pb2.Hello(daemon=record))
-        self.prepaid_watch.opened((record.name, record.incarnation), self.term)
+        self.prepaid_watch.note_stream_opened((record.name, record.incarnation), self.term)
         return session
 
     def heartbeat(self, session: DaemonSession, heartbeat: control_pb2.Heartbeat) -> int:
@@ -99,7 +99,7 @@
 
     def close(self, holder: tuple[str, str]) -> Any:
         """Charge a router that is gone; return its order."""
-        order = self.prepaid_watch.charges(holder, self.table)
+        order = self.prepaid_watch.close_command(holder, self.table)
         self.table.close(order)
         self.prepaid_watch.forget(holder)
         return order
--- a/tests/lending_fleet.py
+++ b/tests/lending_fleet.py
@@ -107,7 +107,7 @@
     def register(self, process: Process) -> None:
         """Take in a process that began; the one before it has ended."""
         self.current[process.name] = process.incarnation
-        self.control.prepaid_watch.replaced(process.name, process.incarnation)
+        self.control.prepaid_watch.note_successor(process.name, process.incarnation)
         for holder in list(self.account.holders):
             if holder.holder == process.name and holder.incarnation != process.incarnation:
                 self.tasks.start(
@@ -148,7 +148,7 @@
         process.access.drop_all()
         process.link.record.incarnation = self.environment.new_id(process.name)
         self.current[process.name] = process.link.record.incarnation
-        self.control.prepaid_watch.replaced(process.name, process.link.record.incarnation)
+        self.control.prepaid_watch.note_successor(process.name, process.link.record.incarnation)
         process.link.end_stream()
 
     def control_restarts(self) -> None:
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -197,10 +197,10 @@
     def setUp(self) -> None:
         self.clock = _Clock()
         self.watch = PrepaidWatch(self.clock)
-        self.watch.begin(1, control_pb2.NotePromises())
+        self.watch.start_term(1, control_pb2.NotePromises())
         self.table = _table(1000)
         self.table.draw(_draw("a", 1, wanted=300))
-        self.watch.opened(("a", "1"), term=1)
+        self.watch.note_stream_opened(("a", "1"), term=1)
         self._beat(0, 40)
 
     def _beat(self, heard_ms: int, most: int = 0) -> None:
@@ -214,13 +214,13 @@
         self.watch.note_contact(("a", "1"), heartbeat)
 
     def _charge(self) -> int:
-        self.table.close(self.watch.charges(("a", "1"), self.table))
+        self.table.close(self.watch.close_command(("a", "1"), self.table))
         return self.table.accounts[_TENANT].closed_charge
 
     def test_replaced_in_time_it_is_charged_what_it_announced(self) -> None:
         self._beat(100_000, 60)
         self.clock.now_s = 100.0 + WINDOW_HOLDS_S - 0.2
-        self.watch.replaced("a", "2")
+        self.watch.note_successor("a", "2")
         self.clock.now_s = 110.0
         self.assertEqual(self._charge(), 61)
 
@@ -228,19 +228,19 @@
         """Killed at 4.4 s, known again at 8.6: 2.18 M tokens were charged, 0.13 M used."""
         self._beat(100_000, 60)
         self.clock.now_s = 100.0 + WINDOW_HOLDS_S + 0.5
-        self.watch.replaced("a", "2", process_age_s=1.0)
+        self.watch.note_successor("a", "2", process_age_s=1.0)
         self.assertEqual(self._charge(), 61)
 
     def test_a_successor_that_began_too_late_saves_nothing(self) -> None:
         self._beat(100_000, 60)
         self.clock.now_s = 100.0 + WINDOW_HOLDS_S + 1.0
-        self.watch.replaced("a", "2", process_age_s=1.0)
+        self.watch.note_successor("a", "2", process_age_s=1.0)
         self.assertEqual(self._charge(), 300)
 
     def test_replaced_late_it_is_charged_all_it_held(self) -> None:
         self._beat(100_000)
         self.clock.now_s = 100.0 + WINDOW_HOLDS_S
-        self.watch.replaced("a", "2")
+        self.watch.note_successor("a", "2")
         self.assertEqual(self._charge(), 300)
 
     def test_that_it_heard_nothing_is_no_moment_of_a_young_clock(self) -> None:
@@ -251,17 +251,17 @@
         """
         self.clock.now_s = 3.0
         self._beat(0)
-        self.watch.replaced("a", "2")
+        self.watch.note_successor("a", "2")
         self.assertEqual(self._charge(), 300)
 
     def test_without_a_word_of_this_leader_it_is_charged_all_it_held(self) -> None:
-        self.watch.replaced("a", "2")
+        self.watch.note_successor("a", "2")
         self.assertEqual(self._charge(), 300)
 
     def test_what_an_earlier_term_heard_counts_no_more_without_its_notes(self) -> None:
         self._beat(100_000)
-        self.watch.begin(2, control_pb2.NotePromises())
-        self.watch.replaced("a", "2")
+        self.watch.start_term(2, control_pb2.NotePromises())
+        self.watch.note_successor("a", "2")
         self.assertEqual(self._charge(), 300)
 
     def test_declared_gone_without_a_successor_it_is_charged_all_it_held(self) -> None:
--- a/tests/test_prepaid_promises.py
+++ b/tests/test_prepaid_promises.py
@@ -71,7 +71,7 @@
 def _newest_of_clocks(watch: PrepaidWatch, holder: HolderKey) -> float:
     notes = watch._earlier
     witnesses = watch._witnesses()
-    if holder[1] in notes.silent or len(witnesses) < watch._needed_witnesses():
+    if holder[1] in notes.silent or len(witnesses) < watch._required_wall_clocks():
         return float("-inf")
     ahead = (notes.wall_ahead_ms[name] - watch._wall_ahead_ms[name] for name in witnesses)
     made_ms = notes.leader_time_ms + max(ahead)
@@ -195,18 +195,18 @@
             self.notes.wall_ahead_ms[name] = 1_000_000
 
     def _begin(self) -> None:
-        self.watch.begin(2, self.notes)
-        self.watch.replaced("a", "2", process_age_s=0.3)
+        self.watch.start_term(2, self.notes)
+        self.watch.note_successor("a", "2", process_age_s=0.3)
 
     def _hears(self, name: str, seconds_since_notes: float) -> None:
         """Have a gateway tell its wall clock, as long after the notes as said."""
         wall_ms = 1_020_000 + int(seconds_since_notes * MILLISECONDS_PER_SECOND)
         now_ms = int(self.clock.now_s * MILLISECONDS_PER_SECOND)
         heartbeat = control_pb2.Heartbeat(wall_ms=wall_ms, control_time_ms=now_ms)
-        self.watch.wall_clock(name, heartbeat)
+        self.watch.note_wall_clock(name, heartbeat)
 
     def _charge(self) -> int:
-        self.table.close(self.watch.charges(("a", "1"), self.table))
+        self.table.close(self.watch.close_command(("a", "1"), self.table))
         return self.table.accounts[TENANT].closed_charge
 
     def test_it_is_charged_its_promise_and_its_pace(self) -> None:
@@ -243,7 +243,7 @@
         self.assertTrue(self.watch.must_wait(("a", "1")))
         self._hears("c", 1.0)
         self.assertFalse(self.watch.must_wait(("a", "1")))
-        self.watch.begin(3, self.notes)
+        self.watch.start_term(3, self.notes)
         self._hears("b", 1.0)
         self.clock.now_s += 3.5
         self.assertFalse(self.watch.must_wait(("a", "1")))
