--- a/packages/heronladder-control/src/heronladder_control/admission.py
+++ b/packages/heronladder-control/src/heronladder_control/admission.py
@@ -15,17 +15,17 @@
 from heronladder_runtime.metrics import Metrics
 from heronladder_runtime.tasks import TaskGroupOwner
 
-LOOK_S = 0.05  # between two looks (as each that asked had)
+CHECK_INTERVAL_S = 0.05  # between two looks (as each that asked had)
 # At each look, 1,300 a second: half of the registrations that one core bears.
-LET_IN_AT_ONCE = 64
-MOST_WAITING = 1_024  # a second's worth; who comes over it asks another member
+ADMITTED_PER_CHECK = 64
+MAX_WAITING = 1_024  # a second's worth; who comes over it asks another member
 # Streams refused in a second, over which they wait here instead of coming again: 30 gateways
 # make 100 on three members, 100 gateways 300.
 _REFUSED_LATELY = 128
 _STREAM_WAIT_S = 0.5  # under the 0.9 s after which a gateway gives a silent stream up
 
 
-class Admission:
+class AdmissionControl:
     """Who waits at one member.
 
     Args:
@@ -79,7 +79,7 @@
         """
         if first:
             return await self._wait(self._first, patience_s)
-        if len(self._asks) >= MOST_WAITING:
+        if len(self._asks) >= MAX_WAITING:
             self._metrics.add("asks_refused")
             return False
         return await self._wait(self._asks, patience_s)
@@ -99,13 +99,13 @@
     async def _look(self) -> None:
         try:
             while self._first or self._asks:
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(CHECK_INTERVAL_S)
                 self._drop_those_gone(self._first)
                 self._drop_those_gone(self._asks)
                 if not self._leads():
                     continue
                 self._let_in(self._first, len(self._first))
-                self._let_in(self._asks, LET_IN_AT_ONCE)
+                self._let_in(self._asks, ADMITTED_PER_CHECK)
         finally:
             self._looking = False
 
--- a/packages/heronladder-control/src/heronladder_control/member_context.py
+++ b/packages/heronladder-control/src/heronladder_control/member_context.py
@@ -14,7 +14,7 @@
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import consensus_pb2, control_pb2, ledger_pb2
 
-from heronladder_control.admission import Admission
+from heronladder_control.admission import AdmissionControl
 from heronladder_control.command_packing import encode_command
 from heronladder_control.daemon_session import DaemonSession
 from heronladder_control.in_force import InForceTracker
@@ -64,7 +64,7 @@
         self.in_force_changed = Pulse()
         self.in_force_since_s = 0.0
         self.sessions: dict[str, DaemonSession] = {}
-        self.admission = Admission(
+        self.admission = AdmissionControl(
             environment, self.tasks, self.metrics, lambda: bool(self.node.leader)
         )
         self._decisions = LeaderDecisions(state)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -3,7 +3,12 @@
 import asyncio
 import unittest
 
-from heronladder_control.admission import LET_IN_AT_ONCE, LOOK_S, MOST_WAITING, Admission
+from heronladder_control.admission import (
+    ADMITTED_PER_CHECK,
+    CHECK_INTERVAL_S,
+    MAX_WAITING,
+    AdmissionControl,
+)
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
@@ -15,7 +20,7 @@
         self.leader = False
         self.tasks = TaskGroupOwner(EventLog("control", "m0"))
         self.addAsyncCleanup(self.tasks.stop)
-        self.admission = Admission(Environment(), self.tasks, Metrics(), lambda: self.leader)
+        self.admission = AdmissionControl(Environment(), self.tasks, Metrics(), lambda: self.leader)
         self.let_in: list[str] = []
 
     async def _ask(self, name: str, patience_s: float, *, first: bool = False) -> bool:
@@ -25,27 +30,27 @@
         return done
 
     async def test_gateways_and_operators_go_first_and_replicas_in_their_order(self) -> None:
-        replicas = [f"r{number:03}" for number in range(3 * LET_IN_AT_ONCE)]
+        replicas = [f"r{number:03}" for number in range(3 * ADMITTED_PER_CHECK)]
         asked = [asyncio.create_task(self._ask(name, 5.0)) for name in replicas]
         await asyncio.sleep(0)
         first = asyncio.create_task(self._ask("operator", 5.0, first=True))
-        await asyncio.sleep(2 * LOOK_S)
+        await asyncio.sleep(2 * CHECK_INTERVAL_S)
         self.assertEqual(self.let_in, [], "nobody is let in while there is no leader")
         self.leader = True
         await first
-        self.assertLessEqual(len(self.let_in), LET_IN_AT_ONCE + 1)
+        self.assertLessEqual(len(self.let_in), ADMITTED_PER_CHECK + 1)
         self.assertEqual(await asyncio.gather(*asked), [True] * len(replicas))
         self.assertEqual([name for name in self.let_in if name != "operator"], replicas)
 
     async def test_who_comes_over_the_bound_is_told_at_once(self) -> None:
-        crowd = [asyncio.create_task(self._ask("r", 0.3)) for _ in range(MOST_WAITING)]
+        crowd = [asyncio.create_task(self._ask("r", 0.3)) for _ in range(MAX_WAITING)]
         await asyncio.sleep(0)
         async with asyncio.timeout(0.2):
             self.assertFalse(await self._ask("one too many", 5.0))
         self.leader = True
         self.assertTrue(await self._ask("operator", 5.0, first=True))
         outcomes = await asyncio.gather(*crowd)
-        self.assertGreaterEqual(sum(outcomes), LET_IN_AT_ONCE)
+        self.assertGreaterEqual(sum(outcomes), ADMITTED_PER_CHECK)
 
     async def test_those_whose_patience_ends_leave_their_places_to_others(self) -> None:
         self.assertFalse(await self._ask("impatient", 0.01))
