--- a/packages/heronladder-control/src/heronladder_control/evacuations.py
+++ b/packages/heronladder-control/src/heronladder_control/evacuations.py
@@ -73,7 +73,7 @@
         self._leads_since_s = self._environment.monotonic()
         self._changed_s.clear()
 
-    def changed(self, zone: str) -> None:
+    def note_change(self, zone: str) -> None:
         """Note that a zone was evacuated or taken back."""
         self._changed_s[zone] = self._environment.monotonic()
 
--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -300,14 +300,14 @@
         if body == "set_evacuation":
             zone = command.set_evacuation.zone
             if result.revision == self._member.state.applied_index:  # else nothing changed
-                self._late_orders.changed(zone)
+                self._late_orders.note_change(zone)
                 self._report_evacuation(zone, ended=command.set_evacuation.ended)
         elif body in ("start_rollout", "advance_rollout"):
             self._rollout_orders.applied(command, result)
         elif body == "put_resource" and command.put_resource.kind == EVACUATION_KIND:
-            self._late_orders.changed(command.put_resource.resource.metadata.name)
+            self._late_orders.note_change(command.put_resource.resource.metadata.name)
         elif body == "delete_resource" and command.delete_resource.kind == EVACUATION_KIND:
-            self._late_orders.changed(command.delete_resource.name)
+            self._late_orders.note_change(command.delete_resource.name)
         elif body == "register_replica":
             self._note_cold(command.register_replica)
         elif body == "register_replicas":
--- a/packages/heronladder-control/src/heronladder_control/leader_asks.py
+++ b/packages/heronladder-control/src/heronladder_control/leader_asks.py
@@ -89,7 +89,7 @@
                 return None
             request.age_ms = int(waited.silent_s * MILLISECONDS_PER_SECOND)
             if order is not None:
-                order.sent()
+                order.record_send()
             reply = await self._ask_once(request, left_s)
             if reply is not None and not (reply.not_leader or self._is_too_early(reply)):
                 return reply
--- a/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
@@ -67,7 +67,7 @@
         if result.resource.metadata.revision != self._member.state.applied_index:
             return  # nothing changed
         if is_order:
-            self._late.changed(body.service)
+            self._late.note_change(body.service)
         record = result.resource.rollout
         if record.phase not in RUNNING:
             self._ended_s[body.service] = self._member.environment.monotonic()
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -116,7 +116,9 @@
             if known is not None and record.incarnation not in known.previous:
                 # Before it is proposed: once that is applied, its predecessor is charged.
                 process_age_s = hello.process_age_ms / MILLISECONDS_PER_SECOND
-                self._member.prepaid_watch.replaced(record.name, record.incarnation, process_age_s)
+                self._member.prepaid_watch.note_successor(
+                    record.name, record.incarnation, process_age_s
+                )
             if known is None or known.gone or known.incarnation != record.incarnation:
                 command = control_pb2.Command()
                 command.register_daemon.daemon.CopyFrom(record)
@@ -136,7 +138,9 @@
         self.sessions[name] = session
         self._count_routers()
         self.note_connected(session)
-        self._member.prepaid_watch.opened((name, hello.daemon.incarnation), self._member.node.term)
+        self._member.prepaid_watch.note_stream_opened(
+            (name, hello.daemon.incarnation), self._member.node.term
+        )
         other_role = ROLE_ROUTER if hello.daemon.role == ROLE_AGENT else ROLE_AGENT
         for record in self._member.state.daemons.daemons.values():
             if record.role == other_role:
@@ -328,7 +332,7 @@
             self._wake_all()
         elif body == "register_daemon" and result.code == control_pb2.RESULT_CODE_OK:
             record = command.register_daemon.daemon
-            self._member.prepaid_watch.replaced(record.name, record.incarnation)
+            self._member.prepaid_watch.note_successor(record.name, record.incarnation)
             self._tell_others(record.role, record.name, record.incarnation, gone=False)
             self._tell_lenders(record.name)
         elif body == "declare_gone" and result.code == control_pb2.RESULT_CODE_OK:
@@ -374,7 +378,7 @@
         record = self._member.state.daemons.daemons[name]
         few = len(self.sessions) <= _LENDERS_TOLD_AT_ONCE
         for session in self.sessions.values():
-            if session.record.lending_address and session.lenders.know(record) and few:
+            if session.record.lending_address and session.lenders.record_daemon(record) and few:
                 session.wake.give()
 
     # ---- members and other regions ----------------------------------------------------
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -65,7 +65,7 @@
         self.clock.now_s += 60
 
     def test_one_that_its_opposite_has_overtaken_is_late(self) -> None:
-        self.orders.changed("a")
+        self.orders.note_change("a")
         self.clock.now_s += 1.0
         self.assertTrue(self.orders.is_overtaken("a", 1.5, 1))
         self.assertFalse(self.orders.is_overtaken("a", 0.5, 1))
--- a/tests/test_prepaid_promises.py
+++ b/tests/test_prepaid_promises.py
@@ -70,7 +70,7 @@
 
 def _newest_of_clocks(watch: PrepaidWatch, holder: HolderKey) -> float:
     notes = watch._earlier
-    witnesses = watch._witnesses()
+    witnesses = watch._shared_wall_clocks()
     if holder[1] in notes.silent or len(witnesses) < watch._required_wall_clocks():
         return float("-inf")
     ahead = (notes.wall_ahead_ms[name] - watch._wall_ahead_ms[name] for name in witnesses)
