--- a/packages/heronladder-control/src/heronladder_control/admission.py
+++ b/packages/heronladder-control/src/heronladder_control/admission.py
@@ -57,7 +57,7 @@
         """How many wait."""
         return len(self._first) + len(self._asks)
 
-    async def stream(self) -> None:
+    async def delay_stream_refusal(self) -> None:
         """Wait for a leader to be known before a stream is refused, if many come for one."""
         now_s = self._environment.monotonic()
         if now_s - self._refused_from_s >= 1.0:
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -78,7 +78,7 @@
         if first is None:
             return  # it was given up before its first word came
         if not self._member.leader_address():
-            await self._member.admission.stream()
+            await self._member.admission.delay_stream_refusal()
         self._member.in_force.note_contact(first.hello.daemon.name)
         refusal = await self._register(first.hello)
         if refusal is not None:
