--- a/packages/heronladder-control/src/heronladder_control/admission.py
+++ b/packages/heronladder-control/src/heronladder_control/admission.py
@@ -1,10 +1,12 @@
-"""Lets a crowd in, in an order that serves callers soonest, while there is no leader and after.
+"""Admission of requests and streams to a control member while no leader is known.
 
-Each replica and each gateway that asked looked for a leader by itself, each 50 to 100 ms: with
-3,000 of them the loop was so late that votes ran out of time, and there was no leader for longer.
-Here all wait for one look. Gateways and operators go first and at once: without configuration
-and tokens nobody is served. Replicas follow in the order in which they came, so many at each
-look; over a bound they are told at once to ask again, elsewhere.
+All waiting requests share one periodic check for a leader. If each of them polled by itself, every
+50 to 100 ms, 3,000 replicas would delay the event loop so much that election votes time out, which
+prolongs the time without a leader.
+
+Gateways and operators are admitted first and all at once, because no caller is served without
+configuration and tokens. Replicas follow in the order of their arrival, a limited number per check.
+Requests over the queue limit are rejected at once and are retried at another member.
 """
 
 import asyncio
@@ -15,24 +17,24 @@
 from heronladder_runtime.metrics import Metrics
 from heronladder_runtime.tasks import TaskGroupOwner
 
-CHECK_INTERVAL_S = 0.05  # between two looks (as each that asked had)
-# At each look, 1,300 a second: half of the registrations that one core bears.
+CHECK_INTERVAL_S = 0.05
+# About 1,300 a second, which is half of the registrations that one core can process.
 ADMITTED_PER_CHECK = 64
-MAX_WAITING = 1_024  # a second's worth; who comes over it asks another member
-# Streams refused in a second, over which they wait here instead of coming again: 30 gateways
-# make 100 on three members, 100 gateways 300.
-_REFUSED_LATELY = 128
-_STREAM_WAIT_S = 0.5  # under the 0.9 s after which a gateway gives a silent stream up
+MAX_WAITING = 1_024  # a little less than the requests admitted in one second
+# Over this rate, refusals of streams are delayed so that gateways reconnect less often. Without
+# a delay, 30 gateways cause 100 refusals a second on three members, and 100 gateways 300.
+_MAX_STREAM_REFUSALS_PER_S = 128
+_STREAM_WAIT_S = 0.5  # below the 0.9 s after which a gateway closes a silent stream
 
 
 class AdmissionControl:
-    """Who waits at one member.
+    """Queues of the requests that wait for a leader at one member.
 
     Args:
-        environment: Time.
-        tasks: Runs the look while anyone waits.
-        metrics: Counts who was refused.
-        leads: Whether a leader is known.
+        environment: Source of the monotonic time.
+        tasks: Owner of the task that checks for a leader while the queues are not empty.
+        metrics: Counter of rejected requests.
+        has_leader: Returns whether a leader is known.
     """
 
     def __init__(
@@ -40,85 +42,86 @@
         environment: Environment,
         tasks: TaskGroupOwner,
         metrics: Metrics,
-        leads: Callable[[], bool],
+        has_leader: Callable[[], bool],
     ) -> None:
         self._environment = environment
         self._tasks = tasks
         self._metrics = metrics
-        self._leads = leads
-        self._first: deque[asyncio.Future[None]] = deque()
-        self._asks: deque[asyncio.Future[None]] = deque()
-        self._looking = False
-        self._refused_from_s = float("-inf")
-        self._refused = 0
+        self._has_leader = has_leader
+        self._priority_waiters: deque[asyncio.Future[None]] = deque()
+        self._replica_waiters: deque[asyncio.Future[None]] = deque()
+        self._is_checking = False
+        self._window_start_s = float("-inf")
+        self._refused_in_window = 0
 
     @property
     def waiting(self) -> int:
-        """How many wait."""
-        return len(self._first) + len(self._asks)
+        """Number of queued requests."""
+        return len(self._priority_waiters) + len(self._replica_waiters)
 
     async def delay_stream_refusal(self) -> None:
-        """Wait for a leader to be known before a stream is refused, if many come for one."""
+        """Wait for a leader for a limited time if many streams were refused in this second."""
         now_s = self._environment.monotonic()
-        if now_s - self._refused_from_s >= 1.0:
-            self._refused_from_s = now_s
-            self._refused = 0
-        self._refused += 1
-        if self._refused > _REFUSED_LATELY:
-            await self._wait(self._first, _STREAM_WAIT_S)
+        if now_s - self._window_start_s >= 1.0:
+            self._window_start_s = now_s
+            self._refused_in_window = 0
+        self._refused_in_window += 1
+        if self._refused_in_window > _MAX_STREAM_REFUSALS_PER_S:
+            await self._wait(self._priority_waiters, _STREAM_WAIT_S)
 
-    async def ask(self, patience_s: float, *, first: bool) -> bool:
-        """Wait until what could not be answered may be tried again.
+    async def ask(self, timeout_s: float, *, first: bool) -> bool:
+        """Wait until a request that found no leader may be retried.
 
         Args:
-            patience_s: Longest time, in seconds.
-            first: Whether it is an operator's: it goes before replicas, however many wait.
+            timeout_s: Longest time to wait, in seconds.
+            first: Whether the request precedes those of replicas and is not subject to the
+                queue limit, as for an operator.
 
         Returns:
-            False if it may not within its patience, or too many wait.
+            False if the time ran out or the queue is full.
         """
         if first:
-            return await self._wait(self._first, patience_s)
-        if len(self._asks) >= MAX_WAITING:
+            return await self._wait(self._priority_waiters, timeout_s)
+        if len(self._replica_waiters) >= MAX_WAITING:
             self._metrics.add("asks_refused")
             return False
-        return await self._wait(self._asks, patience_s)
-
-    async def _wait(self, queue: deque[asyncio.Future[None]], patience_s: float) -> bool:
-        place: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        queue.append(place)
-        if not self._looking:
-            self._looking = True
-            self._tasks.start("admission", self._look())
+        return await self._wait(self._replica_waiters, timeout_s)
+
+    async def _wait(self, queue: deque[asyncio.Future[None]], timeout_s: float) -> bool:
+        waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        queue.append(waiter)
+        if not self._is_checking:
+            self._is_checking = True
+            self._tasks.start("admission", self._check_until_empty())
         try:
-            await asyncio.wait_for(place, patience_s)
+            await asyncio.wait_for(waiter, timeout_s)
         except TimeoutError:
             return False
         return True
 
-    async def _look(self) -> None:
+    async def _check_until_empty(self) -> None:
         try:
-            while self._first or self._asks:
+            while self._priority_waiters or self._replica_waiters:
                 await asyncio.sleep(CHECK_INTERVAL_S)
-                self._drop_those_gone(self._first)
-                self._drop_those_gone(self._asks)
-                if not self._leads():
+                self._drop_abandoned(self._priority_waiters)
+                self._drop_abandoned(self._replica_waiters)
+                if not self._has_leader():
                     continue
-                self._let_in(self._first, len(self._first))
-                self._let_in(self._asks, ADMITTED_PER_CHECK)
+                self._admit(self._priority_waiters, len(self._priority_waiters))
+                self._admit(self._replica_waiters, ADMITTED_PER_CHECK)
         finally:
-            self._looking = False
+            self._is_checking = False
 
     @staticmethod
-    def _drop_those_gone(queue: deque[asyncio.Future[None]]) -> None:
+    def _drop_abandoned(queue: deque[asyncio.Future[None]]) -> None:
         for _ in range(len(queue)):
-            place = queue.popleft()
-            if not place.done():
-                queue.append(place)
+            waiter = queue.popleft()
+            if not waiter.done():
+                queue.append(waiter)
 
     @staticmethod
-    def _let_in(queue: deque[asyncio.Future[None]], most: int) -> None:
-        for _ in range(min(most, len(queue))):
-            place = queue.popleft()
-            if not place.done():
-                place.set_result(None)
+    def _admit(queue: deque[asyncio.Future[None]], limit: int) -> None:
+        for _ in range(min(limit, len(queue))):
+            waiter = queue.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
--- a/packages/heronladder-control/src/heronladder_control/allotments.py
+++ b/packages/heronladder-control/src/heronladder_control/allotments.py
@@ -1,4 +1,4 @@
-"""Allotments: a region that runs short of a budget asks the others for tokens."""
+"""Allotments: a region that runs short of a budget requests tokens from other regions."""
 
 from __future__ import annotations
 
@@ -8,64 +8,68 @@
 
 from heronladder_control.member_context import MemberContext
 
-_ASK_TIMEOUT_S = 2.0
-_ASK_FACTOR = 4  # tokens asked for, as a multiple of what a holder lacked
-_IN_VAIN_MEMORY_S = 5.0
-_LOW_SHARE = 8  # an account is low under 1/8 of what it was ever allotted
+_REQUEST_TIMEOUT_S = 2.0
+_REQUEST_FACTOR = 4  # requested tokens, as a multiple of what a holder wanted
+_REFUSAL_MEMORY_S = 5.0
+_LOW_BALANCE_DIVISOR = 8  # an account is low at or below 1/8 of its allotted tokens
 
 
 class AllotmentRequester:
-    """Moves tokens from other regions' accounts into this region's.
+    """Moves tokens from other regions' accounts into those of this region.
+
+    Requests are sent only while the member leads.
 
     Args:
-        member: What the parts of the member share; it acts only while it leads.
+        member: Shared context of the control member.
     """
 
     def __init__(self, member: MemberContext) -> None:
         self._member = member
-        self._under_way: set[str] = set()
-        self._in_vain_s: dict[str, float] = {}  # when all regions last had nothing
+        self._in_flight: set[str] = set()
+        self._last_refused_s: dict[str, float] = {}  # when no region had tokens, by budget
 
     def applied(self, command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
-        """Ask other regions once a budget runs short here."""
+        """Request tokens from other regions when a budget runs short in this one."""
         if command.WhichOneof("body") != "grant_lease":
             return
-        if not self._regions():
+        if not self._remote_regions():
             return
-        ask = command.grant_lease
-        account = self._member.state.ledger.account(ask.budget)
-        if account is not None and account.available * _LOW_SHARE > account.allotted:
+        order = command.grant_lease
+        account = self._member.state.ledger.account(order.budget)
+        if account is not None and account.available * _LOW_BALANCE_DIVISOR > account.allotted:
             return
-        if ask.budget in self._under_way:
+        if order.budget in self._in_flight:
             return
-        self._under_way.add(ask.budget)
-        self._member.tasks.start("allotment", self._ask_regions(ask.budget, ask.wanted))
+        self._in_flight.add(order.budget)
+        self._member.tasks.start(
+            "allotment", self._request_from_regions(order.budget, order.wanted)
+        )
 
     def annotate(self, command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
-        """Tell a refused holder whether tokens may still come from another region."""
-        if command.WhichOneof("body") != "grant_lease" or not self._regions():
+        """Set in a refused grant whether tokens may still come from another region."""
+        if command.WhichOneof("body") != "grant_lease" or not self._remote_regions():
             return
         if result.code != control_pb2.RESULT_CODE_OK:
             now = self._member.environment.monotonic()
-            in_vain_s = self._in_vain_s.get(command.grant_lease.budget, float("-inf"))
-            result.allotment_pending = now - in_vain_s > _IN_VAIN_MEMORY_S
+            last_refused_s = self._last_refused_s.get(command.grant_lease.budget, float("-inf"))
+            result.allotment_pending = now - last_refused_s > _REFUSAL_MEMORY_S
 
-    def _regions(self) -> list[str]:
+    def _remote_regions(self) -> list[str]:
         return sorted(self._member.options.region_addresses)
 
-    async def _ask_regions(self, budget: str, wanted: int) -> None:
+    async def _request_from_regions(self, budget: str, wanted: int) -> None:
         try:
-            for region in self._regions():
-                if await self._ask(region, budget, wanted * _ASK_FACTOR):
+            for region in self._remote_regions():
+                if await self._request_from(region, budget, wanted * _REQUEST_FACTOR):
                     return
-            self._in_vain_s[budget] = self._member.environment.monotonic()
+            self._last_refused_s[budget] = self._member.environment.monotonic()
         except HeronladderError as error:
             self._member.log.info("allotment_failed", step=error.step, reason=error.message)
         finally:
-            self._under_way.discard(budget)
+            self._in_flight.discard(budget)
 
-    async def _ask(self, region: str, budget: str, tokens: int) -> bool:
-        """Ask one region; return whether it gave anything."""
+    async def _request_from(self, region: str, budget: str, tokens: int) -> bool:
+        """Request tokens from one region; return whether it gave any."""
         start = control_pb2.Command()
         start.start_transfer.transfer.CopyFrom(
             ledger_pb2.Transfer(
@@ -76,7 +80,7 @@
             )
         )
         pending = (await self._member.propose(start)).transfer
-        given = await self._call(region, pending)
+        given = await self._send_request(region, pending)
         if given is None:
             return False
         credit = control_pb2.Command()
@@ -87,13 +91,15 @@
         )
         return given.tokens > 0
 
-    async def _call(self, region: str, pending: ledger_pb2.Transfer) -> ledger_pb2.Transfer | None:
+    async def _send_request(
+        self, region: str, pending: ledger_pb2.Transfer
+    ) -> ledger_pb2.Transfer | None:
         request = control_pb2.AllotmentRequest(transfer=pending)
         for address in self._member.options.region_addresses[region]:
             try:
                 stub = self._member.stubs.control(address)
                 reply: control_pb2.AllotmentReply = await stub.Allot(
-                    request, timeout=_ASK_TIMEOUT_S
+                    request, timeout=_REQUEST_TIMEOUT_S
                 )
             except RPC_ERRORS:
                 continue
--- a/packages/heronladder-control/src/heronladder_control/claims.py
+++ b/packages/heronladder-control/src/heronladder_control/claims.py
@@ -1,8 +1,8 @@
 """Claims: the right to run a keyed or non-repeatable request.
 
-A claim names the agent and its incarnation before anything is dispatched. It
-moves to another agent only when that incarnation is proved never to run the
-request; a repeatable request may also move when its agent is lost.
+A claim names an agent and its incarnation before the request is dispatched. It
+moves to another agent only once it is certain that this incarnation never runs the
+request. A repeatable request may also move when its agent is lost.
 """
 
 from heronladder_schema.v1 import control_pb2, ledger_pb2
@@ -25,7 +25,7 @@
     """All claims of a region.
 
     Args:
-        ledger: Settles the reservation of an attempt whose agent is lost.
+        ledger: Ledger that settles the reservation of an attempt whose agent is lost.
     """
 
     def __init__(self, ledger: Ledger) -> None:
@@ -38,20 +38,22 @@
         return self.claims.get((tenant, key))
 
     def read(self, order: control_pb2.ReadClaim) -> control_pb2.CommandResult:
-        """Return a claim as it stands."""
+        """Return the current state of a claim."""
         claim = self.get(order.tenant, order.key)
         if claim is None:
-            return failure(control_pb2.RESULT_CODE_NOT_FOUND, "there is no such claim")
+            return failure(
+                control_pb2.RESULT_CODE_NOT_FOUND, f"there is no claim for key {order.key}"
+            )
         return _result(control_pb2.RESULT_CODE_OK, claim)
 
     def take(self, index: int, wanted: ledger_pb2.Claim) -> control_pb2.CommandResult:
-        """Claim a request for one attempt, or tell who holds it."""
+        """Claim a request for one attempt, or return the claim that holds it."""
         held = self.claims.get((wanted.tenant, wanted.key))
         if held is not None:
             if held.body_sha256 != wanted.body_sha256:
                 return failure(
                     control_pb2.RESULT_CODE_KEY_CONFLICT,
-                    f"key {wanted.key} was used before with another body",
+                    f"key {wanted.key} was already used with a different body",
                 )
             same = held.request_id == wanted.request_id
             if held.state != ledger_pb2.CLAIM_STATE_RELEASED:
@@ -75,10 +77,12 @@
         self._by_request[claim.request_id] = claim
 
     def release(self, index: int, order: control_pb2.ReleaseClaim) -> control_pb2.CommandResult:
-        """Free a claim on proof that its attempt never ran, or that its agent is lost."""
+        """Release a claim whose attempt certainly never runs, or whose agent is lost."""
         claim = self.claims.get((order.tenant, order.key))
         if claim is None:
-            return failure(control_pb2.RESULT_CODE_NOT_FOUND, "there is no such claim")
+            return failure(
+                control_pb2.RESULT_CODE_NOT_FOUND, f"there is no claim for key {order.key}"
+            )
         named = (claim.request_id, claim.attempt, claim.agent_incarnation)
         if named != (order.request_id, order.attempt, order.agent_incarnation):
             return _result(control_pb2.RESULT_CODE_STALE, claim)
@@ -87,17 +91,18 @@
         if order.agent_lost:
             if not claim.repeatable:
                 return failure(
-                    control_pb2.RESULT_CODE_INVALID, "a non-repeatable request needs proof"
+                    control_pb2.RESULT_CODE_INVALID,
+                    "a non-repeatable request is released only on proof that it never ran",
                 )
             self._withhold(claim)
         elif claim.state == ledger_pb2.CLAIM_STATE_DONE:
-            return failure(control_pb2.RESULT_CODE_STALE, "the request ran")
+            return failure(control_pb2.RESULT_CODE_STALE, "the request has already run")
         claim.state = ledger_pb2.CLAIM_STATE_RELEASED
         claim.revision = index
         return _result(control_pb2.RESULT_CODE_OK, claim)
 
     def _withhold(self, claim: ledger_pb2.Claim) -> None:
-        """Charge the lost attempt without billing it; remember if it was billed."""
+        """Charge a lost attempt without billing it, and record whether it was already billed."""
         settled_now = self._ledger.settle(
             ledger_pb2.Settlement(
                 lease_id=claim.lease_id,
@@ -111,7 +116,7 @@
             claim.already_billed = True
 
     def mark_done_if_ran(self, settlement: ledger_pb2.Settlement) -> None:
-        """Note that a claimed request was executed, if its settlement says so."""
+        """Mark a claimed request as done if its settlement says that it ran."""
         if settlement.outcome != ledger_pb2.OUTCOME_RAN:
             return
         claim = self._by_request.get(settlement.request_id)
@@ -121,7 +126,7 @@
             claim.state = ledger_pb2.CLAIM_STATE_DONE
 
     def drop(self, older_than_ms: int) -> None:
-        """Forget claims that were first taken before a moment of wall time."""
+        """Delete claims that were first taken before a wall-clock time in milliseconds."""
         old = [key for key, claim in self.claims.items() if claim.created_at_ms < older_than_ms]
         for key in old:
             claim = self.claims.pop(key)
@@ -132,7 +137,7 @@
         snapshot.claims.extend(self.claims[key] for key in sorted(self.claims))
 
     def load(self, snapshot: control_pb2.StateSnapshot) -> None:
-        """Take all claims from a snapshot."""
+        """Replace all claims with those of a snapshot."""
         self.claims.clear()
         self._by_request.clear()
         for claim in snapshot.claims:
--- a/packages/heronladder-control/src/heronladder_control/ended_replicas.py
+++ b/packages/heronladder-control/src/heronladder_control/ended_replicas.py
@@ -1,18 +1,20 @@
-"""Ends of replicas that the leader may forget: a late heartbeat of theirs comes no more."""
+"""Retention of ended replicas, so that a delayed heartbeat can't revive them."""
 
 from collections.abc import Iterable
 
 from heronladder_runtime.clock import Environment
 
-ENDS_KEPT_S = 600.0  # a heartbeat held up by a cut comes within minutes
+ENDS_KEPT_S = 600.0  # heartbeats delayed by a partition arrive within minutes
 
 
 class EndedReplicas:
-    """Follows how long this leader has known of each end; another leader begins anew.
+    """Tracks how long this leader has known of each ended replica.
+
+    The times are not replicated: a new leader starts all of them again.
 
     Args:
-        environment: Time.
-        kept_s: How long an end is remembered at least, in seconds.
+        environment: Source of the monotonic time.
+        kept_s: Minimum time to keep an ended replica, in seconds.
     """
 
     def __init__(self, environment: Environment, kept_s: float = ENDS_KEPT_S) -> None:
@@ -21,10 +23,10 @@
         self._known_since_s: dict[str, float] = {}
 
     def due(self, ended: Iterable[str]) -> list[str]:
-        """Return the replicas whose end may be forgotten.
+        """Return the ended replicas whose records may be deleted.
 
         Args:
-            ended: All that have ended and are remembered.
+            ended: All ended replicas on record.
         """
         now_s = self._environment.monotonic()
         self._known_since_s = {name: self._known_since_s.get(name, now_s) for name in sorted(ended)}
--- a/packages/heronladder-control/src/heronladder_control/ledger.py
+++ b/packages/heronladder-control/src/heronladder_control/ledger.py
@@ -1,8 +1,7 @@
 """The budget ledger: accounts, leases and settlements of one region.
 
-Tokens move account -> lease -> bill. Each move takes from one side before it
-adds to the other, is numbered, and does nothing the second time. For each
-account, at every step:
+Tokens move from an account to a lease and then to a bill. Moves are numbered and idempotent, and
+debit one side before they credit the other. The following holds for each account at every step:
 
     allotted = available + leased + billed + withheld + moved_out
 """
@@ -21,8 +20,8 @@
 )
 from heronladder_control.results import failure, success
 
-_KEPT_CHARGES = 10_000
-_SHARE_OF_HOLDERS = 2  # a grant takes at most 1/(2 x holders) of what is left
+_MAX_KEPT_CHARGES = 10_000
+_GRANT_SHARE_DIVISOR = 2  # a grant takes at most 1/(2 x holders) of the available tokens
 
 AccountKey = tuple[str, int]  # budget, period
 SettledListener = Callable[[ledger_pb2.Settlement, ledger_pb2.Lease], None]
@@ -43,7 +42,7 @@
         self.last_lease_id = 0
         self.settled_listeners: list[SettledListener] = []
         self.kept_charges: list[ledger_pb2.KeptCharge] = []
-        self._periods: dict[str, int] = {}  # current one of each budget
+        self._periods: dict[str, int] = {}  # current period by budget
         self._all_periods: dict[str, list[int]] = {}
         self._leased: dict[AccountKey, int] = {}
         self._open: dict[tuple[str, int], dict[tuple[str, str], ledger_pb2.Lease]] = {}
@@ -57,7 +56,7 @@
         return None if period is None else self.accounts[budget, period]
 
     def ensure_account(self, budget: str, period: int) -> ledger_pb2.Account:
-        """Return the account of a budget's period, opening it where there is none."""
+        """Return the account of a budget's period, creating it if it does not exist."""
         account = self.accounts.get((budget, period))
         if account is None:
             account = ledger_pb2.Account(budget=budget, region=self.region, period=period)
@@ -69,7 +68,8 @@
         return account
 
     def check_budget(self, name: str, spec: resources_pb2.Budget) -> str | None:
-        """Return why a budget may not be set so, or None."""
+        """Return why a budget specification is rejected, or None if it is valid."""
+        # Snapshots store these texts: all builds in a cluster must return the same ones.
         current = self.account(name)
         if current is None:
             return None
@@ -83,7 +83,7 @@
         return None
 
     def set_budget(self, name: str, spec: resources_pb2.Budget) -> None:
-        """Open a period, or move the difference of a budget's size into its account."""
+        """Open a period, or apply a change of the budget's size to its account."""
         account = self.ensure_account(name, spec.period)
         if spec.tokens >= account.allotted:
             account.available += spec.tokens - account.allotted
@@ -94,7 +94,7 @@
         self._forget_settled_periods(name)
 
     def _forget_settled_periods(self, budget: str) -> None:
-        """Drop accounts of periods before the last one, once nothing is leased in them."""
+        """Delete accounts older than the previous period that have no leased tokens."""
         current = self._periods[budget]
         kept = []
         for period in self._all_periods[budget]:
@@ -107,7 +107,7 @@
         self._all_periods[budget] = kept
 
     def check_conservation(self, account: ledger_pb2.Account) -> None:
-        """Assert that no token of an account came from nowhere or was lost."""
+        """Assert that an account's tokens add up to what it was allotted."""
         leased = self._leased[account.budget, account.period]
         held = account.available + leased + account.billed + account.withheld + account.moved_out
         invariant(
@@ -119,7 +119,7 @@
         )
 
     def check_all(self) -> None:
-        """Assert conservation of all accounts from the leases themselves."""
+        """Assert conservation for all accounts, with totals recomputed from the leases."""
         sums = dict.fromkeys(self.accounts, 0)
         for lease in self.leases.values():
             sums[lease.budget, lease.period] += outstanding(lease)
@@ -135,39 +135,39 @@
 
     # ---- leases -----------------------------------------------------------
 
-    def grant(self, ask: control_pb2.GrantLease) -> control_pb2.CommandResult:
+    def grant(self, order: control_pb2.GrantLease) -> control_pb2.CommandResult:
         """Move tokens from a budget's account into the holder's lease."""
-        account = self.account(ask.budget)
+        account = self.account(order.budget)
         if account is None:
-            return failure(control_pb2.RESULT_CODE_NOT_FOUND, f"there is no budget {ask.budget}")
-        lease = self._lease_of(account, ask.holder, ask.incarnation)
-        if ask.number > lease.last_grant_number:
-            lease.last_grant_number = ask.number
-            amount = self._grant_size(account, ask)
+            return failure(control_pb2.RESULT_CODE_NOT_FOUND, f"there is no budget {order.budget}")
+        lease = self._lease_of(account, order.holder, order.incarnation)
+        if order.number > lease.last_grant_number:
+            lease.last_grant_number = order.number
+            amount = self._grant_size(account, order)
             account.available -= amount
             lease.granted += amount
             self._add_leased(lease, amount)
-            if amount == 0 and ask.minimum > 0:
+            if amount == 0 and order.minimum > 0:
                 result = failure(
                     control_pb2.RESULT_CODE_EXHAUSTED,
-                    f"budget {ask.budget} has {account.available} tokens left to lease",
+                    f"budget {order.budget} has {account.available} tokens left to lease",
                 )
                 result.lease.CopyFrom(lease)
                 result.available = account.available
-                result.recallable = self._held_by_others(lease)
+                result.recallable = self._outstanding_of_others(lease)
                 return result
         return success(lease=lease, available=account.available)
 
-    def _held_by_others(self, own: ledger_pb2.Lease) -> int:
+    def _outstanding_of_others(self, own: ledger_pb2.Lease) -> int:
         opened = self._open.get((own.budget, own.period), {})
         return sum(outstanding(lease) for lease in opened.values() if lease is not own)
 
-    def _grant_size(self, account: ledger_pb2.Account, ask: control_pb2.GrantLease) -> int:
-        if account.available < ask.minimum:
+    def _grant_size(self, account: ledger_pb2.Account, order: control_pb2.GrantLease) -> int:
+        if account.available < order.minimum:
             return 0
         holders = max(1, len(self._open.get((account.budget, account.period), {})))
-        share = account.available // (_SHARE_OF_HOLDERS * holders)
-        return min(ask.wanted, max(share, ask.minimum))
+        share = account.available // (_GRANT_SHARE_DIVISOR * holders)
+        return min(order.wanted, max(share, order.minimum))
 
     def _lease_of(
         self, account: ledger_pb2.Account, holder: str, incarnation: str
@@ -231,19 +231,19 @@
         return list(self._by_holder.get((holder, incarnation), {}).values())
 
     def fence(self, holder: str, incarnation: str) -> None:
-        """Fence all leases of a holder that is gone."""
+        """Fence all leases of a holder that was declared gone."""
         for lease in self.leases_of(holder, incarnation):
             lease.state = ledger_pb2.LEASE_STATE_FENCED
             self._open.get((lease.budget, lease.period), {}).pop((holder, incarnation), None)
 
     def close(self, holder: str, incarnation: str, *, records_lost: bool) -> None:
-        """Close a holder's fenced leases: what is left is free again.
+        """Close a holder's fenced leases and free or withhold their remaining tokens.
 
         Args:
-            holder: The holder that is gone.
-            incarnation: Its incarnation.
-            records_lost: An agent may have run requests under the leases and
-                forgotten them: what is left stays charged.
+            holder: Name of the holder.
+            incarnation: The holder's incarnation.
+            records_lost: Whether an agent may have run requests under the leases and
+                lost its records of them. The remaining tokens then stay charged.
         """
         for lease in self.leases_of(holder, incarnation):
             rest = outstanding(lease)
@@ -251,7 +251,7 @@
             if records_lost:
                 lease.withheld += rest
                 account.withheld += rest
-                self._keep_charge(lease, rest)
+                self._record_kept_charge(lease, rest)
             else:
                 lease.returned += rest
                 account.available += rest
@@ -259,7 +259,7 @@
             del self.leases[lease.lease_id]
         self._by_holder.pop((holder, incarnation), None)
 
-    def _keep_charge(self, lease: ledger_pb2.Lease, tokens: int) -> None:
+    def _record_kept_charge(self, lease: ledger_pb2.Lease, tokens: int) -> None:
         charge = ledger_pb2.KeptCharge(
             router=lease.holder,
             router_incarnation=lease.holder_incarnation,
@@ -268,10 +268,10 @@
             tokens=tokens,
         )
         self.kept_charges.append(charge)
-        del self.kept_charges[:-_KEPT_CHARGES]
+        del self.kept_charges[:-_MAX_KEPT_CHARGES]
 
     def release_kept_charges(self, holder: str, incarnation: str) -> None:
-        """Free what stayed charged for a holder that turns out to have settled all."""
+        """Free the tokens withheld for a holder that had in fact settled all its requests."""
         kept = []
         for charge in self.kept_charges:
             account = self.accounts.get((charge.budget, charge.period))
@@ -286,7 +286,7 @@
     # ---- settlements ------------------------------------------------------
 
     def settlement_standing(self, settlement: ledger_pb2.Settlement) -> Standing:
-        """Return how a settlement stands to what its reservation came to before."""
+        """Classify a settlement by how its reservation was settled before."""
         lease = self.leases.get(settlement.lease_id)
         if lease is None:
             return Standing.LEASE_CLOSED
@@ -296,10 +296,10 @@
         return Standing.LOST_BEFORE if lost else Standing.BILLED_BEFORE
 
     def settle(self, settlement: ledger_pb2.Settlement) -> bool:
-        """Bill one reservation, once.
+        """Bill one reservation at most once.
 
         Returns:
-            False when it had been settled before, or its lease is closed.
+            False if the reservation is already settled or its lease is closed.
         """
         lease = self.leases.get(settlement.lease_id)
         if lease is None:
@@ -334,7 +334,7 @@
         return True
 
     def _correct_lost(self, lease: ledger_pb2.Lease, settlement: ledger_pb2.Settlement) -> None:
-        """Free what an attempt settled as lost did not use, now that its agent says so."""
+        """Free the unused tokens of an attempt settled as lost once its agent reports the usage."""
         lost = lost_reservation(lease, settlement.sequence)
         if lost is None or settlement.outcome == ledger_pb2.OUTCOME_UNKNOWN:
             return
@@ -346,7 +346,7 @@
         lost.withheld = used
         lease.withheld -= unused
         account.withheld -= unused
-        # The holder took the whole reservation for spent, so it goes to the account.
+        # The holder counted the whole reservation as spent, so the rest goes to the account.
         lease.returned += unused
         account.available += unused
         self.check_conservation(account)
@@ -368,17 +368,17 @@
     def save(self, snapshot: control_pb2.StateSnapshot) -> None:
         """Write all accounts, leases and bills into a snapshot."""
         snapshot.last_lease_id = self.last_lease_id
-        snapshot.accounts.extend(self._in_order(self.accounts))
-        snapshot.leases.extend(self._in_order(self.leases))
-        snapshot.bills.extend(self._in_order(self.bills))
+        snapshot.accounts.extend(self._sorted_values(self.accounts))
+        snapshot.leases.extend(self._sorted_values(self.leases))
+        snapshot.bills.extend(self._sorted_values(self.bills))
         snapshot.kept_charges.extend(self.kept_charges)
 
     @staticmethod
-    def _in_order(table: dict) -> Iterator:  # type: ignore[type-arg]
+    def _sorted_values(table: dict) -> Iterator:  # type: ignore[type-arg]
         return (table[key] for key in sorted(table))
 
     def load(self, snapshot: control_pb2.StateSnapshot) -> None:
-        """Take all from a snapshot."""
+        """Replace all accounts, leases and bills with those of a snapshot."""
         listeners = self.settled_listeners
         self.__init__(self.region)  # type: ignore[misc]
         self.settled_listeners = listeners
--- a/packages/heronladder-control/src/heronladder_control/lender_updates.py
+++ b/packages/heronladder-control/src/heronladder_control/lender_updates.py
@@ -1,4 +1,4 @@
-"""What one router is told of the routers that lend prepaid tokens."""
+"""Updates to one router about the routers that lend prepaid tokens."""
 
 from collections.abc import Iterable
 
@@ -6,34 +6,34 @@
 
 
 class LenderUpdates:
-    """Keeps what a stream has told of lenders, and what is still to be told."""
+    """Tracks the lenders sent on one stream and the updates that are still to be sent."""
 
     def __init__(self) -> None:
-        self._told: dict[str, tuple[str, str]] = {}  # zone and address, by name
-        self._due: dict[str, control_pb2.Lender] = {}
+        self._known: dict[str, tuple[str, str]] = {}  # zone and address, by name
+        self._pending: dict[str, control_pb2.Lender] = {}
 
     def record_daemons(self, records: Iterable[ledger_pb2.DaemonRecord]) -> None:
-        """Take in all daemons, for the first frame of a stream."""
+        """Record all daemons, for the first frame of a stream."""
         for record in records:
             if record.lending_address and not record.gone:
                 self.record_daemon(record)
 
     def record_daemon(self, record: ledger_pb2.DaemonRecord) -> bool:
-        """Take in a daemon that registered or is gone; return whether that is news.
+        """Record a daemon that registered or is gone; return whether an update is due.
 
-        A restart alone is none: the name, zone and address are the same.
+        A restart with the same zone and address needs no update.
         """
         address = "" if record.gone else record.lending_address
-        known = self._told.get(record.name)
-        is_news = bool(address) if known is None else known != (record.zone, address)
-        if is_news:
-            self._told[record.name] = (record.zone, address)
-            self._due[record.name] = control_pb2.Lender(
+        known = self._known.get(record.name)
+        is_changed = bool(address) if known is None else known != (record.zone, address)
+        if is_changed:
+            self._known[record.name] = (record.zone, address)
+            self._pending[record.name] = control_pb2.Lender(
                 name=record.name, zone=record.zone, address=address
             )
-        return is_news
+        return is_changed
 
     def fill(self, frame: control_pb2.ControlFrame) -> None:
-        """Add what is still to be told to a frame."""
-        frame.lenders.extend(self._due.values())
-        self._due.clear()
+        """Move all pending updates into a frame."""
+        frame.lenders.extend(self._pending.values())
+        self._pending.clear()
--- a/packages/heronladder-control/src/heronladder_control/prepaid.py
+++ b/packages/heronladder-control/src/heronladder_control/prepaid.py
@@ -1,13 +1,13 @@
-"""Prepaid tokens of tenants, held out to routers.
+"""Accounts of tenants' prepaid tokens, which are granted to routers.
 
-Tokens go account -> holder -> used. A holder is one incarnation of a router; it
-tells only sums that rise, so a draw that is sent again changes nothing. For each
-account with a limit:
+Tokens move from an account to a holder, which uses them. A holder is one incarnation
+of a router. It reports cumulative totals, so a repeated draw changes nothing. The
+following holds for each account with a limit:
 
     charged = closed_charge + sum(granted - returned)
 
-and nothing is granted that would take ``charged`` over the limit. A holder that
-is gone is charged with all it held, or with the most it can have used.
+No grant takes ``charged`` over the limit. A holder that was lost is charged either
+everything that it held or the most that it can have used.
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 def find_or_add_holder(
     account: ledger_pb2.PrepaidAccount, name: str, incarnation: str
 ) -> ledger_pb2.PrepaidHolder:
-    """Return the entry of one incarnation of a router, a new one if it has none."""
+    """Return the account's entry for a router's incarnation, adding one if there is none."""
     for holder in account.holders:
         if (holder.holder, holder.incarnation) == (name, incarnation):
             return holder
@@ -33,10 +33,11 @@
 
 
 def apply_report(holder: ledger_pb2.PrepaidHolder, order: control_pb2.DrawTokens) -> None:
-    """Take what a holder reports with a draw.
+    """Record the usage that a holder reports with a draw.
 
     Raises:
-        RefusedByInvariantError: If it reports more than it was granted; nothing has changed then.
+        RefusedByInvariantError: If the holder reports more tokens than it was granted. The
+            holder is left unchanged.
     """
     used = order.returned + order.spent + order.reserved
     invariant(
@@ -44,7 +45,7 @@
         "prepaid_holder_within_grant",
         step="draw",
         peer=order.holder,
-        detail=f"{order.tenant}: tells {used} of {holder.granted}",
+        detail=f"{order.tenant}: reports {used} used of {holder.granted} granted",
         refuses=True,
     )
     holder.returned = max(holder.returned, order.returned)
@@ -53,16 +54,21 @@
 
 
 class PrepaidTable:
-    """Accounts of prepaid tenants, by the tenant's name."""
+    """Accounts of prepaid tenants.
+
+    Attributes:
+        accounts: Accounts by tenant name.
+        last_promises: The newest applied ``NotePromises`` command without its promises.
+    """
 
     def __init__(self) -> None:
         self.accounts: dict[str, ledger_pb2.PrepaidAccount] = {}
-        self.last_promises = control_pb2.NotePromises()  # without the promises
+        self.last_promises = control_pb2.NotePromises()
 
     # ---- limits -----------------------------------------------------------
 
     def set_limits(self, tenants: list[resources_pb2.PrepaidTenant]) -> None:
-        """Take the limits of a configuration; accounts of absent tenants are kept."""
+        """Set the limits of a configuration's tenants; accounts of absent tenants are kept."""
         for tenant in tenants:
             account = self.accounts.get(tenant.name)
             if account is None:
@@ -75,7 +81,7 @@
     # ---- draws ------------------------------------------------------------
 
     def draw(self, order: control_pb2.DrawTokens) -> control_pb2.CommandResult:
-        """Take what a holder tells and give it what it asks for, as far as there is."""
+        """Record a holder's report and grant the tokens that it requests, if available."""
         account = self.accounts.get(order.tenant)
         if account is None:
             return failure(control_pb2.RESULT_CODE_NOT_FOUND, f"there is no tenant {order.tenant}")
@@ -98,7 +104,7 @@
 
     @staticmethod
     def _grant(account: ledger_pb2.PrepaidAccount, order: control_pb2.DrawTokens) -> int:
-        """Return what a draw gets: as decided, as far as the account has it."""
+        """Return the tokens that a draw gets: the decided amount, up to what is available."""
         left = grant_rules.available(account)
         if order.HasField("decided"):
             amount = min(order.decided, left) if account.limited else order.decided
@@ -109,7 +115,7 @@
             "prepaid_within_limit",
             step="draw",
             peer=order.tenant,
-            detail=f"{amount} of {left}",
+            detail=f"grant of {amount} with {left} available",
         )
         return amount
 
@@ -127,15 +133,15 @@
     def _surely_exhausted(
         account: ledger_pb2.PrepaidAccount,
         order: control_pb2.DrawTokens,
-        asker: ledger_pb2.PrepaidHolder,
+        requester: ledger_pb2.PrepaidHolder,
     ) -> bool:
-        """Whether what is known to be used leaves no room for the request that asks."""
+        """Whether the known usage leaves too few tokens for the request behind a draw."""
         if not account.limited or order.minimum == 0:
             return False
         known = account.closed_spent
         known += sum(holder.spent + holder.reserved for holder in account.holders)
-        # The request takes what the asker has free, and lacks the minimum besides.
-        known += asker.granted - asker.returned - asker.spent - asker.reserved
+        # The request uses the free tokens of its holder and needs the minimum in addition.
+        known += requester.granted - requester.returned - requester.spent - requester.reserved
         return known + order.minimum > account.limit - account.kept_back
 
     # ---- promises ---------------------------------------------------------
@@ -143,65 +149,66 @@
     def note_promises(
         self, order: control_pb2.NotePromises, is_current: Callable[[str, str], bool]
     ) -> control_pb2.CommandResult:
-        """Take promises of holders; they only rise.
+        """Raise the spending promises of holders; a lower promise changes nothing.
 
         Args:
-            order: The promises, and when they were noted.
-            is_current: Whether a router's incarnation may still act.
+            order: The promises and the time at which they were recorded.
+            is_current: Returns whether a router's incarnation (name, incarnation) may
+                still act.
         """
-        for told in order.promises:
-            account = self.accounts.get(told.tenant)
-            if account is None or not is_current(told.holder, told.incarnation):
+        for report in order.promises:
+            account = self.accounts.get(report.tenant)
+            if account is None or not is_current(report.holder, report.incarnation):
                 continue
-            promise = find_or_add_holder(account, told.holder, told.incarnation).promise
-            promise.most = max(promise.most, told.promise.most)
-            promise.pace = max(promise.pace, told.promise.pace)
+            promise = find_or_add_holder(account, report.holder, report.incarnation).promise
+            promise.most = max(promise.most, report.promise.most)
+            promise.pace = max(promise.pace, report.promise.pace)
         self.last_promises.CopyFrom(order)
         self.last_promises.ClearField("promises")
         return success()
 
     @property
     def closed_charges(self) -> int:
-        """Tokens charged for holders that are gone, of all tenants."""
+        """Tokens charged for lost holders, over all tenants."""
         return sum(account.closed_charge for account in self.accounts.values())
 
     @property
     def has_holders(self) -> bool:
-        """Whether any router holds tokens, or did and has not ended."""
+        """Whether any account has a holder that is not closed."""
         return any(account.holders for account in self.accounts.values())
 
     def holders(self) -> set[tuple[str, str]]:
-        """Return all routers that hold tokens, with their incarnations."""
+        """Return the (router, incarnation) pairs of all holders."""
         return {
             (entry.holder, entry.incarnation)
             for account in self.accounts.values()
             for entry in account.holders
         }
 
-    # ---- holders that are gone --------------------------------------------
+    # ---- lost holders -----------------------------------------------------
 
     def close(self, order: control_pb2.ClosePrepaidHolder) -> None:
-        """Charge a holder that is gone, in all accounts, and forget it."""
+        """Charge a lost holder in all accounts and remove its entries."""
         for account in self.accounts.values():
-            self._close_in(account, order)
+            self._close_holder_in(account, order)
 
     @staticmethod
-    def _close_in(
+    def _close_holder_in(
         account: ledger_pb2.PrepaidAccount, order: control_pb2.ClosePrepaidHolder
     ) -> None:
         for position, holder in enumerate(account.holders):
             if (holder.holder, holder.incarnation) != (order.holder, order.incarnation):
                 continue
             held = holder.granted - holder.returned
-            told = order.charges.get(account.tenant)
-            charge = held if told is None else min(held, max(told, holder.spent))
+            reported = order.charges.get(account.tenant)
+            charge = held if reported is None else min(held, max(reported, holder.spent))
             account.closed_charge += charge
             account.closed_spent += holder.spent
             del account.holders[position]
             return
 
     def incarnations_of(self, holder: str) -> set[str]:
-        """Return the incarnations of a router that hold an account open."""
+        """Return the incarnations of a router that have an entry in any account."""
         return {
             entry.incarnation
             for account in self.accounts.values()
@@ -210,7 +217,7 @@
         }
 
     def held_and_spent(self, holder: tuple[str, str]) -> tuple[int, int]:
-        """Return what one incarnation of a router holds, and what it said it used."""
+        """Return the tokens that a (router, incarnation) holds and those that it reported spent."""
         entries = [
             entry
             for account in self.accounts.values()
@@ -228,6 +235,6 @@
         snapshot.last_promises.CopyFrom(self.last_promises)
 
     def load(self, snapshot: control_pb2.StateSnapshot) -> None:
-        """Take all accounts from a snapshot."""
+        """Replace all accounts with those of a snapshot."""
         self.accounts = {account.tenant: account for account in snapshot.prepaid}
         self.last_promises.CopyFrom(snapshot.last_promises)
--- a/packages/heronladder-control/src/heronladder_control/prepaid_watch.py
+++ b/packages/heronladder-control/src/heronladder_control/prepaid_watch.py
@@ -1,17 +1,18 @@
-"""What the leader knows of routers' spending, and what a lost router is charged.
-
-A router keeps to what it promised for as long as it hears control, and for ``WINDOW_HOLDS_S``
-after the newest frame it received (see ``prepaid_window``). Promises are in the log before they
-are confirmed, so they outlive a leader. What remains to be told is how long after that frame a
-lost router can have lived: from when it surely heard control until its successor's process
-began.
-
-- In the leader's own term each frame carries its clock, and each heartbeat gives back the newest
-  one received.
-- From an earlier term there are the notes of that leader: when it made them, on its own clock,
-  and how lately each router had heard it. How long ago that was is told by routers' wall
-  clocks, which the notes hold too. Clocks may have been set meanwhile: the longest time that any
-  of them tells counts, and without word of half of them nothing is told.
+"""Charges of lost routers, from their spending promises and their last contact with the leader.
+
+A router keeps its spending promises while it receives frames from control, and for
+``WINDOW_HOLDS_S`` after the newest one (see ``prepaid_window``). Promises are written to the log
+before they are confirmed, so they outlive a leader. The leader also has to bound how long a lost
+router can have run after its last frame: from its last certain contact with a leader until its
+successor's process started.
+
+- In the leader's own term, each frame carries the leader's clock, and each heartbeat returns the
+  newest value received.
+- For an earlier term, the leader reads the ``NotePromises`` command of its predecessor. It holds
+  the predecessor's clock, how recently each router was in contact with it, and the wall clocks
+  of some routers, from which the leader derives how long ago the command was written. Wall
+  clocks may have been set since then, so the longest time that any of them indicates counts.
+  Unless half of them are known, the leader derives nothing.
 """
 
 import math
@@ -23,89 +24,94 @@
 
 from heronladder_control.prepaid import PrepaidTable
 
-_CLOCK_RATE_MARGIN_S = 0.1  # two steady clocks may differ by this over the time they hold
-_LEAST_WITNESSES = 2  # wall clocks; one alone may have been set
-# A new leader hears wall clocks of most routers within a heartbeat and a stream's start; those
-# of machines that were restarted come later. Until then what was held stays charged.
-_WITNESSES_PATIENCE_S = 3.0
-_KNOWN_STARTS = 4  # of one router, the newest
+_CLOCK_RATE_MARGIN_S = 0.1  # drift between two monotonic clocks over the spending window
+_MIN_SHARED_WALL_CLOCKS = 2  # a single wall clock may have been set
+# Most routers report their wall clocks to a new leader with their first heartbeat; those on
+# machines that restarted report later. Until then, held tokens stay charged.
+_WALL_CLOCK_WAIT_S = 3.0
+_MAX_STARTS_PER_ROUTER = 4
 HolderKey = tuple[str, str]  # router, incarnation
 
 
 @dataclass
 class _Contact:
-    """What one incarnation of a router told on its newest stream."""
+    """Contact of one incarnation of a router with this leader, on its newest stream."""
 
-    # Leader's clock on the newest frame it received. Never, until it tells of one: on a machine
-    # that has just started, 0 is a moment ago, and the holder was charged nothing.
+    # Leader's clock in the newest frame that the router received; -inf until it reports one.
+    # With 0, a leader on a machine that has just booted takes the contact for a recent one and
+    # charges too little.
     control_s: float = float("-inf")
 
 
 @dataclass(frozen=True)
-class _Start:
-    """When a process of a router began, at the latest."""
+class _ProcessStart:
+    """Latest possible start of a router's process, on the leader's clock."""
 
     incarnation: str
-    began_s: float
+    started_s: float
 
 
 class PrepaidWatch:
-    """Follows when routers heard control, and when their processes began.
+    """Tracks when routers last heard from control and when their processes started.
 
     Args:
-        environment: Time.
+        environment: Source of the monotonic time.
+
+    Attributes:
+        term: Term whose leader's notes are loaded; 0 before the first one.
     """
 
     def __init__(self, environment: Environment) -> None:
         self._environment = environment
-        self.term = 0  # whose leader's notes are known; 0: none
+        self.term = 0
         self._contact_term = 0
-        self._began_s = 0.0
-        self._earlier = control_pb2.NotePromises()  # newest notes of an earlier leader
+        self._term_started_s = 0.0
+        self._earlier_notes = control_pb2.NotePromises()  # newest of an earlier leader
         self._contacts: dict[HolderKey, _Contact] = {}
-        self._starts: dict[str, list[_Start]] = {}
-        self._wall_ahead_ms: dict[str, float] = {}  # at most, by router
+        self._starts: dict[str, list[_ProcessStart]] = {}
+        self._wall_ahead_ms: dict[str, float] = {}  # upper bound by router
 
     def start_term(self, term: int, notes: control_pb2.NotePromises) -> None:
-        """Begin as the leader of a term.
+        """Start a term as its leader.
 
         Args:
             term: The term.
-            notes: Newest ones of an earlier leader in the log.
+            notes: The newest ``NotePromises`` command of an earlier leader in the log.
         """
-        self._enter(term)
+        self._reset_for_term(term)
         self.term = term
-        self._began_s = self._environment.monotonic()
-        self._earlier.CopyFrom(notes)
+        self._term_started_s = self._environment.monotonic()
+        self._earlier_notes.CopyFrom(notes)
 
     def note_stream_opened(self, holder: HolderKey, term: int) -> None:
-        """Note that a router opened a stream in a term, which may begin only then."""
-        self._enter(term)
+        """Record that a router opened a stream, possibly before ``start_term`` of its term."""
+        self._reset_for_term(term)
         self._contacts[holder] = _Contact()
 
-    def _enter(self, term: int) -> None:
-        """Forget what was told of the clocks of an earlier term."""
+    def _reset_for_term(self, term: int) -> None:
+        """Discard contacts, clocks and notes if they belong to another term."""
         if term == self._contact_term:
             return
         self._contact_term = term
         self._contacts.clear()
         self._wall_ahead_ms.clear()
-        self._earlier.Clear()
+        self._earlier_notes.Clear()
 
     def note_wall_clock(self, router: str, heartbeat: control_pb2.Heartbeat) -> None:
-        """Take in a router's wall clock."""
+        """Record a router's wall clock from a heartbeat."""
         if not heartbeat.control_time_ms:
             return
-        # It was read after the router had the frame with that time: it is ahead by no more.
+        # The router read its clock after it received the frame: this is an upper bound.
         ahead_ms = float(heartbeat.wall_ms) - float(heartbeat.control_time_ms)
         known_ms = self._wall_ahead_ms.get(router, math.inf)
         self._wall_ahead_ms[router] = min(known_ms, ahead_ms)
 
     def note_contact(self, holder: HolderKey, heartbeat: control_pb2.Heartbeat) -> None:
-        """Take in when a router heard this leader.
+        """Record when a router last heard from this leader.
 
-        Only once what the heartbeat promises is in the log: by then the router may have used
-        as much as its silence before allowed, which earlier promises do not cover.
+        Call it only once the promises of the heartbeat are in the log. Before, the router may
+        have spent what the silence up to this contact allowed, which earlier promises do not
+        cover.
         """
         contact = self._contacts.get(holder)
         if contact is None or not heartbeat.control_time_ms:
@@ -114,32 +120,32 @@
         contact.control_s = max(contact.control_s, heard_s)
 
     def last_contact_s(self, holder: HolderKey) -> float:
-        """Return when a router surely heard this leader, on its clock; -inf if never."""
+        """Return the last certain contact of a router, on this leader's clock; -inf if none."""
         contact = self._contacts.get(holder)
         return contact.control_s if contact is not None else float("-inf")
 
     def note_successor(self, holder: str, incarnation: str, process_age_s: float = 0.0) -> None:
-        """Note that a new incarnation of a router was heard of: the others have ended.
+        """Record a new incarnation of a router, which means that the earlier ones have ended.
 
         Args:
-            holder: The router.
-            incarnation: The new one.
-            process_age_s: How long ago its process began, at least, in seconds.
+            holder: Name of the router.
+            incarnation: The new incarnation.
+            process_age_s: Lower bound of its process's age, in seconds.
         """
         starts = self._starts.setdefault(holder, [])
         if any(start.incarnation == incarnation for start in starts):
             return
-        began_s = self._environment.monotonic() - process_age_s
-        starts.append(_Start(incarnation, began_s))
-        del starts[:-_KNOWN_STARTS]
+        started_s = self._environment.monotonic() - process_age_s
+        starts.append(_ProcessStart(incarnation, started_s))
+        del starts[:-_MAX_STARTS_PER_ROUTER]
 
     # ---- charges ----------------------------------------------------------
 
     def must_wait(self, holder: HolderKey) -> bool:
-        """Whether wall clocks that tell what a lost router is charged may yet be heard."""
-        if self._environment.monotonic() - self._began_s > _WITNESSES_PATIENCE_S:
+        """Whether to wait for more wall clocks before a lost router is charged."""
+        if self._environment.monotonic() - self._term_started_s > _WALL_CLOCK_WAIT_S:
             return False
-        if self.last_contact_s(holder) > float("-inf") or not self._earlier.wall_ahead_ms:
+        if self.last_contact_s(holder) > float("-inf") or not self._earlier_notes.wall_ahead_ms:
             return False
         return len(self._shared_wall_clocks()) < self._required_wall_clocks()
 
@@ -148,37 +154,37 @@
     ) -> control_pb2.ClosePrepaidHolder:
         """Return the command that closes a lost router's accounts.
 
-        A tenant without a charge in it is charged all that was held.
+        A tenant without a charge in the command is charged everything that was held.
         """
         order = control_pb2.ClosePrepaidHolder(holder=holder[0], incarnation=holder[1])
         silent_s = self.lived_on_s(holder)
         if silent_s is None or silent_s >= WINDOW_HOLDS_S:
             return order
         for account in table.accounts.values():
-            entry = self._entry(account, holder)
+            entry = self._find_entry(account, holder)
             if entry is not None and entry.HasField("promise"):
                 promise = entry.promise
                 order.charges[account.tenant] = promise.most + 1 + paced(promise.pace, silent_s)
         return order
 
     def lived_on_s(self, holder: HolderKey) -> float | None:
-        """Return how long a lost router can have lived without control; None if unknown."""
-        ended_s = self._ended_s(holder)
-        heard_s = max(self.last_contact_s(holder), self._earlier_contact_s(holder))
+        """Return how long, in seconds, a lost router can have run without control, or None."""
+        ended_s = self._successor_started_s(holder)
+        heard_s = max(self.last_contact_s(holder), self._contact_before_term_s(holder))
         if ended_s is None or heard_s == float("-inf"):
             return None
         return max(0.0, ended_s - heard_s + _CLOCK_RATE_MARGIN_S)
 
-    def _ended_s(self, holder: HolderKey) -> float | None:
-        """Return when the next process of the router's name began; None if there is none."""
+    def _successor_started_s(self, holder: HolderKey) -> float | None:
+        """Return the start of the next process of the same router; None if there is none."""
         starts = self._starts.get(holder[0], [])
         own = [number for number, start in enumerate(starts) if start.incarnation == holder[1]]
         later = starts[own[0] + 1 :] if own else starts
-        return later[0].began_s if later else None
+        return later[0].started_s if later else None
 
-    def _earlier_contact_s(self, holder: HolderKey) -> float:
-        """Return when a router surely heard an earlier leader, on this one's clock."""
-        notes = self._earlier
+    def _contact_before_term_s(self, holder: HolderKey) -> float:
+        """Return a router's last certain contact with an earlier leader, on this leader's clock."""
+        notes = self._earlier_notes
         witnesses = self._shared_wall_clocks()
         if holder[1] in notes.silent or len(witnesses) < self._required_wall_clocks():
             return float("-inf")
@@ -189,14 +195,14 @@
         return (made_ms - notes.heard_within_ms) / MILLISECONDS_PER_SECOND
 
     def _shared_wall_clocks(self) -> list[str]:
-        """Return the routers whose wall clock is known from the notes and from now."""
-        return [name for name in self._earlier.wall_ahead_ms if name in self._wall_ahead_ms]
+        """Return the routers whose wall clock is known both from the notes and from this term."""
+        return [name for name in self._earlier_notes.wall_ahead_ms if name in self._wall_ahead_ms]
 
     def _required_wall_clocks(self) -> int:
-        return max(_LEAST_WITNESSES, math.ceil(len(self._earlier.wall_ahead_ms) / 2))
+        return max(_MIN_SHARED_WALL_CLOCKS, math.ceil(len(self._earlier_notes.wall_ahead_ms) / 2))
 
     @staticmethod
-    def _entry(
+    def _find_entry(
         account: ledger_pb2.PrepaidAccount, holder: HolderKey
     ) -> ledger_pb2.PrepaidHolder | None:
         for entry in account.holders:
@@ -205,5 +211,5 @@
         return None
 
     def forget(self, holder: HolderKey) -> None:
-        """Forget a holder whose accounts are closed."""
+        """Discard the contact of a holder whose accounts are closed."""
         self._contacts.pop(holder, None)
--- a/packages/heronladder-control/src/heronladder_control/promise_recorder.py
+++ b/packages/heronladder-control/src/heronladder_control/promise_recorder.py
@@ -1,7 +1,8 @@
-"""Puts promises of routers into the log, and confirms them then.
+"""Writes spending promises of routers to the replicated log and then confirms them.
 
-A promise that only the leader knew would die with it: another leader could charge a lost router
-no less than all it held. The notes also say when they were made, for a leader to come.
+A promise that only the leader knew would be lost with it, and the next leader would have to charge
+a lost router everything that it held. Each ``NotePromises`` command also carries what a later
+leader needs to derive how long ago it was written.
 """
 
 from __future__ import annotations
@@ -17,74 +18,75 @@
 from heronladder_control.member_context import MemberContext
 from heronladder_control.prepaid_watch import HolderKey
 
-# Between two entries of the log while promises rise: a request that waits for one waits half of
-# it: with an entry for each heartbeat 30 gateways would write 100 a second.
-_LEAST_PAUSE_S = 0.02
-# Without any that rose: how long ago the newest notes were made is charged at the pace.
-_LONGEST_PAUSE_S = 0.25
-_SILENT_AFTER_S = 1.0  # three heartbeats without a word that it heard us
-_MAX_NOTED_WALL_CLOCKS = 16  # routers whose wall clocks are noted; half of them must be heard again
+# Between two log entries while promises rise. A request that waits for a promise waits for half
+# of it on average. With one entry per heartbeat, 30 gateways would write 100 entries a second.
+_MIN_INTERVAL_S = 0.02
+# Between two log entries while no promise rises. The age of the newest entry is charged at the
+# promised rate.
+_MAX_INTERVAL_S = 0.25
+_SILENT_AFTER_S = 1.0  # three heartbeats that report no contact with this leader
+_MAX_NOTED_WALL_CLOCKS = 16  # a later leader needs half of them
 
 
 class PromiseRecorder:
-    """The leader's task that notes promises.
+    """Background task of the leader that records spending promises.
 
     Args:
-        member: What the parts of the member share.
+        member: Shared context of the control member.
     """
 
     def __init__(self, member: MemberContext) -> None:
         self._member = member
-        self._risen: dict[HolderKey, dict[str, ledger_pb2.SpendingPromise]] = {}
-        # By router: its newest heartbeat with promises.
-        self._due: dict[str, tuple[DaemonSession, control_pb2.Heartbeat]] = {}
+        self._raised: dict[HolderKey, dict[str, ledger_pb2.SpendingPromise]] = {}
+        # Newest heartbeat with promises, by router.
+        self._unconfirmed: dict[str, tuple[DaemonSession, control_pb2.Heartbeat]] = {}
         self._wall_ahead_ms: dict[str, int] = {}
         self._wake = Pulse()
 
     def heartbeat(self, session: DaemonSession, heartbeat: control_pb2.Heartbeat) -> None:
-        """Take in the promises of a heartbeat."""
+        """Queue the promises of a heartbeat for the next log entry."""
         name = session.record.name
         now_ms = int(self._member.environment.monotonic() * MILLISECONDS_PER_SECOND)
-        # It was read before it came here: the wall clock is ahead by no less.
+        # The router read its clock before the heartbeat arrived: this is a lower bound.
         self._wall_ahead_ms[name] = heartbeat.wall_ms - now_ms
         self._member.prepaid_watch.note_wall_clock(name, heartbeat)
-        if not heartbeat.promises:  # all that it promised is in the log
+        if not heartbeat.promises:  # all its promises are in the log
             self._member.prepaid_watch.note_contact((name, session.record.incarnation), heartbeat)
             return
-        risen = self._risen.setdefault((name, session.record.incarnation), {})
+        raised = self._raised.setdefault((name, session.record.incarnation), {})
         for tenant, promise in heartbeat.promises.items():
-            risen[tenant] = promise
-        self._due[name] = (session, heartbeat)
+            raised[tenant] = promise
+        self._unconfirmed[name] = (session, heartbeat)
         self._wake.give()
 
     def forget(self, name: str) -> None:
-        """Forget a router whose stream ended."""
+        """Discard the wall clock of a router whose stream ended."""
         self._wall_ahead_ms.pop(name, None)
 
     async def run(self) -> None:
-        """Note promises for as long as the member runs."""
+        """Record promises while this member leads, until the task is cancelled."""
         while True:
-            if not self._risen:
-                await self._wake.wait(_LONGEST_PAUSE_S)
+            if not self._raised:
+                await self._wake.wait(_MAX_INTERVAL_S)
             if not self._member.node.is_leader:
-                self._risen.clear()
-                self._due.clear()
-                await self._member.node.changed.wait(_LONGEST_PAUSE_S)
+                self._raised.clear()
+                self._unconfirmed.clear()
+                await self._member.node.changed.wait(_MAX_INTERVAL_S)
                 continue
             if self._member.prepaid_watch.term != self._member.node.term:
-                # The notes of the leader before must be read before there are new ones.
-                await asyncio.sleep(_LEAST_PAUSE_S)
+                # PrepaidWatch must read the previous leader's notes before new ones replace them.
+                await asyncio.sleep(_MIN_INTERVAL_S)
                 continue
-            if self._risen or self._member.state.prepaid.has_holders:
-                await self._note()
-            await asyncio.sleep(_LEAST_PAUSE_S)
+            if self._raised or self._member.state.prepaid.has_holders:
+                await self._record()
+            await asyncio.sleep(_MIN_INTERVAL_S)
 
-    async def _note(self) -> None:
+    async def _record(self) -> None:
         command = control_pb2.Command()
-        self._fill(command.note_promises)
-        risen, self._risen = self._risen, {}
-        due, self._due = self._due, {}
-        for (name, incarnation), promises in risen.items():
+        self._add_contact_times(command.note_promises)
+        raised, self._raised = self._raised, {}
+        unconfirmed, self._unconfirmed = self._unconfirmed, {}
+        for (name, incarnation), promises in raised.items():
             for tenant, promise in promises.items():
                 command.note_promises.promises.add(
                     holder=name, incarnation=incarnation, tenant=tenant, promise=promise
@@ -92,20 +94,20 @@
         try:
             await self._member.propose(command)
         except HeronladderError as error:
-            # The routers tell all of them again on their next streams.
+            # The routers report all their promises again on their next streams.
             self._member.log.info("promises_not_noted", step=error.step, reason=error.message)
             return
-        for session, heartbeat in due.values():
+        for session, heartbeat in unconfirmed.values():
             record = session.record
-            # One that was declared gone meanwhile must not rely on what was not taken.
+            # A router declared gone in the meantime must not rely on a promise that was dropped.
             if self._member.state.is_current(record.name, record.incarnation):
                 holder = (record.name, record.incarnation)
                 self._member.prepaid_watch.note_contact(holder, heartbeat)
                 session.promises_noted = heartbeat.number
                 session.wake.give()
 
-    def _fill(self, notes: control_pb2.NotePromises) -> None:
-        """Add what a leader to come needs to tell how long ago this was."""
+    def _add_contact_times(self, notes: control_pb2.NotePromises) -> None:
+        """Add the clocks from which a later leader derives the age of this command."""
         now_s = self._member.environment.monotonic()
         notes.term = self._member.node.term
         notes.leader_time_ms = int(now_s * MILLISECONDS_PER_SECOND)
--- a/packages/heronladder-control/src/heronladder_control/recalls.py
+++ b/packages/heronladder-control/src/heronladder_control/recalls.py
@@ -1,4 +1,4 @@
-"""Asking daemons to give back tokens that others lack."""
+"""Recalls: control asks daemons to return tokens that other daemons need."""
 
 from collections.abc import Iterable, Mapping, Sequence
 
@@ -7,32 +7,32 @@
 from heronladder_control.daemon_session import DaemonSession
 from heronladder_control.daemons import ROLE_ROUTER
 
-# Of the least that is asked for; with fewer tokens in all, a fair share for each holder would
-# leave too little for anyone.
-_SCARCE_ASKS = 4
+# Multiple of the requested minimum. With fewer tokens in total, a fair share per holder would
+# be too small for any request.
+_SCARCE_FACTOR = 4
 
 
 def recall_leases(
     sessions: Mapping[str, DaemonSession],
     leases: Sequence[ledger_pb2.Lease],
-    ask: control_pb2.GrantLease,
+    order: control_pb2.GrantLease,
     result: control_pb2.CommandResult,
 ) -> None:
-    """Ask the other holders of an empty budget to give back all but a fair share.
+    """Ask the other holders of an exhausted budget to return all but a fair share.
 
     Args:
-        sessions: Streams of daemons, by name.
+        sessions: Sessions of connected daemons by name.
         leases: Open leases of the budget.
-        ask: What could not be granted.
-        result: What was left of the budget then.
+        order: The lease request that could not be granted.
+        result: Its result, with the tokens that were available.
     """
     held = sum(lease.granted - lease.returned - lease.billed - lease.withheld for lease in leases)
     total = held + result.available
-    scarce = total < _SCARCE_ASKS * ask.minimum
+    scarce = total < _SCARCE_FACTOR * order.minimum
     keep = 0 if scarce else total // (2 * max(1, len(leases)))
     for lease in leases:
         session = sessions.get(lease.holder)
-        if session is None or lease.holder == ask.holder:
+        if session is None or lease.holder == order.holder:
             continue
         session.recalls[lease.lease_id] = keep
         session.wake.give()
@@ -43,7 +43,7 @@
     order: control_pb2.DrawTokens,
     result: control_pb2.CommandResult,
 ) -> None:
-    """Ask the other routers to give back what they have not used of a tenant."""
+    """Ask the other routers to return their unused prepaid tokens of a tenant."""
     if not result.recallable:
         return
     for session in sessions:
--- a/packages/heronladder-control/src/heronladder_control/resources.py
+++ b/packages/heronladder-control/src/heronladder_control/resources.py
@@ -1,4 +1,8 @@
-"""Declared resources: compare-and-set, change ids, references, and their history."""
+"""Declared resources with compare-and-set updates, idempotent changes, references and history.
+
+Results of changes that carry a change id are part of snapshots. All builds of a cluster must
+therefore return the same messages for the same command.
+"""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable
@@ -11,15 +15,15 @@
 
 from heronladder_control.results import failure
 
-# Told of a resource before and after a change; None where it is not there.
+# Called with a resource before and after a change; None stands for an absent resource.
 Watcher = Callable[[resources_pb2.Resource | None, resources_pb2.Resource | None], None]
 
-_EVENTS_KEPT = 4_000
-_CHANGES_KEPT = 4_000
+_MAX_EVENTS = 4_000
+_MAX_CHANGES = 4_000
 
 
 class ResourceTable:
-    """All resources of a region and their newest changes.
+    """All resources of a region and their recent changes.
 
     Args:
         region: Name of the region.
@@ -28,11 +32,11 @@
     def __init__(self, region: str) -> None:
         self.region = region
         self.resources: dict[str, dict[str, resources_pb2.Resource]] = {kind: {} for kind in KINDS}
-        # In their order, by a number of our own: thousands of replicas register at once, and
-        # with a list each had all 4,000 kept events looked through (10% of a busy leader).
+        # In order, by an internal number. Thousands of replicas may register at once, and to
+        # search a list of 4,000 events for each of them takes 10% of a busy leader's time.
         self._events: OrderedDict[int, control_pb2.ConfigEvent] = OrderedDict()
-        self._events_of: dict[tuple[str, str], list[int]] = {}
-        self._last_event = 0
+        self._event_numbers: dict[tuple[str, str], list[int]] = {}
+        self._last_event_number = 0
         self.compacted_revision = 0
         self.revision = 0
         self._watchers: dict[str, Watcher] = {}
@@ -43,11 +47,11 @@
         return self.resources[kind].get(name)
 
     def watch(self, kind: str, watcher: Watcher) -> None:
-        """Have all changes of a kind told from now on, those of a snapshot too."""
+        """Call a watcher for all changes of a kind, including those by loading a snapshot."""
         self._watchers[kind] = watcher
 
     def _set(self, kind: str, name: str, resource: resources_pb2.Resource | None) -> None:
-        """Put a resource in its place, or take it away."""
+        """Store a resource, or remove it if None, and call the watcher of its kind."""
         before = self.resources[kind].pop(name, None) if resource is None else self.get(kind, name)
         if resource is not None:
             self.resources[kind][name] = resource
@@ -58,19 +62,19 @@
     # ---- changes ----------------------------------------------------------
 
     def first_outcome(self, change_id: str) -> control_pb2.CommandResult | None:
-        """Return what a change id came to the first time it was sent."""
+        """Return the result of the first change with a change id, or None."""
         return self._changes.get(change_id) if change_id else None
 
     def remember(self, change_id: str, result: control_pb2.CommandResult) -> None:
-        """Keep the outcome of a change for resends of it."""
+        """Store the result of a change, to be returned if the change is sent again."""
         if not change_id:
             return
         self._changes[change_id] = result
-        while len(self._changes) > _CHANGES_KEPT:
+        while len(self._changes) > _MAX_CHANGES:
             self._changes.popitem(last=False)
 
     def check_put(self, order: control_pb2.PutResource) -> control_pb2.CommandResult | None:
-        """Return why a resource may not be written so, or None."""
+        """Return the result that rejects a write of a resource, or None if it is valid."""
         name = order.resource.metadata.name
         known = self.get(order.kind, name)
         version = known.metadata.version if known is not None else 0
@@ -98,7 +102,7 @@
         return result
 
     def put(self, index: int, order: control_pb2.PutResource) -> control_pb2.CommandResult:
-        """Write a resource that was checked; return it with its new version."""
+        """Write a resource that passed ``check_put``; return it with its new version."""
         resource = resources_pb2.Resource()
         resource.CopyFrom(order.resource)
         known = self.get(order.kind, resource.metadata.name)
@@ -125,7 +129,7 @@
             )
         if not order.any_version and order.expected_version != known.metadata.version:
             return self._conflict(order.expected_version, known.metadata.version)
-        users = self._referring(order.kind, order.name)
+        users = self._referrers(order.kind, order.name)
         if users:
             return failure(
                 control_pb2.RESULT_CODE_REFERENCED,
@@ -138,7 +142,7 @@
         return result
 
     def write(self, index: int, kind: str, name: str, resource: resources_pb2.Resource) -> None:
-        """Write a resource that replaces its earlier state; only its newest event is kept."""
+        """Write a resource without checks, keeping only its newest event."""
         known = self.get(kind, name)
         resource.metadata.name = name
         resource.metadata.region = self.region
@@ -156,7 +160,7 @@
             self._record(index, kind, name, None)
 
     def _forget_events(self, kind: str, name: str) -> None:
-        for number in self._events_of.pop((kind, name), ()):
+        for number in self._event_numbers.pop((kind, name), ()):
             del self._events[number]
 
     def _record(
@@ -165,33 +169,39 @@
         event = control_pb2.ConfigEvent(revision=index, kind=kind, name=name)
         if resource is not None:
             event.resource.CopyFrom(resource)
-        self._keep(event)
+        self._append_event(event)
         self.revision = index
-        self.compact(_EVENTS_KEPT)
+        self.compact(_MAX_EVENTS)
 
     def compact(self, kept: int) -> None:
-        """Forget all but the newest events; who lacks older ones begins anew."""
+        """Delete all but the newest events.
+
+        A reader that needs an older event has to reload all resources.
+
+        Args:
+            kept: Number of events to keep.
+        """
         while len(self._events) > kept:
             number, oldest = self._events.popitem(last=False)
             self.compacted_revision = oldest.revision
-            self._drop_number(number, oldest)
+            self._unindex_event(number, oldest)
 
-    def _keep(self, event: control_pb2.ConfigEvent) -> None:
-        self._last_event += 1
-        self._events[self._last_event] = event
-        self._events_of.setdefault((event.kind, event.name), []).append(self._last_event)
+    def _append_event(self, event: control_pb2.ConfigEvent) -> None:
+        self._last_event_number += 1
+        self._events[self._last_event_number] = event
+        self._event_numbers.setdefault((event.kind, event.name), []).append(self._last_event_number)
 
-    def _drop_number(self, number: int, event: control_pb2.ConfigEvent) -> None:
-        numbers = self._events_of[event.kind, event.name]
+    def _unindex_event(self, number: int, event: control_pb2.ConfigEvent) -> None:
+        numbers = self._event_numbers[event.kind, event.name]
         numbers.remove(number)
         if not numbers:
-            del self._events_of[event.kind, event.name]
+            del self._event_numbers[event.kind, event.name]
 
     # ---- references -------------------------------------------------------
 
     @staticmethod
     def _references(resource: resources_pb2.Resource) -> list[tuple[str, str, str]]:
-        """Return (field, kind, name) of each resource that another one names."""
+        """Return (field, kind, name) of each resource that a resource refers to."""
         kind = kind_of(resource)
         found = []
         if kind == "tenant":
@@ -215,7 +225,7 @@
             if name and self.get(kind, name) is None
         ]
 
-    def _referring(self, kind: str, name: str) -> list[str]:
+    def _referrers(self, kind: str, name: str) -> list[str]:
         users = []
         for other_kind in KINDS:
             for other in self.resources[other_kind].values():
@@ -227,7 +237,7 @@
     # ---- reading ----------------------------------------------------------
 
     def events_after(self, revision: int) -> list[control_pb2.ConfigEvent] | None:
-        """Return the changes after a revision, or None if some are compacted away."""
+        """Return the changes after a revision, or None if some of them were compacted."""
         if revision < self.compacted_revision:
             return None
         newest_first = reversed(self._events.values())
@@ -247,7 +257,7 @@
         ]
 
     def save(self, snapshot: control_pb2.StateSnapshot) -> None:
-        """Write all into a snapshot."""
+        """Write resources, results of changes and events into a snapshot."""
         for kind in KINDS:
             snapshot.resources.extend(
                 self.resources[kind][name] for name in sorted(self.resources[kind])
@@ -258,7 +268,7 @@
         snapshot.compacted_revision = self.compacted_revision
 
     def load(self, snapshot: control_pb2.StateSnapshot) -> None:
-        """Take all from a snapshot."""
+        """Replace all resources, results of changes and events with those of a snapshot."""
         for kind in KINDS:
             for name in list(self.resources[kind]):
                 self._set(kind, name, None)
@@ -274,6 +284,6 @@
 
     def _load_events(self, events: Iterable[control_pb2.ConfigEvent]) -> None:
         self._events.clear()
-        self._events_of.clear()
+        self._event_numbers.clear()
         for event in events:
-            self._keep(event)
+            self._append_event(event)
--- a/packages/heronladder-control/src/heronladder_control/transfers.py
+++ b/packages/heronladder-control/src/heronladder_control/transfers.py
@@ -1,8 +1,8 @@
-"""Tokens moved between the accounts of two regions, each move numbered.
+"""Numbered transfers of tokens between the accounts of two regions.
 
-The receiving region notes what it asks for, the sending region debits and
-remembers what it gave, the receiving region credits. Each step does nothing
-the second time, so an answer that was lost is simply asked for again.
+The receiving region records its request, the sending region debits its account and
+records the amount, and the receiving region credits it. Each step is idempotent, so
+a request whose reply was lost is sent again.
 """
 
 from heronladder_schema.v1 import control_pb2, ledger_pb2
@@ -24,7 +24,7 @@
 
 
 class TransferTable:
-    """Moves between this region and others.
+    """Transfers between this region and others.
 
     Args:
         ledger: The region's accounts.
@@ -37,7 +37,7 @@
         self.pending: dict[_TransferKey, ledger_pb2.Transfer] = {}
 
     def start(self, wanted: ledger_pb2.Transfer) -> control_pb2.CommandResult:
-        """Note what this region asks for; an ask under way is returned instead."""
+        """Record a request of this region, or return the one that is already pending."""
         key = _key(wanted)
         pending = self.pending.get(key)
         if pending is None:
@@ -49,12 +49,15 @@
         return _result(pending)
 
     def debit(self, wanted: ledger_pb2.Transfer) -> control_pb2.CommandResult:
-        """Take tokens out of this region's account for another region."""
+        """Debit this region's account for another region."""
         key = _key(wanted)
         last = self.debits.get(key)
         if last is not None and wanted.number <= last.number:
             if wanted.number < last.number:
-                return failure(control_pb2.RESULT_CODE_STALE, "an older transfer")
+                return failure(
+                    control_pb2.RESULT_CODE_STALE,
+                    f"transfer {wanted.number} is older than transfer {last.number}",
+                )
             return _result(last)
         account = self._ledger.account(wanted.budget)
         if account is None:
@@ -70,7 +73,7 @@
         return _result(given)
 
     def credit(self, given: ledger_pb2.Transfer) -> control_pb2.CommandResult:
-        """Put tokens that another region gave into this region's account."""
+        """Credit tokens of another region to this region's account."""
         key = _key(given)
         last = self.credits.get(key)
         if last is not None and given.number <= last.number:
@@ -84,13 +87,13 @@
         return _result(given)
 
     def save(self, snapshot: control_pb2.StateSnapshot) -> None:
-        """Write all into a snapshot."""
+        """Write all transfers into a snapshot."""
         snapshot.debits.extend(self.debits[key] for key in sorted(self.debits))
         snapshot.credits.extend(self.credits[key] for key in sorted(self.credits))
         snapshot.pending.extend(self.pending[key] for key in sorted(self.pending))
 
     def load(self, snapshot: control_pb2.StateSnapshot) -> None:
-        """Take all from a snapshot."""
+        """Replace all transfers with those of a snapshot."""
         self.debits = {_key(transfer): transfer for transfer in snapshot.debits}
         self.credits = {_key(transfer): transfer for transfer in snapshot.credits}
         self.pending = {_key(transfer): transfer for transfer in snapshot.pending}
--- a/tests/test_prepaid_promises.py
+++ b/tests/test_prepaid_promises.py
@@ -68,8 +68,8 @@
                 run_virtual(loss_run(seed))
 
 
-def _newest_of_clocks(watch: PrepaidWatch, holder: HolderKey) -> float:
-    notes = watch._earlier
+def _contact_by_newest_clock(watch: PrepaidWatch, holder: HolderKey) -> float:
+    notes = watch._earlier_notes
     witnesses = watch._shared_wall_clocks()
     if holder[1] in notes.silent or len(witnesses) < watch._required_wall_clocks():
         return float("-inf")
@@ -87,19 +87,22 @@
 
     def test_the_newest_that_any_clock_tells(self) -> None:
         with (
-            patch.object(PrepaidWatch, "_earlier_contact_s", _newest_of_clocks),
+            patch.object(PrepaidWatch, "_contact_before_term_s", _contact_by_newest_clock),
             self.assertRaises(AssertionError),
         ):
             run_virtual(loss_amid_a_rush(3.4, leader_first=True, clock_ahead_s=4.0))
 
     def test_a_silence_that_the_notes_do_not_tell(self) -> None:
-        real = PromiseRecorder._fill
+        real = PromiseRecorder._add_contact_times
 
         def fill(notes: PromiseRecorder, order: control_pb2.NotePromises) -> None:
             real(notes, order)
             order.ClearField("silent")
 
-        with patch.object(PromiseRecorder, "_fill", fill), self.assertRaises(AssertionError):
+        with (
+            patch.object(PromiseRecorder, "_add_contact_times", fill),
+            self.assertRaises(AssertionError),
+        ):
             run_virtual(loss_amid_a_rush(3.4))
 
     def test_heard_before_what_was_used_is_in_the_log(self) -> None:
