--- a/packages/heronladder-control/src/heronladder_control/prepaid_watch.py
+++ b/packages/heronladder-control/src/heronladder_control/prepaid_watch.py
@@ -185,14 +185,14 @@
     def _contact_before_term_s(self, holder: HolderKey) -> float:
         """Return a router's last certain contact with an earlier leader, on this leader's clock."""
         notes = self._earlier_notes
-        witnesses = self._shared_wall_clocks()
-        if holder[1] in notes.silent or len(witnesses) < self._required_wall_clocks():
+        names = self._shared_wall_clocks()
+        if holder[1] in notes.silent or len(names) < self._required_wall_clocks():
             return float("-inf")
-        made_ms = min(
+        written_ms = min(
             notes.leader_time_ms + notes.wall_ahead_ms[name] - self._wall_ahead_ms[name]
-            for name in witnesses
+            for name in names
         )
-        return (made_ms - notes.heard_within_ms) / MILLISECONDS_PER_SECOND
+        return (written_ms - notes.heard_within_ms) / MILLISECONDS_PER_SECOND
 
     def _shared_wall_clocks(self) -> list[str]:
         """Return the routers whose wall clock is known both from the notes and from this term."""
--- a/tests/command_histories.py
+++ b/tests/command_histories.py
@@ -1,4 +1,4 @@
-"""Drawn histories of the commands that production's build knows, as its leader would write them."""
+"""Random histories of the commands that the production build knows, as its leader writes them."""
 
 from collections.abc import Callable
 from random import Random
@@ -14,8 +14,8 @@
 _REPLICAS = 12
 
 
-class _Holder:
-    """What one incarnation of a router has of one tenant, as it would report it."""
+class _HolderModel:
+    """Token balance of one router incarnation for one tenant, as it reports it."""
 
     def __init__(self) -> None:
         self.number = 0
@@ -30,23 +30,23 @@
 
 
 class HistoryWriter:
-    """Writes one history; what routers report follows from what they were granted.
+    """Generates one history in which routers report usage within what they were granted.
 
     Args:
-        seed: Draws the commands.
-        region: Name of the region, and of the group.
+        seed: Seed of the random commands.
+        region: Name of the region and of its consensus group.
     """
 
     def __init__(self, seed: int, region: str) -> None:
         self._source = Random(seed)
         self._state = ControlState(region)
-        self._holders: dict[tuple[str, str, str], _Holder] = {}
+        self._holders: dict[tuple[str, str, str], _HolderModel] = {}
         self._incarnations = dict.fromkeys(_ROUTERS, 0)
         self._version = 0
         self.commands: list[bytes] = []
 
     def write(self, length: int) -> list[bytes]:
-        """Return a history of so many commands."""
+        """Return a history of at least ``length`` commands."""
         self._configure()
         for router in _ROUTERS:
             self._register_router(router)
@@ -58,8 +58,8 @@
             (self._configure, 2),
             (self._evacuate, 2),
             (self._forget, 1),
-            (self._put_in_force, 4),
-            (self._settle_nothing, 1),
+            (self._set_in_force, 4),
+            (self._settle_unknown_lease, 1),
         ]
         steps, weights = zip(*kinds, strict=True)
         while len(self.commands) < length:
@@ -114,16 +114,16 @@
         command.close_prepaid_holder.incarnation = lost
         if self._source.random() < 0.5:
             for tenant in _TENANTS:
-                holder = self._holders.get((router, lost, tenant), _Holder())
+                holder = self._holders.get((router, lost, tenant), _HolderModel())
                 command.close_prepaid_holder.charges[tenant] = holder.spent + holder.reserved + 100
         self._add(command)
 
-    def _put_in_force(self) -> None:
+    def _set_in_force(self) -> None:
         command = control_pb2.Command()
         command.set_in_force.revision = self._state.resources.revision
         self._add(command)
 
-    def _settle_nothing(self) -> None:
+    def _settle_unknown_lease(self) -> None:
         command = control_pb2.Command()
         command.settle.settlements.add(lease_id=self._source.randrange(1, 9), sequence=1)
         self._add(command)
@@ -134,7 +134,7 @@
         router = self._source.choice(_ROUTERS)
         tenant = self._source.choice(_TENANTS)
         key = (router, self._incarnation(router), tenant)
-        holder = self._holders.setdefault(key, _Holder())
+        holder = self._holders.setdefault(key, _HolderModel())
         self._use(holder)
         minimum = self._source.choice((0, 0, 500, 1_500, 3_000, 9_000, 40_000))
         holder.number += 1
@@ -153,7 +153,7 @@
         if result.code in (control_pb2.RESULT_CODE_OK, control_pb2.RESULT_CODE_EXHAUSTED):
             holder.granted = max(holder.granted, result.granted)
 
-    def _use(self, holder: _Holder) -> None:
+    def _use(self, holder: _HolderModel) -> None:
         holder.spent += self._source.randrange(holder.reserved + 1)
         holder.reserved = 0
         holder.reserved = self._source.randrange(holder.free + 1)
@@ -184,13 +184,13 @@
         command = control_pb2.Command()
         order = command.register_replica
         known = self._state.fleet.replica(name)
-        order.replica.CopyFrom(self._told(name, known))
+        order.replica.CopyFrom(self._report(name, known))
         if known is not None and known.replaced:
             order.returns = self._source.random() < 0.3
         order.cold_news = self._source.random() < 0.1
         self._add(command)
 
-    def _told(self, name: str, known: resources_pb2.Replica | None) -> resources_pb2.Replica:
+    def _report(self, name: str, known: resources_pb2.Replica | None) -> resources_pb2.Replica:
         state = self._source.random()
         if known is not None and state < 0.1:
             return resources_pb2.Replica(id=name, gone=True)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""In which order a crowd at one member is let in."""
+"""Order in which a control member admits waiting requests."""
 
 import asyncio
 import unittest
@@ -21,39 +21,39 @@
         self.tasks = TaskGroupOwner(EventLog("control", "m0"))
         self.addAsyncCleanup(self.tasks.stop)
         self.admission = AdmissionControl(Environment(), self.tasks, Metrics(), lambda: self.leader)
-        self.let_in: list[str] = []
+        self.admitted: list[str] = []
 
-    async def _ask(self, name: str, patience_s: float, *, first: bool = False) -> bool:
-        done = await self.admission.ask(patience_s, first=first)
+    async def _ask(self, name: str, timeout_s: float, *, first: bool = False) -> bool:
+        done = await self.admission.ask(timeout_s, first=first)
         if done:
-            self.let_in.append(name)
+            self.admitted.append(name)
         return done
 
-    async def test_gateways_and_operators_go_first_and_replicas_in_their_order(self) -> None:
+    async def test_operators_are_admitted_first_and_replicas_in_order(self) -> None:
         replicas = [f"r{number:03}" for number in range(3 * ADMITTED_PER_CHECK)]
         asked = [asyncio.create_task(self._ask(name, 5.0)) for name in replicas]
         await asyncio.sleep(0)
         first = asyncio.create_task(self._ask("operator", 5.0, first=True))
         await asyncio.sleep(2 * CHECK_INTERVAL_S)
-        self.assertEqual(self.let_in, [], "nobody is let in while there is no leader")
+        self.assertEqual(self.admitted, [], "no request is admitted without a leader")
         self.leader = True
         await first
-        self.assertLessEqual(len(self.let_in), ADMITTED_PER_CHECK + 1)
+        self.assertLessEqual(len(self.admitted), ADMITTED_PER_CHECK + 1)
         self.assertEqual(await asyncio.gather(*asked), [True] * len(replicas))
-        self.assertEqual([name for name in self.let_in if name != "operator"], replicas)
+        self.assertEqual([name for name in self.admitted if name != "operator"], replicas)
 
-    async def test_who_comes_over_the_bound_is_told_at_once(self) -> None:
-        crowd = [asyncio.create_task(self._ask("r", 0.3)) for _ in range(MAX_WAITING)]
+    async def test_request_over_queue_limit_is_rejected_at_once(self) -> None:
+        waiting = [asyncio.create_task(self._ask("r", 0.3)) for _ in range(MAX_WAITING)]
         await asyncio.sleep(0)
         async with asyncio.timeout(0.2):
-            self.assertFalse(await self._ask("one too many", 5.0))
+            self.assertFalse(await self._ask("over the limit", 5.0))
         self.leader = True
         self.assertTrue(await self._ask("operator", 5.0, first=True))
-        outcomes = await asyncio.gather(*crowd)
+        outcomes = await asyncio.gather(*waiting)
         self.assertGreaterEqual(sum(outcomes), ADMITTED_PER_CHECK)
 
-    async def test_those_whose_patience_ends_leave_their_places_to_others(self) -> None:
-        self.assertFalse(await self._ask("impatient", 0.01))
+    async def test_timed_out_request_leaves_queue(self) -> None:
+        self.assertFalse(await self._ask("timed out", 0.01))
         late = asyncio.create_task(self._ask("late", 5.0))
         self.leader = True
         self.assertTrue(await late)
--- a/tests/test_builds_apply_alike.py
+++ b/tests/test_builds_apply_alike.py
@@ -1,4 +1,7 @@
-"""Tokens granted twice by members of two builds: both have to make one state of one log."""
+"""Two builds must derive the same state from the same log.
+
+Otherwise members of different builds would grant the same tokens twice.
+"""
 
 import argparse
 import base64
@@ -20,7 +23,7 @@
 
 
 def applied_by_production(histories: list[list[bytes]]) -> list[dict[str, object]]:
-    """Return what production's build makes of histories."""
+    """Apply histories with the production build and return its results."""
     lines = [
         json.dumps([base64.b64encode(command).decode() for command in history])
         for history in histories
@@ -34,41 +37,41 @@
         check=False,
     )
     if done.returncode != 0:
-        raise AssertionError(f"production's build ended: {done.stderr[-2_000:]}")
+        raise AssertionError(f"the production build failed: {done.stderr[-2_000:]}")
     return [json.loads(line) for line in done.stdout.splitlines()]
 
 
-def parted(seeds: range) -> tuple[list[int], list[int]]:
-    """Return the seeds whose histories grant other tokens, and those that end in other states."""
+def differing_seeds(seeds: range) -> tuple[list[int], list[int]]:
+    """Return the seeds with different command results, and those with different final states."""
     histories = [HistoryWriter(seed, _REGION).write(_LENGTH) for seed in seeds]
-    tokens, states = [], []
-    theirs = applied_by_production(histories)
-    for seed, history, other in zip(seeds, histories, theirs, strict=True):
+    results, states = [], []
+    production_results = applied_by_production(histories)
+    for seed, history, expected in zip(seeds, histories, production_results, strict=True):
         own = json.loads(json.dumps(apply_history(_REGION, history)))
-        if own["given"] != other["given"]:
-            tokens.append(seed)
-        if own["state"] != other["state"]:
+        if own["given"] != expected["given"]:
+            results.append(seed)
+        if own["state"] != expected["state"]:
             states.append(seed)
-    return tokens, states
+    return results, states
 
 
 class SameLogTest(unittest.TestCase):
-    def test_members_of_two_builds_grant_the_same_tokens_for_one_log(self) -> None:
-        tokens, states = parted(range(_HISTORIES))
-        self.assertEqual(tokens, [], "other tokens granted")
-        self.assertEqual(states, [], "other states")
+    def test_two_builds_grant_same_tokens_for_one_log(self) -> None:
+        results, states = differing_seeds(range(_HISTORIES))
+        self.assertEqual(results, [], "command results differ")
+        self.assertEqual(states, [], "final states differ")
 
 
 def main() -> int:
-    """Compare many histories from the command line; return how many part."""
+    """Compare many histories from the command line; return how many differ."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--histories", type=int, default=10_000)
     options = parser.parse_args()
     found = 0
     for start in range(0, options.histories, 500):
-        tokens, states = parted(range(start, min(start + 500, options.histories)))
-        found += len(set(tokens) | set(states))
-        print(f"from {start}: other tokens {tokens}, other states {states}", flush=True)
+        results, states = differing_seeds(range(start, min(start + 500, options.histories)))
+        found += len(set(results) | set(states))
+        print(f"from {start}: different results {results}, different states {states}", flush=True)
     return found
 
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations of zones: acknowledged, in force at the gateways, and never lost or undone."""
+"""Evacuations of zones: acknowledged, in force at the gateways, never lost or overwritten."""
 
 import asyncio
 import unittest
@@ -30,7 +30,7 @@
         self.resources = ResourceTable("r")
         self.table = EvacuationTable(self.resources)
 
-    def test_the_same_order_again_changes_nothing(self) -> None:
+    def test_repeated_order_changes_nothing(self) -> None:
         first = self.table.apply(5, _order("a"))
         again = self.table.apply(6, _order("a"))
         self.assertEqual((first.revision, again.revision), (5, 5))
@@ -40,12 +40,12 @@
         self.assertEqual(self.table.apply(8, _order("a", ended=True)).revision, 7)
         self.assertFalse(self.table.is_evacuated("a"))
 
-    def test_taking_back_what_never_was_is_done_at_once(self) -> None:
+    def test_ending_unknown_evacuation_succeeds_without_change(self) -> None:
         result = self.table.apply(5, _order("a", ended=True))
         self.assertEqual((result.code, result.revision), (control_pb2.RESULT_CODE_OK, 0))
         self.assertEqual(self.resources.revision, 0)
 
-    def test_a_snapshot_carries_evacuations(self) -> None:
+    def test_snapshot_contains_evacuations(self) -> None:
         state = ControlState("r")
         command = control_pb2.Command()
         command.set_evacuation.zone = "a"
@@ -55,8 +55,8 @@
         self.assertTrue(restored.evacuations.is_evacuated("a"))
 
 
-class LateOrderTest(unittest.TestCase):
-    """A copy of an order waited at a member that had no way to the leader."""
+class OvertakenOrderTest(unittest.TestCase):
+    """A copy of an order waits at a member that can't reach the leader."""
 
     def setUp(self) -> None:
         self.clock = _Clock()
@@ -64,19 +64,19 @@
         self.orders.start_term(1)
         self.clock.now_s += 60
 
-    def test_one_that_its_opposite_has_overtaken_is_late(self) -> None:
+    def test_order_older_than_newest_change_of_its_zone_is_overtaken(self) -> None:
         self.orders.note_change("a")
         self.clock.now_s += 1.0
         self.assertTrue(self.orders.is_overtaken("a", 1.5, 1))
         self.assertFalse(self.orders.is_overtaken("a", 0.5, 1))
         self.assertFalse(self.orders.is_overtaken("b", 1.5, 1))
 
-    def test_a_new_leader_takes_no_order_from_before_its_term(self) -> None:
+    def test_new_leader_rejects_orders_from_before_its_term(self) -> None:
         self.orders.start_term(2)
         self.clock.now_s += 1.0
         self.assertTrue(self.orders.is_overtaken("a", 1.5, 2))
         self.assertFalse(self.orders.is_overtaken("a", 0.5, 2))
-        self.assertTrue(self.orders.is_overtaken("a", 0.5, 3))  # a term that has yet to begin
+        self.assertTrue(self.orders.is_overtaken("a", 0.5, 3))  # a term that has not started yet
 
 
 class EvacuationTest(unittest.IsolatedAsyncioTestCase):
@@ -101,8 +101,8 @@
         self.assertEqual(set(statuses), {200})
         return set(self.served)
 
-    async def test_nothing_goes_to_the_zone_until_it_is_taken_back(self) -> None:
-        """An evacuation was answered 404, and its replicas went on being sent to."""
+    async def test_evacuated_zone_gets_no_requests_until_evacuation_ends(self) -> None:
+        """Guards against an evacuation that is answered with 404 and leaves the zone in use."""
         self.assertIn("in-z1", await self._serve())
         self.assertEqual(await self._operator("Start", "z1"), 200)
         self.assertEqual(await self._serve(), {"in-z2"})
@@ -110,12 +110,12 @@
         self.assertEqual(await self._operator("Stop", "z1"), 200)
         self.assertIn("in-z1", await self._serve())
 
-    async def test_it_is_acknowledged_within_a_second(self) -> None:
+    async def test_evacuation_is_acknowledged_within_one_second(self) -> None:
         began_s = asyncio.get_running_loop().time()
         self.assertEqual(await self._operator("Start", "z1"), 200)
         self.assertLess(asyncio.get_running_loop().time() - began_s, 1.0)
 
-    async def test_a_service_without_another_zone_is_refused_at_once(self) -> None:
+    async def test_request_for_fully_evacuated_service_is_rejected_at_once(self) -> None:
         for zone in ("z1", "z2"):
             self.assertEqual(await self._operator("Start", zone), 200)
         began_s = asyncio.get_running_loop().time()
@@ -125,7 +125,7 @@
         self.assertIn("Retry-After", got.headers)
         self.assertIn(b"service_evacuated", got.body)
 
-    async def test_a_repeat_does_not_go_there_either(self) -> None:
+    async def test_retry_does_not_go_to_evacuated_zone(self) -> None:
         self.assertEqual(await self._operator("Start", "z1"), 200)
 
         async def failing(replica: Any, received: Received) -> bytes:
@@ -136,7 +136,7 @@
         self.assertEqual((await self.fleet.request("/safe/")).status, 500)
         self.assertEqual(self.served, ["in-z2"])
 
-    async def test_a_gateway_that_starts_does_not_send_there(self) -> None:
+    async def test_new_gateway_does_not_send_to_evacuated_zone(self) -> None:
         self.assertEqual(await self._operator("Start", "z1"), 200)
         added = await self.fleet.add_gateway("front-2")
         self.served.clear()
@@ -145,7 +145,7 @@
                 await asyncio.sleep(0.02)
         self.assertEqual(set(self.served), {"in-z2"})
 
-    async def test_a_zone_that_is_not_there_is_named(self) -> None:
+    async def test_unknown_zone_is_rejected_with_list_of_zones(self) -> None:
         address = self.fleet.control_address
         got = await self.fleet.call(address, "POST", "/api/Evacuations.Start/z9")
         self.assertEqual(got.status, 404)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: conservation under any order of commands, fences, periods, regions."""
+"""Ledger: token conservation under any order of commands, fencing, periods and regions."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class StateDriver:
-    """Applies commands to a state."""
+    """Applies commands to a control state with consecutive log indexes."""
 
     def __init__(self, region: str = "r") -> None:
         self.state = ControlState(region)
@@ -37,7 +37,7 @@
     def grant(
         self, holder: str, incarnation: str, number: int, wanted: int, minimum: int = 1
     ) -> control_pb2.CommandResult:
-        ask = control_pb2.GrantLease(
+        order = control_pb2.GrantLease(
             budget="b",
             holder=holder,
             incarnation=incarnation,
@@ -45,7 +45,7 @@
             minimum=minimum,
             number=number,
         )
-        return self.apply(grant_lease=ask)
+        return self.apply(grant_lease=order)
 
     def settle(self, lease_id: int, sequence: int, tokens: int) -> control_pb2.CommandResult:
         settlement = ledger_pb2.Settlement(
@@ -82,13 +82,13 @@
             )
         )
 
-    def test_an_ask_sent_twice_grants_once(self) -> None:
+    def test_repeated_lease_request_grants_once(self) -> None:
         first = self.driver.grant("router", "i1", 1, 1000)
         again = self.driver.grant("router", "i1", 1, 1000)
         self.assertEqual(first.lease.granted, again.lease.granted)
         self.assertEqual(self.driver.account().available, BUDGET_TOKENS - first.lease.granted)
 
-    def test_a_settlement_sent_twice_bills_once_in_any_order(self) -> None:
+    def test_repeated_settlement_bills_once_in_any_order(self) -> None:
         lease = self.driver.grant("router", "i1", 1, 1000).lease
         for sequence in (3, 1, 3, 2, 1, 2):
             self.driver.settle(lease.lease_id, sequence, 10)
@@ -96,7 +96,7 @@
         kept = self.driver.state.ledger.leases[lease.lease_id]
         self.assertEqual((kept.watermark, list(kept.settled_above)), (3, []))
 
-    def test_a_settlement_beyond_its_lease_is_refused_by_an_invariant(self) -> None:
+    def test_settlement_beyond_its_lease_is_refused_by_invariant(self) -> None:
         lease = self.driver.grant("router", "i1", 1, 1000).lease
         self.addCleanup(BOOK.clear)
         self.driver.settle(lease.lease_id, 1, lease.granted + 1)
@@ -105,7 +105,7 @@
         self.driver.settle(lease.lease_id, 1, lease.granted)
         self.assertEqual(self.driver.account().billed, lease.granted)
 
-    def test_what_a_lost_attempt_did_not_use_is_freed_when_its_agent_says_so(self) -> None:
+    def test_unused_tokens_of_lost_attempt_are_freed_when_its_agent_reports(self) -> None:
         lease = self.driver.grant("router", "i1", 1, 1000).lease
         lost = ledger_pb2.Settlement(
             lease_id=lease.lease_id,
@@ -132,27 +132,27 @@
         self.assertEqual(sizes, sorted(sizes, reverse=True))
         self.assertGreater(self.driver.account().available, 0)
 
-    def test_a_lost_router_is_collected_only_after_every_agent_spoke(self) -> None:
+    def test_lost_router_is_collected_only_after_every_agent_reported(self) -> None:
         lease = self.driver.grant("router", "i1", 1, 4000).lease
         self.driver.settle(lease.lease_id, 1, 100)
         gone = control_pb2.DeclareGone(name="router", incarnation="i1")
         self.driver.apply(declare_gone=gone)
         self._collect("agent-1", "a1")
-        # agent-2 cannot be reached: what it may have run stays charged.
+        # agent-2 has not reported yet: tokens of requests that it may have run stay charged.
         self.assertEqual(self.driver.account().available, BUDGET_TOKENS - lease.granted)
         self.driver.settle(lease.lease_id, 2, 50)
         self._collect("agent-2", "a2")
         self.assertEqual(self.driver.account().available, BUDGET_TOKENS - 150)
         self.assertEqual(self.driver.account().billed, 150)
 
-    def test_bills_without_tokens_are_collected_too(self) -> None:
+    def test_settlements_without_tokens_are_collected(self) -> None:
         lease = self.driver.grant("router", "i1", 1, 0, minimum=0).lease
         self.driver.register("router", "router", "i2")
         self._collect("agent-1", "a1")
-        self.driver.settle(lease.lease_id, 1, 0)  # an order that costs no tokens
+        self.driver.settle(lease.lease_id, 1, 0)  # a request that used no tokens
         self.assertEqual(self.driver.account().bills, 1)
 
-    def test_a_router_lost_twice_in_a_row_is_collected_twice(self) -> None:
+    def test_router_lost_twice_is_collected_twice(self) -> None:
         first = self.driver.grant("router", "i1", 1, 1000).lease
         self.driver.register("router", "router", "i2")
         second = self.driver.grant("router", "i2", 1, 1000).lease
@@ -165,7 +165,7 @@
         stale = self.driver.grant("router", "i2", 2, 1000)
         self.assertEqual(stale.code, control_pb2.RESULT_CODE_STALE)
 
-    def test_what_an_agent_forgot_stays_charged(self) -> None:
+    def test_leases_stay_charged_after_agent_lost_its_records(self) -> None:
         lease = self.driver.grant("router", "i1", 1, 1000).lease
         self.driver.register("agent-1", "agent", "a1-restarted")
         self.driver.register("router", "router", "i2")
@@ -175,7 +175,7 @@
         self.assertEqual(account.available, BUDGET_TOKENS - lease.granted)
         self.assertEqual(account.withheld, lease.granted)
 
-    def test_nothing_stays_charged_if_the_router_had_settled_after_the_restart(self) -> None:
+    def test_nothing_stays_charged_if_router_settled_after_agent_restart(self) -> None:
         self.driver.grant("router", "i1", 1, 1000)
         self.driver.register("agent-1", "agent", "a1-restarted")
         for incarnation in ("i0", "i1"):
@@ -191,7 +191,7 @@
         self._collect("agent-1", "a1-restarted")
         self._collect("agent-2", "a2")
         self.assertEqual(self.driver.account().available, BUDGET_TOKENS)
-        # Another restart after that word was not confirmed.
+        # A further restart of the agent is not covered by that confirmation.
         self.driver.grant("router", "i2", 1, 1000)
         self.driver.register("agent-1", "agent", "a1-again")
         self.driver.register("router", "router", "i3")
@@ -199,7 +199,7 @@
         self._collect("agent-2", "a2", "i2")
         self.assertGreater(self.driver.account().withheld, 0)
 
-    def test_what_stayed_charged_is_freed_if_the_router_comes_back_and_has_settled(self) -> None:
+    def test_withheld_tokens_are_freed_if_lost_router_returns_with_all_settled(self) -> None:
         self.driver.grant("router", "i1", 1, 1000)
         self.driver.register("agent-1", "agent", "a1-restarted")
         gone = control_pb2.DeclareGone(name="router", incarnation="i1")
@@ -216,7 +216,7 @@
         self.assertEqual(self.driver.account().withheld, 0)
         self.assertEqual(self.driver.account().available, BUDGET_TOKENS)
 
-    def test_a_router_that_settled_all_is_closed_without_its_agents(self) -> None:
+    def test_router_that_settled_all_is_closed_without_its_agents(self) -> None:
         self.driver.grant("router", "i1", 1, 1000)
         settled = control_pb2.ConfirmSettled(router="router", router_incarnation="i1")
         self.driver.apply(confirm_settled=settled)
@@ -225,12 +225,12 @@
         self.assertEqual(self.driver.account().available, BUDGET_TOKENS)
         self.assertEqual(len(self.driver.state.daemons.collections), 0)
 
-    def test_an_earlier_incarnation_may_not_come_back(self) -> None:
+    def test_earlier_incarnation_cannot_register_again(self) -> None:
         self.driver.register("router", "router", "i2")
         result = self.driver.register("router", "router", "i1")
         self.assertEqual(result.code, control_pb2.RESULT_CODE_STALE)
 
-    def test_a_new_period_starts_afresh_and_old_leases_settle_in_the_old_one(self) -> None:
+    def test_new_period_has_its_own_account_and_old_leases_settle_in_theirs(self) -> None:
         lease = self.driver.grant("router", "i1", 1, 1000).lease
         self.driver.budget("b", 500, period=2)
         self.assertEqual(self.driver.account().available, 500)
@@ -238,14 +238,14 @@
         self.assertEqual(self.driver.account().billed, 0)
         self.assertEqual(self.driver.state.ledger.accounts["b", 1].billed, 100)
 
-    def test_a_budget_cannot_be_lowered_below_what_is_gone(self) -> None:
+    def test_budget_cannot_be_lowered_below_used_tokens(self) -> None:
         lease = self.driver.grant("router", "i1", 1, 4000).lease
         result = self.driver.budget("b", lease.granted - 1)
         self.assertEqual(result.code, control_pb2.RESULT_CODE_INVALID)
         self.assertEqual(result.errors[0].field, "spec.tokens")
         self.assertEqual(self.driver.budget("b", lease.granted).code, 0)
 
-    def test_a_snapshot_gives_the_same_state_and_the_same_bytes(self) -> None:
+    def test_restored_snapshot_serializes_to_same_bytes(self) -> None:
         lease = self.driver.grant("router", "i1", 1, 1000).lease
         self.driver.settle(lease.lease_id, 2, 10)
         data = self.driver.state.snapshot()
@@ -257,37 +257,39 @@
 
 class RegionsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.home = StateDriver("home")
-        self.away = StateDriver("away")
-        self.home.budget("b", BUDGET_TOKENS)
+        self.sender = StateDriver("sender")
+        self.receiver = StateDriver("receiver")
+        self.sender.budget("b", BUDGET_TOKENS)
 
     def _start(self, tokens: int) -> ledger_pb2.Transfer:
         transfer = ledger_pb2.Transfer(
-            budget="b", from_region="home", to_region="away", tokens=tokens
+            budget="b", from_region="sender", to_region="receiver", tokens=tokens
         )
-        return self.away.apply(start_transfer=control_pb2.StartTransfer(transfer=transfer)).transfer
+        return self.receiver.apply(
+            start_transfer=control_pb2.StartTransfer(transfer=transfer)
+        ).transfer
 
-    def test_an_allotment_whose_answer_was_lost_is_moved_once(self) -> None:
+    def test_allotment_whose_reply_was_lost_is_moved_once(self) -> None:
         pending = self._start(1000)
         debit = control_pb2.DebitTransfer(transfer=pending)
-        given = self.home.apply(debit_transfer=debit).transfer
-        self.assertEqual(self._start(5000), pending)  # the ask under way goes on
-        again = self.home.apply(debit_transfer=debit).transfer
+        given = self.sender.apply(debit_transfer=debit).transfer
+        self.assertEqual(self._start(5000), pending)  # the pending request is returned
+        again = self.sender.apply(debit_transfer=debit).transfer
         self.assertEqual(given, again)
         for _ in range(2):
-            self.away.apply(credit_transfer=control_pb2.CreditTransfer(transfer=given))
-        self.assertEqual(self.away.account().allotted, 1000)
-        self.assertEqual(self.home.account().moved_out, 1000)
-        self.assertEqual(self.home.account().available, BUDGET_TOKENS - 1000)
+            self.receiver.apply(credit_transfer=control_pb2.CreditTransfer(transfer=given))
+        self.assertEqual(self.receiver.account().allotted, 1000)
+        self.assertEqual(self.sender.account().moved_out, 1000)
+        self.assertEqual(self.sender.account().available, BUDGET_TOKENS - 1000)
         self.assertEqual(self._start(10).number, 2)
 
-    def test_both_sides_serve_from_their_own_accounts_and_never_pass_the_budget(self) -> None:
-        given = self.home.apply(
+    def test_disconnected_regions_together_stay_within_budget(self) -> None:
+        given = self.sender.apply(
             debit_transfer=control_pb2.DebitTransfer(transfer=self._start(1000))
         ).transfer
-        self.away.apply(credit_transfer=control_pb2.CreditTransfer(transfer=given))
+        self.receiver.apply(credit_transfer=control_pb2.CreditTransfer(transfer=given))
         spent = 0
-        for driver in (self.home, self.away):  # cut off from each other
+        for driver in (self.sender, self.receiver):  # disconnected from each other
             driver.register("router", "router", "i1")
             for number in range(1, 200):
                 result = driver.grant("router", "i1", number, 10_000)
@@ -298,7 +300,7 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Random commands against a model that only counts tokens."""
+    """Random commands, checked against a model that only counts tokens."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -306,7 +308,7 @@
         self.driver.budget("b", BUDGET_TOKENS)
         self.driver.register("agent", "agent", "a")
         self.incarnations = {name: 1 for name in ("x", "y")}
-        self.asks = {"x": 0, "y": 0}
+        self.grant_numbers = {"x": 0, "y": 0}
         self.sequences: dict[int, int] = {}
         for name in self.incarnations:
             self.driver.register(name, "router", f"{name}1")
@@ -320,9 +322,9 @@
     @rule(name=names, wanted=st.integers(0, 5000), resend=st.booleans())
     def ask(self, name: str, wanted: int, resend: bool) -> None:
         if not resend:
-            self.asks[name] += 1
+            self.grant_numbers[name] += 1
         incarnation = f"{name}{self.incarnations[name]}"
-        self.driver.grant(name, incarnation, self.asks[name], wanted, min(wanted, 10))
+        self.driver.grant(name, incarnation, self.grant_numbers[name], wanted, min(wanted, 10))
 
     @rule(name=names, share=st.floats(0, 1), gap=st.integers(1, 3))
     def settle(self, name: str, share: float, gap: int) -> None:
@@ -344,7 +346,7 @@
     @rule(name=names)
     def restart_router(self, name: str) -> None:
         self.incarnations[name] += 1
-        self.asks[name] = 0
+        self.grant_numbers[name] = 0
         self.driver.register(name, "router", f"{name}{self.incarnations[name]}")
 
     @precondition(lambda self: self.driver.state.daemons.collections)
--- a/tests/test_prepaid_promises.py
+++ b/tests/test_prepaid_promises.py
@@ -1,4 +1,4 @@
-"""What a lost gateway is charged by its promises, whoever leads: never less than was handed out."""
+"""Charges of lost gateways by their promises, under any leader: never less than they spent."""
 
 import asyncio
 import unittest
@@ -24,14 +24,17 @@
 )
 from support import run_virtual
 
-_HELD = 750  # three quarters of the limit of 1,000 in the tests below
+_HELD_TOKENS = 750  # three quarters of the limit of 1,000 in the tests below
 
 
 class LossTest(unittest.TestCase):
-    def test_all_lost_in_calm_are_charged_little_more_than_was_used(self) -> None:
-        """29 holders were charged all they held, 2.1 M tokens, 12 in 100 of all limits."""
+    def test_loss_of_all_under_steady_load_is_charged_close_to_usage(self) -> None:
+        """Guards against a charge of all held tokens for each lost gateway.
 
-        async def work() -> tuple[int, int, int]:
+        A loss of 29 holders once cost 2.1 M tokens, 12% of all limits.
+        """
+
+        async def scenario() -> tuple[int, int, int]:
             fleet, callers = await warm_fleet()
             await asyncio.sleep(6)
             held = fleet.charged
@@ -43,26 +46,26 @@
             await fleet.stop()
             return held, handed_out, closed
 
-        held, handed_out, closed = run_virtual(work())
+        held, handed_out, closed = run_virtual(scenario())
         self.assertGreaterEqual(closed, handed_out)
         self.assertLess(closed - handed_out, (held - handed_out) / 2)
 
-    def test_all_lost_amid_a_rush(self) -> None:
+    def test_loss_of_all_during_burst(self) -> None:
         for silent_s in (0.3, 0.9, 1.8, 3.4, 5.5):
             for leader_first in (False, True):
                 with self.subTest(silent_s=silent_s, leader_first=leader_first):
                     run_virtual(loss_amid_a_rush(silent_s, leader_first=leader_first))
 
-    def test_wall_clocks_that_were_ahead_change_nothing(self) -> None:
+    def test_fast_wall_clocks_do_not_change_charge(self) -> None:
         run_virtual(loss_amid_a_rush(3.4, leader_first=True, clock_ahead_s=4.0))
 
-    def test_lost_as_a_silence_ends(self) -> None:
+    def test_loss_at_end_of_silence(self) -> None:
         run_virtual(loss_as_silence_ends())
 
-    def test_lost_with_promises_that_never_came_into_the_log(self) -> None:
+    def test_loss_with_promises_not_in_log(self) -> None:
         run_virtual(loss_of_an_unwritten_promise())
 
-    def test_random_losses_amid_silences(self) -> None:
+    def test_random_losses_during_silences(self) -> None:
         for seed in range(2):
             with self.subTest(seed=seed):
                 run_virtual(loss_run(seed))
@@ -70,33 +73,33 @@
 
 def _contact_by_newest_clock(watch: PrepaidWatch, holder: HolderKey) -> float:
     notes = watch._earlier_notes
-    witnesses = watch._shared_wall_clocks()
-    if holder[1] in notes.silent or len(witnesses) < watch._required_wall_clocks():
+    names = watch._shared_wall_clocks()
+    if holder[1] in notes.silent or len(names) < watch._required_wall_clocks():
         return float("-inf")
-    ahead = (notes.wall_ahead_ms[name] - watch._wall_ahead_ms[name] for name in witnesses)
-    made_ms = notes.leader_time_ms + max(ahead)
-    return float(made_ms - notes.heard_within_ms) / MILLISECONDS_PER_SECOND
+    ahead = (notes.wall_ahead_ms[name] - watch._wall_ahead_ms[name] for name in names)
+    written_ms = notes.leader_time_ms + max(ahead)
+    return float(written_ms - notes.heard_within_ms) / MILLISECONDS_PER_SECOND
 
 
-class TeethTest(unittest.TestCase):
-    """Breakages of the product that these losses must notice."""
+class FaultDetectionTest(unittest.TestCase):
+    """Faults injected into the product that the loss scenarios must detect."""
 
-    def test_a_pace_that_is_not_charged(self) -> None:
+    def test_detects_promised_rate_that_is_not_charged(self) -> None:
         with patch.object(prepaid_watch, "paced", lambda *_: 0), self.assertRaises(AssertionError):
             run_virtual(loss_amid_a_rush(1.8, leader_first=True))
 
-    def test_the_newest_that_any_clock_tells(self) -> None:
+    def test_detects_use_of_newest_wall_clock(self) -> None:
         with (
             patch.object(PrepaidWatch, "_contact_before_term_s", _contact_by_newest_clock),
             self.assertRaises(AssertionError),
         ):
             run_virtual(loss_amid_a_rush(3.4, leader_first=True, clock_ahead_s=4.0))
 
-    def test_a_silence_that_the_notes_do_not_tell(self) -> None:
+    def test_detects_silence_missing_from_notes(self) -> None:
         real = PromiseRecorder._add_contact_times
 
-        def fill(notes: PromiseRecorder, order: control_pb2.NotePromises) -> None:
-            real(notes, order)
+        def fill(recorder: PromiseRecorder, order: control_pb2.NotePromises) -> None:
+            real(recorder, order)
             order.ClearField("silent")
 
         with (
@@ -105,13 +108,15 @@
         ):
             run_virtual(loss_amid_a_rush(3.4))
 
-    def test_heard_before_what_was_used_is_in_the_log(self) -> None:
+    def test_detects_contact_recorded_before_promise_is_in_log(self) -> None:
         real = PromiseRecorder.heartbeat
 
-        def heartbeat(notes: PromiseRecorder, session: Any, told: control_pb2.Heartbeat) -> None:
+        def heartbeat(
+            recorder: PromiseRecorder, session: Any, report: control_pb2.Heartbeat
+        ) -> None:
             holder = (session.record.name, session.record.incarnation)
-            notes._member.prepaid_watch.note_contact(holder, told)
-            real(notes, session, told)
+            recorder._member.prepaid_watch.note_contact(holder, report)
+            real(recorder, session, report)
 
         with (
             patch.object(PromiseRecorder, "heartbeat", heartbeat),
@@ -119,12 +124,12 @@
         ):
             run_virtual(loss_as_silence_ends())
 
-    def test_used_before_the_promise_is_in_the_log(self) -> None:
+    def test_detects_spending_before_promise_is_in_log(self) -> None:
         real = SpendingWindow.fill_heartbeat
 
-        def fill(window: SpendingWindow, told: control_pb2.Heartbeat, balances: Any) -> None:
+        def fill(window: SpendingWindow, report: control_pb2.Heartbeat, balances: Any) -> None:
             known = list(balances)
-            real(window, told, known)
+            real(window, report, known)
             for balance in known:
                 balance.confirmed = balance.announced
 
@@ -152,30 +157,32 @@
     return table
 
 
-def _note(table: DecidedPrepaidTable, most: int, pace: int, *, current: str = "1") -> None:
+def _record_promise(
+    table: DecidedPrepaidTable, most: int, pace: int, *, current: str = "1"
+) -> None:
     order = control_pb2.NotePromises()
-    told = order.promises.add(holder="a", incarnation="1", tenant=TENANT)
-    told.promise.most = most
-    told.promise.pace = pace
+    reported = order.promises.add(holder="a", incarnation="1", tenant=TENANT)
+    reported.promise.most = most
+    reported.promise.pace = pace
     table.note_promises(order, lambda _, incarnation: incarnation == current)
 
 
 class NotesTest(unittest.TestCase):
-    def test_promises_only_rise(self) -> None:
+    def test_promises_never_decrease(self) -> None:
         table = _table()
-        _note(table, 100, 5)
-        _note(table, 60, 9)
+        _record_promise(table, 100, 5)
+        _record_promise(table, 60, 9)
         promise = table.accounts[TENANT].holders[0].promise
         self.assertEqual((promise.most, promise.pace), (100, 9))
 
-    def test_an_incarnation_that_may_not_act_promises_nothing(self) -> None:
+    def test_promise_of_superseded_incarnation_is_ignored(self) -> None:
         table = _table()
-        _note(table, 100, 5, current="2")
+        _record_promise(table, 100, 5, current="2")
         self.assertFalse(table.accounts[TENANT].holders[0].HasField("promise"))
 
-    def test_a_snapshot_carries_promises_and_when_they_were_noted(self) -> None:
+    def test_snapshot_contains_promises_and_their_time(self) -> None:
         table = _table()
-        _note(table, 100, 5)
+        _record_promise(table, 100, 5)
         table.last_promises.leader_time_ms = 7
         snapshot = control_pb2.StateSnapshot()
         table.save(snapshot)
@@ -186,23 +193,23 @@
 
 
 class EarlierLeaderTest(unittest.TestCase):
-    """A holder is lost with the leader; three gateways' wall clocks tell how long ago it was."""
+    """A holder is lost with its leader; the age of the notes follows from three wall clocks."""
 
     def setUp(self) -> None:
         self.clock = _Clock()
         self.watch = PrepaidWatch(self.clock)
         self.table = _table()
-        _note(self.table, 100, 50)
+        _record_promise(self.table, 100, 50)
         self.notes = control_pb2.NotePromises(leader_time_ms=20_000, heard_within_ms=400)
         for name in "bcd":
             self.notes.wall_ahead_ms[name] = 1_000_000
 
-    def _begin(self) -> None:
+    def _start_term(self) -> None:
         self.watch.start_term(2, self.notes)
         self.watch.note_successor("a", "2", process_age_s=0.3)
 
-    def _hears(self, name: str, seconds_since_notes: float) -> None:
-        """Have a gateway tell its wall clock, as long after the notes as said."""
+    def _report_wall_clock(self, name: str, seconds_since_notes: float) -> None:
+        """Report a gateway's wall clock at the given time after the notes were written."""
         wall_ms = 1_020_000 + int(seconds_since_notes * MILLISECONDS_PER_SECOND)
         now_ms = int(self.clock.now_s * MILLISECONDS_PER_SECOND)
         heartbeat = control_pb2.Heartbeat(wall_ms=wall_ms, control_time_ms=now_ms)
@@ -212,56 +219,56 @@
         self.table.close(self.watch.close_command(("a", "1"), self.table))
         return self.table.accounts[TENANT].closed_charge
 
-    def test_it_is_charged_its_promise_and_its_pace(self) -> None:
-        self._begin()
+    def test_charge_is_promise_plus_promised_rate(self) -> None:
+        self._start_term()
         for name in "bcd":
-            self._hears(name, 2.0)
-        # Heard 0.4 s before the notes, replaced 0.3 s ago, and 0.1 s for clocks that differ.
+            self._report_wall_clock(name, 2.0)
+        # Last contact 0.4 s before the notes, replaced 0.3 s ago, and 0.1 s for clock drift.
         expected = 101 + paced(50, 0.4 + 2.0 - 0.3 + 0.1)
         self.assertAlmostEqual(self._charge(), expected, delta=1)
 
-    def test_a_clock_that_was_set_back_is_not_believed(self) -> None:
-        self._begin()
+    def test_wall_clock_that_was_set_back_does_not_lower_charge(self) -> None:
+        self._start_term()
         for name, since_s in zip("bcd", (2.0, 0.0, 0.1), strict=True):
-            self._hears(name, since_s)
+            self._report_wall_clock(name, since_s)
         expected = 101 + paced(50, 0.4 + 2.0 - 0.3 + 0.1)
         self.assertAlmostEqual(self._charge(), expected, delta=1)
 
-    def test_too_long_ago_it_is_charged_all_it_held(self) -> None:
-        self._begin()
+    def test_all_held_is_charged_after_window(self) -> None:
+        self._start_term()
         for name in "bcd":
-            self._hears(name, WINDOW_HOLDS_S)
-        self.assertEqual(self._charge(), _HELD)
+            self._report_wall_clock(name, WINDOW_HOLDS_S)
+        self.assertEqual(self._charge(), _HELD_TOKENS)
 
-    def test_silent_by_the_notes_it_is_charged_all_it_held(self) -> None:
+    def test_all_held_is_charged_if_notes_list_router_as_silent(self) -> None:
         self.notes.silent.append("1")
-        self._begin()
+        self._start_term()
         for name in "bcd":
-            self._hears(name, 1.0)
-        self.assertEqual(self._charge(), _HELD)
+            self._report_wall_clock(name, 1.0)
+        self.assertEqual(self._charge(), _HELD_TOKENS)
 
-    def test_half_of_the_clocks_are_waited_for_and_then_nothing_is_told(self) -> None:
-        self._begin()
-        self._hears("b", 1.0)
+    def test_waits_for_half_of_wall_clocks_then_charges_all_held(self) -> None:
+        self._start_term()
+        self._report_wall_clock("b", 1.0)
         self.assertTrue(self.watch.must_wait(("a", "1")))
-        self._hears("c", 1.0)
+        self._report_wall_clock("c", 1.0)
         self.assertFalse(self.watch.must_wait(("a", "1")))
         self.watch.start_term(3, self.notes)
-        self._hears("b", 1.0)
+        self._report_wall_clock("b", 1.0)
         self.clock.now_s += 3.5
         self.assertFalse(self.watch.must_wait(("a", "1")))
-        self.assertEqual(self._charge(), _HELD)
+        self.assertEqual(self._charge(), _HELD_TOKENS)
 
-    def test_a_holder_without_a_promise_is_charged_all_it_held(self) -> None:
+    def test_all_held_is_charged_without_promise(self) -> None:
         self.table.accounts[TENANT].holders[0].ClearField("promise")
-        self._begin()
+        self._start_term()
         for name in "bcd":
-            self._hears(name, 1.0)
-        self.assertEqual(self._charge(), _HELD)
+            self._report_wall_clock(name, 1.0)
+        self.assertEqual(self._charge(), _HELD_TOKENS)
 
 
-class PaceTest(unittest.TestCase):
-    def test_the_pace_counts_past_two_heartbeats(self) -> None:
+class PromisedRateTest(unittest.TestCase):
+    def test_promised_rate_counts_after_two_heartbeats(self) -> None:
         self.assertEqual(paced(1000, PACE_FROM_S), 0)
         self.assertEqual(paced(1000, PACE_FROM_S + 1.5), 1500)
 
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -1,4 +1,4 @@
-"""Declared resources: versions, change ids, references, validation; claims; in force."""
+"""Declared resources: versions, change ids, references and validation; claims; changes in force."""
 
 import random
 import unittest
@@ -32,7 +32,7 @@
         )
         return self.driver.apply(put_resource=order)
 
-    def test_of_two_operators_with_equal_versions_one_wins(self) -> None:
+    def test_one_of_two_writes_with_same_version_wins(self) -> None:
         self.assertEqual(self._put(_policy("p")).current_version, 1)
         first = self._put(_policy("p", "power_of_two"), 1)
         second = self._put(_policy("p", "least_outstanding"), 1)
@@ -40,7 +40,7 @@
         self.assertEqual(second.code, control_pb2.RESULT_CODE_VERSION_CONFLICT)
         self.assertEqual(second.current_version, 2)
 
-    def test_a_change_sent_again_returns_its_first_outcome(self) -> None:
+    def test_repeated_change_returns_first_result(self) -> None:
         first = self._put(_policy("p"), 0, "change-1")
         self._put(_policy("p", "power_of_two"), 1, "change-2")
         again = self._put(_policy("p"), 0, "change-1")
@@ -49,7 +49,7 @@
         assert kept is not None
         self.assertEqual(kept.metadata.version, 2)
 
-    def test_every_wrong_field_is_named(self) -> None:
+    def test_every_invalid_field_is_reported(self) -> None:
         backend = resources_pb2.Resource(
             backend=resources_pb2.Backend(service="none", agent_address="host:1")
         )
@@ -68,7 +68,7 @@
             },
         )
 
-    def test_what_is_referred_to_cannot_be_deleted(self) -> None:
+    def test_referenced_resource_cannot_be_deleted(self) -> None:
         self.driver.budget("b", 10)
         tenant = resources_pb2.Resource(tenant=resources_pb2.Tenant(budget="b"))
         tenant.metadata.name = "t"
@@ -78,7 +78,7 @@
         self.assertEqual(result.code, control_pb2.RESULT_CODE_REFERENCED)
         self.assertIn("tenant t", result.message)
 
-    def test_manifests_come_back_as_they_went(self) -> None:
+    def test_manifest_round_trip(self) -> None:
         text = "kind: RoutingPolicy\nmetadata: {name: p}\nspec: {balancer: round_robin}\n"
         resource = parse_manifests(text)[0]
         self.assertEqual(to_manifest(resource)["spec"], {"balancer": "round_robin"})
@@ -112,7 +112,7 @@
         )
         return self.driver.apply(release_claim=order)
 
-    def test_a_key_is_held_by_one_attempt_until_proof(self) -> None:
+    def test_key_is_held_by_one_attempt_until_it_is_released(self) -> None:
         self.assertEqual(self._take("r1").code, control_pb2.RESULT_CODE_OK)
         self.assertEqual(self._take("r1").code, control_pb2.RESULT_CODE_OK)  # sent again
         held = self._take("r2")
@@ -123,14 +123,14 @@
         self.assertEqual(self._take("r2").claim.attempt, 2)
         self.assertEqual(self._release("r1", 1, False).code, control_pb2.RESULT_CODE_STALE)
 
-    def test_a_non_repeatable_request_never_moves_without_proof(self) -> None:
+    def test_non_repeatable_request_is_not_released_for_lost_agent(self) -> None:
         self._take("r1")
         self.assertEqual(self._release("r1", 1, True).code, control_pb2.RESULT_CODE_INVALID)
         self.assertEqual(self._take("r2").code, control_pb2.RESULT_CODE_CLAIM_HELD)
 
 
 class InForceTest(unittest.TestCase):
-    def test_a_change_waits_for_each_daemon_that_may_still_act(self) -> None:
+    def test_change_waits_for_each_daemon_with_valid_lease(self) -> None:
         async def scenario() -> None:
             import asyncio
 
@@ -144,14 +144,14 @@
             tracker.heartbeat("a", 5, 5, 1)
             self.assertEqual(tracker.reached(5, 1), 1)
             self.assertEqual(tracker.holding_up(5), ["b"])
-            await asyncio.sleep(8.9)  # b is silent: its lease runs out
+            await asyncio.sleep(8.9)  # b sends no heartbeat, so its lease expires
             self.assertEqual(tracker.reached(5, 1), 5)
-            self.assertFalse(tracker.heartbeat("b", 1, 5, 5))  # stale: not renewed
+            self.assertFalse(tracker.heartbeat("b", 1, 5, 5))  # stale: the lease is not renewed
             self.assertTrue(tracker.heartbeat("b", 5, 5, 5))
 
         run_virtual(scenario())
 
-    def test_who_is_left_out_of_a_change_is_told_with_the_age_of_its_last_word(self) -> None:
+    def test_excluded_daemon_is_reported_with_age_of_last_heartbeat(self) -> None:
         async def scenario() -> None:
             import asyncio
 
@@ -170,7 +170,7 @@
 
         run_virtual(scenario())
 
-    def test_a_new_leader_takes_every_daemon_for_fresh(self) -> None:
+    def test_new_leader_waits_for_every_daemon(self) -> None:
         async def scenario() -> None:
             import asyncio
 
