--- a/tests/command_histories.py
+++ b/tests/command_histories.py
@@ -76,16 +76,16 @@
     def _configure(self) -> None:
         self._version += 1
         command = control_pb2.Command()
-        held = command.apply_configuration.configuration
-        held.version = self._version
+        config = command.apply_configuration.configuration
+        config.version = self._version
         for service in _SERVICES[:2]:
-            held.services.add(name=service)
+            config.services.add(name=service)
         for tenant in _TENANTS:
             limit = self._source.randrange(20_000, 500_000) if self._version == 1 else 0
             known = self._state.prepaid.accounts.get(tenant)
             if known is not None:
                 limit = known.limit + self._source.choice((0, 0, 50_000))
-            held.tenants.add(name=tenant, prepaid_tokens=limit, limited=True)
+            config.tenants.add(name=tenant, prepaid_tokens=limit, limited=True)
         self._add(command)
 
     def _register_router(self, router: str) -> None:
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -91,9 +91,8 @@
         """
         table = _table(1000)
         table.draw(_draw("a", 1, wanted=950, minimum=950))
-        refused = table.draw(
-            _draw("a", 2, spent=900, wanted=100, minimum=60)
-        )  # the holder has 50 free tokens
+        # The holder has 50 free tokens.
+        refused = table.draw(_draw("a", 2, spent=900, wanted=100, minimum=60))
         self.assertTrue(refused.surely_exhausted)
         fits = table.draw(_draw("a", 3, spent=900, wanted=50, minimum=50))
         self.assertEqual((fits.granted, fits.surely_exhausted), (1000, False))
@@ -180,7 +179,7 @@
         self.assertEqual(table.draw(_draw("c", 1, wanted=96, minimum=96)).recallable, 0)
         self.assertEqual(table.draw(_draw("c", 2, wanted=95, minimum=95)).recallable, 7)
 
-    def test_only_busy_holder_may_hold_most_tokens(self) -> None:
+    def test_holder_gets_wanted_tokens_while_others_hold_few(self) -> None:
         """Guards against a router that runs out of tokens during a partition.
 
         With an equal share for each holder, 0.95 M of a limit of 5.3 M tokens stayed at control
@@ -189,10 +188,10 @@
         table = _table(1000)
         table.draw(_draw("a", 1, wanted=100))
         table.draw(_draw("b", 1, wanted=10))
-        busy = table.draw(_draw("a", 2, wanted=1000, spent=100))
-        self.assertEqual(busy.granted - 100, 665)  # 3/4 x 900, minus what b holds
-        idle = table.draw(_draw("b", 2, wanted=1000))
-        self.assertEqual(idle.granted, 10)
+        first_grant = table.draw(_draw("a", 2, wanted=1000, spent=100))
+        self.assertEqual(first_grant.granted - 100, 665)  # 3/4 x 900, minus what b holds
+        second_grant = table.draw(_draw("b", 2, wanted=1000))
+        self.assertEqual(second_grant.granted, 10)
         table.draw(_draw("a", 3, returned=300, spent=100))
         self.assertEqual(table.draw(_draw("b", 3, wanted=1000)).granted, 310)
 
