--- a/packages/heronladder-control/src/heronladder_control/ledger.py
+++ b/packages/heronladder-control/src/heronladder_control/ledger.py
@@ -120,16 +120,16 @@
 
     def check_all(self) -> None:
         """Assert conservation for all accounts, with totals recomputed from the leases."""
-        sums = dict.fromkeys(self.accounts, 0)
+        totals = dict.fromkeys(self.accounts, 0)
         for lease in self.leases.values():
-            sums[lease.budget, lease.period] += outstanding(lease)
+            totals[lease.budget, lease.period] += outstanding(lease)
         for key, account in self.accounts.items():
             invariant(
-                sums[key] == self._leased[key],
+                totals[key] == self._leased[key],
                 "leases_add_up",
                 step="check_all",
                 peer=key[0],
-                detail=f"leases hold {sums[key]}, account says {self._leased[key]}",
+                detail=f"leases hold {totals[key]}, account says {self._leased[key]}",
             )
             self.check_conservation(account)
 
--- a/packages/heronladder-control/src/heronladder_control/prepaid.py
+++ b/packages/heronladder-control/src/heronladder_control/prepaid.py
@@ -45,7 +45,7 @@
         "prepaid_holder_within_grant",
         step="draw",
         peer=order.holder,
-        detail=f"{order.tenant}: reports {used} used of {holder.granted} granted",
+        detail=f"{order.tenant}: reports {used} of {holder.granted} granted tokens",
         refuses=True,
     )
     holder.returned = max(holder.returned, order.returned)
