--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -17,11 +17,11 @@
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_control.cold_reports import ColdReports
-from heronladder_control.evacuations import LateOrders
+from heronladder_control.evacuations import OvertakenOrders
 from heronladder_control.heartbeat_spread import HeartbeatSpread, SpreadView
 from heronladder_control.leader_asks import FleetOutcome, LeaderAsks, Standing
 from heronladder_control.member_context import MemberContext
-from heronladder_control.order_times import LeaderTimes, OrderTimes
+from heronladder_control.order_timing import LeaderStageTimer, OrderTiming
 from heronladder_control.registration_batches import RegistrationBatches
 from heronladder_control.results import failure, success
 from heronladder_control.returning_replicas import ReturningReplicas
@@ -44,7 +44,7 @@
         self._member = member
         self._returning = ReturningReplicas(member.environment)
         self._cold_reports = ColdReports(member.environment)
-        self._late_orders = LateOrders(member.environment)
+        self._late_orders = OvertakenOrders(member.environment)
         self._spread = HeartbeatSpread(member.environment)
         member.metrics.gauge("heartbeats_moved", lambda: self._spread.moved)
         self._asks = LeaderAsks(member, self.carry)
@@ -174,12 +174,12 @@
 
     # ---- at the leader ----------------------------------------------------
 
-    def _order(self, kind: str, about: str) -> OrderTimes:
-        return OrderTimes(kind, about, self._member.environment)
+    def _order(self, kind: str, about: str) -> OrderTiming:
+        return OrderTiming(kind, about, self._member.environment)
 
     async def carry(self, request: control_pb2.CarryRequest) -> control_pb2.CarryReply:
         """Carry out a command, or read, as the leader."""
-        times = LeaderTimes(self._member.environment)
+        times = LeaderStageTimer(self._member.environment)
         try:
             if not request.HasField("command"):
                 return await self._read_as_leader(request.read_rollout)
@@ -275,7 +275,7 @@
             return False
         order = request.command.set_evacuation
         age_s = request.age_ms / MILLISECONDS_PER_SECOND
-        is_late = self._late_orders.is_late(order.zone, age_s, self._member.node.term)
+        is_late = self._late_orders.is_overtaken(order.zone, age_s, self._member.node.term)
         self._member.log.info(
             "evacuation_ordered",
             step="evacuate",
@@ -291,7 +291,7 @@
 
     def begin_term(self) -> None:
         """Begin as the leader."""
-        self._late_orders.begin(self._member.node.term)
+        self._late_orders.start_term(self._member.node.term)
         self._rollout_orders.begin()
 
     def applied(self, command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
@@ -300,14 +300,14 @@
         if body == "set_evacuation":
             zone = command.set_evacuation.zone
             if result.revision == self._member.state.applied_index:  # else nothing changed
-                self._late_orders.changed(zone)
+                self._late_orders.note_change(zone)
                 self._report_evacuation(zone, ended=command.set_evacuation.ended)
         elif body in ("start_rollout", "advance_rollout"):
             self._rollout_orders.applied(command, result)
         elif body == "put_resource" and command.put_resource.kind == EVACUATION_KIND:
-            self._late_orders.changed(command.put_resource.resource.metadata.name)
+            self._late_orders.note_change(command.put_resource.resource.metadata.name)
         elif body == "delete_resource" and command.delete_resource.kind == EVACUATION_KIND:
-            self._late_orders.changed(command.delete_resource.name)
+            self._late_orders.note_change(command.delete_resource.name)
         elif body == "register_replica":
             self._note_cold(command.register_replica)
         elif body == "register_replicas":
--- a/packages/heronladder-control/src/heronladder_control/member.py
+++ b/packages/heronladder-control/src/heronladder_control/member.py
@@ -17,7 +17,7 @@
 from heronladder_runtime.rpc import StubFactory
 from heronladder_schema.v1 import control_pb2
 
-from heronladder_control.allotments import AllotmentKeeper
+from heronladder_control.allotments import AllotmentRequester
 from heronladder_control.cluster_version import ClusterVersionKeeper
 from heronladder_control.crashes.refusals import Refusals
 from heronladder_control.daemons import ROLE_ROUTER
@@ -27,7 +27,7 @@
 from heronladder_control.member_context import MemberContext
 from heronladder_control.options import ControlOptions
 from heronladder_control.prepaid_watch import HolderKey
-from heronladder_control.promise_notes import PromiseNotes
+from heronladder_control.promise_recorder import PromiseRecorder
 from heronladder_control.rollouts.conductor import RolloutConductor
 from heronladder_control.sessions import ControlService, SessionParts
 from heronladder_control.state import ControlState
@@ -77,11 +77,11 @@
         )
         super().__init__(options, node, state, stubs, environment)
         self.cluster_versions = ClusterVersionKeeper(self)
-        self.promise_notes = PromiseNotes(self)
+        self.promise_notes = PromiseRecorder(self)
         self.rollouts = RolloutConductor(self)
         self.refusals = Refusals(self.state.crashes, environment, self.metrics, self.log)
         self.fleet_service = FleetService(self)
-        self.allotments = AllotmentKeeper(self)
+        self.allotments = AllotmentRequester(self)
         self.service = ControlService(
             self,
             SessionParts(self.promise_notes, self.rollouts, self.fleet_service, self.allotments),
@@ -199,7 +199,7 @@
         self.fleet_service.begin_term()
         self.rollouts.begin()
         self.refusals.begin()
-        self.prepaid_watch.begin(self.node.term, self.state.prepaid.last_promises)
+        self.prepaid_watch.start_term(self.node.term, self.state.prepaid.last_promises)
         for session in self.sessions.values():
             self.service.note_connected(session)
 
@@ -302,7 +302,7 @@
     async def _close_prepaid_holder(self, holder: HolderKey) -> None:
         table = self.state.prepaid
         command = control_pb2.Command()
-        command.close_prepaid_holder.CopyFrom(self.prepaid_watch.charges(holder, table))
+        command.close_prepaid_holder.CopyFrom(self.prepaid_watch.close_command(holder, table))
         lived_on_s = self.prepaid_watch.lived_on_s(holder)
         held, spent = table.held_and_spent(holder)
         result = await self.propose(command)
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -13,7 +13,7 @@
 from heronladder_schema.v1 import control_pb2
 from heronladder_schema.v1.control_pb2_grpc import ControlServicer
 
-from heronladder_control.allotments import AllotmentKeeper
+from heronladder_control.allotments import AllotmentRequester
 from heronladder_control.config_feed import ConfigFeed
 from heronladder_control.daemon_builds import DaemonBuilds
 from heronladder_control.daemon_session import DaemonSession
@@ -21,7 +21,7 @@
 from heronladder_control.fleet_commands import FLEET_COMMANDS, RESOURCE_COMMANDS
 from heronladder_control.fleet_service import FleetService
 from heronladder_control.member_context import MemberContext
-from heronladder_control.promise_notes import PromiseNotes
+from heronladder_control.promise_recorder import PromiseRecorder
 from heronladder_control.recalls import recall_leases, recall_prepaid
 from heronladder_control.replica_limits import SharedReplicaLimits
 from heronladder_control.replica_loads import ReplicaLoads
@@ -43,10 +43,10 @@
         allotments: Knows whether tokens may come from other regions.
     """
 
-    promise_notes: PromiseNotes
+    promise_notes: PromiseRecorder
     rollouts: RolloutConductor
     fleet_service: FleetService
-    allotments: AllotmentKeeper
+    allotments: AllotmentRequester
 
 
 class ControlService(ControlServicer):
@@ -78,7 +78,7 @@
         if first is None:
             return  # it was given up before its first word came
         if not self._member.leader_address():
-            await self._member.admission.stream()
+            await self._member.admission.delay_stream_refusal()
         self._member.in_force.note_contact(first.hello.daemon.name)
         refusal = await self._register(first.hello)
         if refusal is not None:
@@ -116,7 +116,9 @@
             if known is not None and record.incarnation not in known.previous:
                 # Before it is proposed: once that is applied, its predecessor is charged.
                 process_age_s = hello.process_age_ms / MILLISECONDS_PER_SECOND
-                self._member.prepaid_watch.replaced(record.name, record.incarnation, process_age_s)
+                self._member.prepaid_watch.note_successor(
+                    record.name, record.incarnation, process_age_s
+                )
             if known is None or known.gone or known.incarnation != record.incarnation:
                 command = control_pb2.Command()
                 command.register_daemon.daemon.CopyFrom(record)
@@ -136,13 +138,15 @@
         self.sessions[name] = session
         self._count_routers()
         self.note_connected(session)
-        self._member.prepaid_watch.opened((name, hello.daemon.incarnation), self._member.node.term)
+        self._member.prepaid_watch.note_stream_opened(
+            (name, hello.daemon.incarnation), self._member.node.term
+        )
         other_role = ROLE_ROUTER if hello.daemon.role == ROLE_AGENT else ROLE_AGENT
         for record in self._member.state.daemons.daemons.values():
             if record.role == other_role:
                 self._notice(session, record.name, record.incarnation, record.gone)
         if hello.daemon.lending_address:
-            session.lenders.know_all(self._member.state.daemons.daemons.values())
+            session.lenders.record_daemons(self._member.state.daemons.daemons.values())
         if hello.daemon.role == ROLE_AGENT:
             for collection in self._member.state.daemons.collections.values():
                 if name in collection.awaited_agents:
@@ -328,7 +332,7 @@
             self._wake_all()
         elif body == "register_daemon" and result.code == control_pb2.RESULT_CODE_OK:
             record = command.register_daemon.daemon
-            self._member.prepaid_watch.replaced(record.name, record.incarnation)
+            self._member.prepaid_watch.note_successor(record.name, record.incarnation)
             self._tell_others(record.role, record.name, record.incarnation, gone=False)
             self._tell_lenders(record.name)
         elif body == "declare_gone" and result.code == control_pb2.RESULT_CODE_OK:
@@ -374,7 +378,7 @@
         record = self._member.state.daemons.daemons[name]
         few = len(self.sessions) <= _LENDERS_TOLD_AT_ONCE
         for session in self.sessions.values():
-            if session.record.lending_address and session.lenders.know(record) and few:
+            if session.record.lending_address and session.lenders.record_daemon(record) and few:
                 session.wake.give()
 
     # ---- members and other regions ----------------------------------------------------
--- a/tests/lending_control.py
+++ b/tests/lending_control.py
@@ -13,7 +13,7 @@
 from heronladder_control.daemon_session import DaemonSession
 from heronladder_control.member import ControlMember
 from heronladder_control.prepaid_watch import PrepaidWatch
-from heronladder_control.promise_notes import PromiseNotes
+from heronladder_control.promise_recorder import PromiseRecorder
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 from heronladder_runtime.errors import HeronladderError
 from heronladder_runtime.logs import EventLog
@@ -63,8 +63,8 @@
         self.node = SimpleNamespace(is_leader=True, term=term, changed=Pulse())
         self.state = SimpleNamespace(prepaid=table, is_current=self.is_current)
         self._current = current
-        self.notes = PromiseNotes(cast(ControlMember, self))
-        self.prepaid_watch.begin(term, table.last_promises)
+        self.notes = PromiseRecorder(cast(ControlMember, self))
+        self.prepaid_watch.start_term(term, table.last_promises)
 
     def is_current(self, name: str, incarnation: str) -> bool:
         """Return whether an incarnation is the current one of its router."""
@@ -89,7 +89,7 @@
     def open_session(self, record: ledger_pb2.DaemonRecord) -> DaemonSession:
         """Open a router's stream."""
         session = DaemonSession(control_pb2.Hello(daemon=record))
-        self.prepaid_watch.opened((record.name, record.incarnation), self.term)
+        self.prepaid_watch.note_stream_opened((record.name, record.incarnation), self.term)
         return session
 
     def heartbeat(self, session: DaemonSession, heartbeat: control_pb2.Heartbeat) -> int:
@@ -99,7 +99,7 @@
 
     def close(self, holder: tuple[str, str]) -> Any:
         """Charge a router that is gone; return the command that closes its holding."""
-        order = self.prepaid_watch.charges(holder, self.table)
+        order = self.prepaid_watch.close_command(holder, self.table)
         self.table.close(order)
         self.prepaid_watch.forget(holder)
         return order
