--- a/packages/heronladder-control/src/heronladder_control/api.py
+++ b/packages/heronladder-control/src/heronladder_control/api.py
@@ -27,7 +27,7 @@
 from heronladder_schema.v1 import consensus_pb2, control_pb2, resources_pb2
 
 from heronladder_control.member_context import MemberContext
-from heronladder_control.rollouts.manifests import command_of
+from heronladder_control.rollouts.manifests import command_from_manifest
 from heronladder_control.status import highest_version, status_document
 
 CHANGE_ID_HEADER = "Heronladder-Change-Id"
@@ -209,7 +209,7 @@
             if not self._member.options.rollout_limits.enabled:
                 return _error(422, "invalid", "roll-outs are off: see --rollout-share-percent")
             held = self._member.state.rollouts.get(resource.metadata.name)
-            return await self._change(request, command_of(resource, held))
+            return await self._change(request, command_from_manifest(resource, held))
         command = control_pb2.Command()
         order = command.put_resource
         order.kind = kind
--- a/packages/heronladder-control/src/heronladder_control/cluster_version.py
+++ b/packages/heronladder-control/src/heronladder_control/cluster_version.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class Holdup:
+class Blocker:
     """What keeps the version from being raised.
 
     Attributes:
@@ -43,22 +43,22 @@
     return min(LATEST_VERSION, member.options.most_cluster_version)
 
 
-def find_holdups(member: MemberContext) -> list[Holdup]:
+def find_blockers(member: MemberContext) -> list[Blocker]:
     """Return what keeps the leader from raising the version to what its build supports."""
     if member.state.cluster_version >= LATEST_VERSION:
         return []
     found = []
     if target_version(member) < LATEST_VERSION:
-        found.append(Holdup("setting", "most_cluster_version", target_version(member)))
+        found.append(Blocker("setting", "most_cluster_version", target_version(member)))
     node = member.node
     for entry in node.membership().members:
         version = node.replication.highest_version(entry.name)
         if entry.name != node.name and (version is None or version < LATEST_VERSION):
-            found.append(Holdup("member", entry.name, version))
+            found.append(Blocker("member", entry.name, version))
     return found + _find_daemons(member)
 
 
-def _find_daemons(member: MemberContext) -> list[Holdup]:
+def _find_daemons(member: MemberContext) -> list[Blocker]:
     """Return the daemons whose builds do not support the version, or may not.
 
     A router that is cut off may be of an earlier build: it is waited for until it is declared gone.
@@ -69,11 +69,11 @@
         version = session.hello.highest_version if session is not None else None
         is_lost = version is None and (record.gone or record.role != ROLE_ROUTER)
         if not is_lost and (version is None or version < LATEST_VERSION):
-            found.append(Holdup("daemon", name, version))
+            found.append(Blocker("daemon", name, version))
     return found
 
 
-class ClusterVersionKeeper:
+class ClusterVersionManager:
     """Raises the cluster version while this member leads.
 
     Args:
@@ -97,7 +97,7 @@
         return formed_version >= target_version(self._member)
 
     @property
-    def look_s(self) -> float:
+    def check_interval_s(self) -> float:
         """Time until the next look while a new group waits for its version, in seconds; else 0."""
         is_below = self._member.state.cluster_version < target_version(self._member)
         return _NEW_GROUP_LOOK_S if self._is_formed_at_target and is_below else 0.0
@@ -107,7 +107,7 @@
         version = self._member.state.cluster_version
         if version >= target_version(self._member):
             return
-        holdups = [holdup for holdup in find_holdups(self._member) if holdup.kind != "setting"]
+        holdups = [holdup for holdup in find_blockers(self._member) if holdup.kind != "setting"]
         self._report(version, holdups)
         now_s = self._member.environment.monotonic()
         if holdups:
@@ -131,7 +131,7 @@
             "cluster_version_raised", step="cluster_version", before=version, version=target
         )
 
-    def _report(self, version: int, holdups: list[Holdup]) -> None:
+    def _report(self, version: int, holdups: list[Blocker]) -> None:
         """Log what holds the version up, once a change of that."""
         names = tuple(str(holdup) for holdup in holdups)
         if names == self._reported:
--- a/packages/heronladder-control/src/heronladder_control/cold_reports.py
+++ b/packages/heronladder-control/src/heronladder_control/cold_reports.py
@@ -31,7 +31,9 @@
         else:
             self._until_s.pop(replica.id, None)
 
-    def is_news(self, told: resources_pb2.Replica, recorded: resources_pb2.Replica | None) -> bool:
+    def is_update(
+        self, told: resources_pb2.Replica, recorded: resources_pb2.Replica | None
+    ) -> bool:
         """Whether a heartbeat tells more of being cold than is recorded.
 
         Args:
--- a/packages/heronladder-control/src/heronladder_control/crashes/evidence.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/evidence.py
@@ -11,10 +11,10 @@
 
 from heronladder_schema.v1 import control_pb2
 
-REFUSED_AFTER = 3  # crashes; with two, a caller's repeat beside the one to blame is refused
+REFUSE_AFTER_CRASHES = 3  # crashes; with two, a caller's repeat beside the one to blame is refused
 # Crashes after which it no longer matters that another request was there each time: what may
 # still crash replicas is bounded, and two that always come together are alike.
-REFUSED_ANYWAY_AFTER = 5
+REFUSE_UNISOLATED_AFTER_CRASHES = 5
 # The oldest evidence goes first. A day of 89 failed machines fits, with 46 runs at each; all of it
 # is some 400 kB of a snapshot.
 _MOST_CRASHES = 128
@@ -100,7 +100,7 @@
             del crash.runs[:]
             crash.runs.extend(kept)
 
-    def is_told_apart(self, fingerprint: str) -> bool:
+    def is_isolated(self, fingerprint: str) -> bool:
         """Whether no other request was there at all crashes that are held against this one."""
         keys = self._crashes_of.get(fingerprint, set())
         at_each = ({run.fingerprint for run in self._crashes[key].runs} for key in keys)
@@ -109,14 +109,14 @@
             common &= there
         return common <= {fingerprint}
 
-    def is_enough(self, fingerprint: str, *, refused_before: bool) -> bool:
+    def is_sufficient(self, fingerprint: str, *, refused_before: bool) -> bool:
         """Whether the evidence against a request is enough to refuse it."""
         crashes = self.count(fingerprint)
         if refused_before:
             return crashes > 0
-        if crashes >= REFUSED_ANYWAY_AFTER:
+        if crashes >= REFUSE_UNISOLATED_AFTER_CRASHES:
             return True
-        return crashes >= REFUSED_AFTER and self.is_told_apart(fingerprint)
+        return crashes >= REFUSE_AFTER_CRASHES and self.is_isolated(fingerprint)
 
     # ---- snapshots --------------------------------------------------------
 
--- a/packages/heronladder-control/src/heronladder_control/crashes/refusals.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/refusals.py
@@ -21,7 +21,7 @@
 _LONGEST_REFUSAL_S = 30 * 24 * 3_600.0
 
 
-def refusal_s(refusals: int) -> float:
+def refusal_duration_s(refusals: int) -> float:
     """Return for how long a request is refused, in seconds.
 
     Args:
@@ -57,7 +57,7 @@
         metrics.gauge("crashing_requests_refused", lambda: len(table.refused()))
 
     @property
-    def look_s(self) -> float:
+    def check_interval_s(self) -> float:
         """Time until the next look, without a report before, in seconds."""
         return _LOOK_S if self._enough_since_s else _IDLE_LOOK_S
 
@@ -81,7 +81,7 @@
         commands += [
             self._order(name, ended=True)
             for name, since_s in self._refused_since_s.items()
-            if now_s - since_s >= refusal_s(refused[name])
+            if now_s - since_s >= refusal_duration_s(refused[name])
         ]
         return commands
 
@@ -115,19 +115,19 @@
                 self._log.info("suspect_served", step="report_crashes", fingerprint=fingerprint)
 
     def _report_refusal(self, order: control_pb2.RefuseRequest) -> None:
-        noted = self._table.noted(order.fingerprint)
-        if noted is None:
+        entry = self._table.entry(order.fingerprint)
+        if entry is None:
             return
         self._metrics.add("crashing_requests", "let_through" if order.ended else "refused")
         self._log.warning(
             "crashing_request_judged",
             step="refuse_request",
-            refused=noted.refused,
+            refused=entry.refused,
             fingerprint=order.fingerprint,
-            tenant=noted.tenant,
-            service=noted.service,
-            target=noted.target,
-            crashes=noted.crashes,
-            refusals=noted.refusals,
-            for_s=refusal_s(max(1, noted.refusals)),
+            tenant=entry.tenant,
+            service=entry.service,
+            target=entry.target,
+            crashes=entry.crashes,
+            refusals=entry.refusals,
+            for_s=refusal_duration_s(max(1, entry.refusals)),
         )
--- a/packages/heronladder-control/src/heronladder_control/crashes/table.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/table.py
@@ -26,7 +26,7 @@
         self._resources = resources
         self._evidence = CrashEvidence()
 
-    def noted(self, fingerprint: str) -> resources_pb2.CrashingRequest | None:
+    def entry(self, fingerprint: str) -> resources_pb2.CrashingRequest | None:
         """Return what routers are told of a request, or None."""
         resource = self._resources.get(CRASHING_REQUEST_KIND, fingerprint)
         return resource.crashing_request if resource is not None else None
@@ -37,15 +37,15 @@
 
     def refused(self) -> dict[str, int]:
         """Return how often each request was refused that is refused now."""
-        return {name: noted.refusals for name, noted in self._all_noted() if noted.refused}
+        return {name: entry.refusals for name, entry in self._all_noted() if entry.refused}
 
     def to_refuse(self) -> list[str]:
         """Return the suspects against which the evidence is enough."""
         return [
             name
-            for name, noted in self._all_noted()
-            if not noted.refused
-            and self._evidence.is_enough(name, refused_before=noted.refusals > 0)
+            for name, entry in self._all_noted()
+            if not entry.refused
+            and self._evidence.is_sufficient(name, refused_before=entry.refusals > 0)
         ]
 
     # ---- commands ---------------------------------------------------------
@@ -69,10 +69,10 @@
 
     def refuse(self, index: int, order: control_pb2.RefuseRequest) -> control_pb2.CommandResult:
         """Refuse a suspect, or end that; void if it stands so, or was cleared meanwhile."""
-        noted = self.noted(order.fingerprint)
-        if noted is not None and noted.refused == order.ended:
+        entry = self.entry(order.fingerprint)
+        if entry is not None and entry.refused == order.ended:
             state = resources_pb2.CrashingRequest()
-            state.CopyFrom(noted)
+            state.CopyFrom(entry)
             state.refused = not order.ended
             state.refusals += not order.ended
             self._write(index, order.fingerprint, state)
@@ -84,11 +84,11 @@
         return result
 
     def _is_refused(self, fingerprint: str) -> bool:
-        noted = self.noted(fingerprint)
-        return noted is not None and noted.refused
+        entry = self.entry(fingerprint)
+        return entry is not None and entry.refused
 
     def _note_suspect(self, index: int, run: control_pb2.CrashedRun) -> None:
-        known = self.noted(run.fingerprint)
+        known = self.entry(run.fingerprint)
         crashes = self._evidence.count(run.fingerprint)
         if known is None and crashes < _SUSPECT_AFTER:
             return
@@ -103,7 +103,7 @@
 
     def _note_fewer(self, index: int, fingerprint: str) -> None:
         """Note that a suspect has lost evidence: another request is to blame for it."""
-        known = self.noted(fingerprint)
+        known = self.entry(fingerprint)
         if known is None or known.refusals:
             return
         crashes = self._evidence.count(fingerprint)
--- a/packages/heronladder-control/src/heronladder_control/fleet.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet.py
@@ -150,9 +150,9 @@
                 self._end_others_at(index, state)
             self._write(index, state)
             if watches:
-                self._rollouts.watch_newcomer(index, state.service, state.software, versions)
+                self._rollouts.detect_newcomer(index, state.service, state.software, versions)
             else:
-                self._rollouts.watch_left(index, state.service)
+                self._rollouts.admit_after_departure(index, state.service)
         result = success()
         result.revision = self._resources.resources[REPLICA_KIND][told.id].metadata.revision
         return result
--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -126,7 +126,7 @@
             # It tells no start of its own: it ends the one that is known as it comes, not one
             # that registers while it waits.
             replica.start_ms = recorded.start_ms
-        cold_news = self._cold_reports.is_news(replica, recorded)
+        cold_news = self._cold_reports.is_update(replica, recorded)
         # One that leaves is told so only once its leave is in force, however often it asks.
         if self._member.state.fleet.settled(replica) and not leaves and not cold_news:
             return FleetOutcome(Standing.DONE)
@@ -268,7 +268,7 @@
     def _is_overtaken(self, request: control_pb2.CarryRequest) -> bool:
         """Whether an order is older than the newest change of what it is for."""
         if request.command.WhichOneof("body") == "start_rollout":
-            return self._rollout_orders.is_overtaken(
+            return self._rollout_orders.is_superseded(
                 request.command.start_rollout, request.age_ms / MILLISECONDS_PER_SECOND
             )
         if request.command.WhichOneof("body") != "set_evacuation":
--- a/packages/heronladder-control/src/heronladder_control/in_force.py
+++ b/packages/heronladder-control/src/heronladder_control/in_force.py
@@ -53,12 +53,12 @@
     last_contact_s: float = 0.0
     connected: bool = False
     acts_past_lease: bool = False
-    hears_us_s: float = 0.0
-    hello_unanswered: bool = False
+    last_acknowledged_s: float = 0.0
+    hello_unacknowledged: bool = False
     held_below: int = 0
 
     @property
-    def acts_from(self) -> int:
+    def oldest_usable_revision(self) -> int:
         """Oldest revision that the daemon may still act by."""
         return max(self.applied_revision, self.held_below)
 
@@ -137,9 +137,9 @@
         progress = self.daemons.setdefault(name, DaemonProgress())
         progress.connected = True
         progress.last_contact_s = now
-        if not progress.hello_unanswered:
-            progress.hears_us_s = now
-            progress.hello_unanswered = True
+        if not progress.hello_unacknowledged:
+            progress.last_acknowledged_s = now
+            progress.hello_unacknowledged = True
         progress.applied_revision = applied_revision
         progress.held_below = 0
         progress.acts_past_lease = acts_past_lease
@@ -161,7 +161,7 @@
         committed_revision: int,
         in_force_revision: int,
         held_below: int = 0,
-        heard_from_us_s: float = 0.0,
+        last_received_s: float = 0.0,
     ) -> bool:
         """Take in a heartbeat.
 
@@ -182,9 +182,9 @@
         progress.applied_revision = max(progress.applied_revision, applied_revision)
         progress.held_below = max(progress.held_below, held_below)
         progress.last_contact_s = now
-        if heard_from_us_s:
-            progress.hears_us_s = max(progress.hears_us_s, heard_from_us_s)
-            progress.hello_unanswered = False
+        if last_received_s:
+            progress.last_acknowledged_s = max(progress.last_acknowledged_s, last_received_s)
+            progress.hello_unacknowledged = False
         # A change that is being put in force counts already: it no longer waits for anyone.
         if applied_revision < max(in_force_revision, self._reached_revision):
             return False
@@ -211,7 +211,7 @@
         reached = committed_revision
         for progress in self.daemons.values():
             if self._waited_for(progress, now):
-                reached = min(reached, progress.acts_from)
+                reached = min(reached, progress.oldest_usable_revision)
         if reached > in_force_revision:
             self._pending_revision = 0  # those still pending count from now on
             self._reached_revision = reached
@@ -223,7 +223,7 @@
         if not progress.acts_past_lease:
             return False
         is_in_contact = now_s - progress.last_contact_s < self._freshness_s * _CLOCK_RATE_MARGIN
-        return is_in_contact and now_s - progress.hears_us_s < _DEAF_LIMIT_S
+        return is_in_contact and now_s - progress.last_acknowledged_s < _DEAF_LIMIT_S
 
     def _forgive_own_lateness(self) -> None:
         """Take no time for silence in which this member itself did not look."""
@@ -234,7 +234,7 @@
             return
         for progress in self.daemons.values():
             progress.last_contact_s = min(now, progress.last_contact_s + late_s)
-            progress.hears_us_s = min(now, progress.hears_us_s + late_s)
+            progress.last_acknowledged_s = min(now, progress.last_acknowledged_s + late_s)
 
     def _note_commits(self, committed_revision: int, in_force_revision: int) -> None:
         """Remember when each change that is not in force was first seen."""
@@ -247,11 +247,11 @@
     def _waited_s(self, progress: DaemonProgress) -> float:
         """Return how long the oldest change that a daemon lacks has waited."""
         for revision, since_s in self._commits:
-            if revision > progress.acts_from:
+            if revision > progress.oldest_usable_revision:
                 return self._environment.monotonic() - since_s
         return 0.0
 
-    def to_hold(self, committed_revision: int) -> list[str]:
+    def daemons_to_hold(self, committed_revision: int) -> list[str]:
         """Return the daemons in touch that must promise to act by nothing older.
 
         One that holds already is asked for each further change at once: it serves
@@ -274,12 +274,12 @@
             name
             for name, progress in candidates.items()
             if progress.held_below > progress.applied_revision
-            and progress.acts_from < committed_revision
+            and progress.oldest_usable_revision < committed_revision
         ]
         few = len({*late, *holding}) * 2 <= len(candidates)
         return sorted({*late, *holding}) if few else holding
 
-    def in_touch(self) -> list[str]:
+    def awaited_daemons(self) -> list[str]:
         """Return the daemons that are waited for: they are heard, and hear."""
         now = self._environment.monotonic()
         return [name for name, known in self.daemons.items() if self._waited_for(known, now)]
@@ -302,13 +302,13 @@
     def is_behind(self, name: str, revision: int) -> bool:
         """Whether a daemon may act by something older than a revision."""
         progress = self.daemons.get(name)
-        return progress is not None and progress.acts_from < revision
+        return progress is not None and progress.oldest_usable_revision < revision
 
     def behind(self, revision: int) -> list[str]:
         """Return the daemons that may act by something older than a revision."""
         return sorted(name for name in self.daemons if self.is_behind(name, revision))
 
-    def holding_up(self, committed_revision: int) -> list[str]:
+    def blocking_daemons(self, committed_revision: int) -> list[str]:
         """Return the daemons that are behind and are waited for."""
         now = self._environment.monotonic()
         return [
--- a/packages/heronladder-control/src/heronladder_control/leader_decisions.py
+++ b/packages/heronladder-control/src/heronladder_control/leader_decisions.py
@@ -29,7 +29,7 @@
         state.listeners.append(lambda command, _: self._draws.applied(command))
 
     @contextmanager
-    def made(self, command: control_pb2.Command) -> Iterator[None]:
+    def deciding(self, command: control_pb2.Command) -> Iterator[None]:
         """Decide a command that is about to go into the log; ends once its fate is known."""
         if self._state.cluster_version < _DECIDED_SINCE:
             yield
--- a/packages/heronladder-control/src/heronladder_control/lease_rules.py
+++ b/packages/heronladder-control/src/heronladder_control/lease_rules.py
@@ -15,7 +15,7 @@
     return sequence <= lease.watermark or sequence in lease.settled_above
 
 
-class Standing(Enum):
+class SettlementStatus(Enum):
     """How a settlement stands to an earlier one of its reservation."""
 
     FIRST = "first"
--- a/packages/heronladder-control/src/heronladder_control/ledger.py
+++ b/packages/heronladder-control/src/heronladder_control/ledger.py
@@ -13,7 +13,7 @@
 from heronladder_schema.v1 import control_pb2, ledger_pb2, resources_pb2
 
 from heronladder_control.lease_rules import (
-    Standing,
+    SettlementStatus,
     is_settled,
     lost_reservation,
     mark_settled,
@@ -285,15 +285,15 @@
 
     # ---- settlements ------------------------------------------------------
 
-    def standing(self, settlement: ledger_pb2.Settlement) -> Standing:
+    def standing(self, settlement: ledger_pb2.Settlement) -> SettlementStatus:
         """Return how a settlement stands to what its reservation came to before."""
         lease = self.leases.get(settlement.lease_id)
         if lease is None:
-            return Standing.LEASE_CLOSED
+            return SettlementStatus.LEASE_CLOSED
         if not is_settled(lease, settlement.sequence):
-            return Standing.FIRST
+            return SettlementStatus.FIRST
         lost = lost_reservation(lease, settlement.sequence) is not None
-        return Standing.LOST_BEFORE if lost else Standing.BILLED_BEFORE
+        return SettlementStatus.LOST_BEFORE if lost else SettlementStatus.BILLED_BEFORE
 
     def settle(self, settlement: ledger_pb2.Settlement) -> bool:
         """Bill one reservation, once.
--- a/packages/heronladder-control/src/heronladder_control/member.py
+++ b/packages/heronladder-control/src/heronladder_control/member.py
@@ -18,7 +18,7 @@
 from heronladder_schema.v1 import control_pb2
 
 from heronladder_control.allotments import AllotmentKeeper
-from heronladder_control.cluster_version import ClusterVersionKeeper
+from heronladder_control.cluster_version import ClusterVersionManager
 from heronladder_control.crashes.refusals import Refusals
 from heronladder_control.daemons import ROLE_ROUTER
 from heronladder_control.ended_replicas import EndedReplicas
@@ -28,7 +28,7 @@
 from heronladder_control.options import ControlOptions
 from heronladder_control.prepaid_watch import HolderKey
 from heronladder_control.promise_notes import PromiseNotes
-from heronladder_control.rollouts.conductor import RolloutConductor
+from heronladder_control.rollouts.controller import RolloutController
 from heronladder_control.sessions import ControlService, SessionParts
 from heronladder_control.state import ControlState
 
@@ -76,9 +76,9 @@
             options.contacts,
         )
         super().__init__(options, node, state, stubs, environment)
-        self.cluster_versions = ClusterVersionKeeper(self)
+        self.cluster_versions = ClusterVersionManager(self)
         self.promise_notes = PromiseNotes(self)
-        self.rollouts = RolloutConductor(self)
+        self.rollouts = RolloutController(self)
         self.refusals = Refusals(self.state.crashes, environment, self.metrics, self.log)
         self.fleet_service = FleetService(self)
         self.allotments = AllotmentKeeper(self)
@@ -170,7 +170,7 @@
                 await asyncio.gather(*(self.propose(order) for order in self.refusals.due()))
             except HeronladderError as error:
                 self.log.info("refusals_not_noted", step=error.step, reason=error.message)
-            await self.refusals.reported.wait(self.refusals.look_s)
+            await self.refusals.reported.wait(self.refusals.check_interval_s)
 
     def _check_group(self) -> None:
         """End if the log names another group: this member's state would not be the others'."""
@@ -223,11 +223,13 @@
                 await self._drop_old_claims()
             await asyncio.sleep(_IN_FORCE_PAUSE_S * len(self.in_force.daemons))
             if self.progress.given == seen:
-                await self.progress.wait(self.cluster_versions.look_s or _CHORE_INTERVAL_S)
+                await self.progress.wait(
+                    self.cluster_versions.check_interval_s or _CHORE_INTERVAL_S
+                )
 
     async def _put_in_force(self) -> None:
         committed = self.state.resources.revision
-        for name in self.in_force.to_hold(committed):
+        for name in self.in_force.daemons_to_hold(committed):
             self._order_to_hold(name, committed)
         waited_s = self.in_force.pending_s
         reached = self.in_force.reached(committed, self.state.in_force_revision)
--- a/packages/heronladder-control/src/heronladder_control/member_context.py
+++ b/packages/heronladder-control/src/heronladder_control/member_context.py
@@ -105,7 +105,7 @@
         order = control_pb2.Command()
         order.CopyFrom(command)
         order.DiscardUnknownFields()
-        with self._decisions.made(order):
+        with self._decisions.deciding(order):
             result = await self.node.propose(encode_command(at_version(order, version)))
         self.metrics.observe("command", self.environment.monotonic() - started_s, body)
         return result
--- a/packages/heronladder-control/src/heronladder_control/rollouts/conductor.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/controller.py
@@ -17,9 +17,9 @@
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_control.daemons import ROLE_ROUTER
-from heronladder_control.rollouts.exposure import GrantBook
-from heronladder_control.rollouts.pace import RequestPace
+from heronladder_control.rollouts.exposure import GrantLedger
 from heronladder_control.rollouts.plan import RolloutView, Step, next_step
+from heronladder_control.rollouts.request_rate import RequestRate
 from heronladder_control.rollouts.table import MOVING, RUNNING, TRIAL, phase_name
 
 if TYPE_CHECKING:
@@ -38,11 +38,11 @@
 
     ordered_revision: int
     began_s: float  # on this member's clock, as far as is known
-    book: GrantBook
+    book: GrantLedger
     watch: Watch
     told: dict[str, control_pb2.RolloutReport] = field(default_factory=dict)  # by incarnation
     told_s: dict[str, float] = field(default_factory=dict)  # when a word came last
-    pace: RequestPace = field(default_factory=RequestPace)
+    pace: RequestRate = field(default_factory=RequestRate)
     noted_s: float = float("-inf")
     requests_noted: int = 0
     verdict: Verdict = field(default_factory=lambda: Verdict(Decision.GO_ON, "nothing counted yet"))
@@ -53,7 +53,7 @@
         return sum(told.requests for told in self.told.values())
 
 
-class RolloutConductor:
+class RolloutController:
     """Leads all roll-outs of a group while its member leads.
 
     Args:
@@ -114,10 +114,10 @@
         self, record: resources_pb2.Rollout, conducted: _Conducted, requests: int
     ) -> int:
         if record.phase != TRIAL:
-            return self._limits.newcomer(requests)
+            return self._limits.newcomer_limit(requests)
         elapsed_s = self._now_s() - conducted.began_s
         duration_s = record.duration_ms / MILLISECONDS_PER_SECOND
-        return self._limits.trial(requests, elapsed_s, duration_s)
+        return self._limits.trial_limit(requests, elapsed_s, duration_s)
 
     def _conducted_for(self, service: str) -> _Conducted | None:
         """Return what is known of a service's order, from nothing if it is new."""
@@ -133,7 +133,7 @@
             known = _Conducted(
                 record.ordered_revision,
                 self._now_s() - note.elapsed_ms / MILLISECONDS_PER_SECOND,
-                GrantBook(note.ceiling),
+                GrantLedger(note.ceiling),
                 Watch(self._unread_routes()),
             )
             self._conducted[service] = known
@@ -183,10 +183,10 @@
             duration_s=record.duration_ms / MILLISECONDS_PER_SECOND,
             target_replicas=self._replicas_of(service, record.target),
             verdict=conducted.verdict,
-            longest_s=longest_ms / MILLISECONDS_PER_SECOND,
-            left=self._limits.whole(conducted.requests) - max(sent, conducted.book.given),
+            longest_old_response_s=longest_ms / MILLISECONDS_PER_SECOND,
+            left=self._limits.total_limit(conducted.requests) - max(sent, conducted.book.given),
             per_s=conducted.pace.per_s(elapsed_s),
-            all_clear=record.phase == MOVING and self._all_clear(service, conducted),
+            others_drained=record.phase == MOVING and self._all_clear(service, conducted),
         )
 
     def _replicas_of(self, service: str, version: str) -> int:
@@ -203,7 +203,7 @@
         if resource is None or self._member.state.in_force_revision < resource.metadata.revision:
             return False
         known = self._member.state.daemons.daemons
-        routers = [known[name] for name in self._member.in_force.in_touch() if name in known]
+        routers = [known[name] for name in self._member.in_force.awaited_daemons() if name in known]
         asked = [r.incarnation for r in routers if r.role == ROLE_ROUTER and not r.gone]
         # None in touch: what they have elsewhere is not known.
         return bool(asked) and all(self._is_clear(conducted, name) for name in asked)
--- a/packages/heronladder-control/src/heronladder_control/rollouts/exposure.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/exposure.py
@@ -33,11 +33,11 @@
         """Whether there are roll-outs at all."""
         return self.share > 0 or self.slack > 0
 
-    def whole(self, requests: int) -> int:
+    def total_limit(self, requests: int) -> int:
         """Return the whole bound after so many requests."""
         return int(self.share * requests + self.slack)
 
-    def trial(self, requests: int, elapsed_s: float, duration_s: float) -> int:
+    def trial_limit(self, requests: int, elapsed_s: float, duration_s: float) -> int:
         """Return what a trial may have been granted.
 
         Args:
@@ -49,15 +49,15 @@
         per_s = requests / max(elapsed_s, _RATE_KNOWN_S)
         kept = self.share * per_s * duration_s + self.slack - per_s * _KEPT_S
         paced = min(1.0, _AT_ONCE + (1.0 - _AT_ONCE) * elapsed_s / max(duration_s, _RATE_KNOWN_S))
-        return int(max(least, min(_USABLE * self.whole(requests), kept) * paced))
+        return int(max(least, min(_USABLE * self.total_limit(requests), kept) * paced))
 
-    def newcomer(self, requests: int) -> int:
+    def newcomer_limit(self, requests: int) -> int:
         """Return what a version may have been granted that no order has named."""
         least = _TRIAL_SHARE * self.share * requests + _TRIAL_SLACK * self.slack
         return int(_NEWCOMER_PART * least)
 
 
-class GrantBook:
+class GrantLedger:
     """Grants of one leader for one order.
 
     Args:
--- a/packages/heronladder-control/src/heronladder_control/rollouts/manifests.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/manifests.py
@@ -5,7 +5,7 @@
 from heronladder_control.rollouts.table import ROLLED_BACK, RUNNING
 
 
-def command_of(
+def command_from_manifest(
     wanted: resources_pb2.Resource, held: resources_pb2.Rollout | None
 ) -> control_pb2.Command:
     """Return the command that a manifest of a roll-out stands for.
--- a/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
@@ -32,7 +32,7 @@
         self._ended_s.clear()
         self._began_s = self._member.environment.monotonic()
 
-    def is_overtaken(self, order: control_pb2.StartRollout, age_s: float) -> bool:
+    def is_superseded(self, order: control_pb2.StartRollout, age_s: float) -> bool:
         """Whether another order for the service was taken after this one came; marks a new one.
 
         Args:
--- a/packages/heronladder-control/src/heronladder_control/rollouts/plan.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/plan.py
@@ -55,20 +55,20 @@
     duration_s: float
     target_replicas: int
     verdict: Verdict
-    longest_s: float
+    longest_old_response_s: float
     left: int
     per_s: float
-    all_clear: bool
+    others_drained: bool
 
     @property
-    def may_be_moved_to(self) -> bool:
+    def can_move(self) -> bool:
         """Whether what a bad version would still do fits into the bound.
 
         Of a service with few requests it fits whatever the version is, for the whole time of a
         move; else only if the version is sound so far, until it is noticed that it no longer is,
         or the deadline. By what is left until the deadline anything would fit just before it.
         """
-        move_s = self.duration_s - self.move_after_s
+        move_s = self.duration_s - self.move_start_s
         if self.per_s * move_s <= self.left * _SAFE_PART:
             return True
         rest_s = max(0.0, self.duration_s - self.elapsed_s)
@@ -76,7 +76,7 @@
         return fits and self.verdict.decision is Decision.SOUND
 
     @property
-    def move_is_over(self) -> bool:
+    def is_move_overdue(self) -> bool:
         """Whether what was moved to and is not proved by now goes back.
 
         A version against which nothing speaks but that its answers are too few gets more time:
@@ -87,12 +87,12 @@
         return self.elapsed_s >= self.duration_s
 
     @property
-    def move_after_s(self) -> float:
+    def move_start_s(self) -> float:
         """When to move: as late as what runs elsewhere can end in time.
 
         Until then a version that turns bad gets a trial's share only.
         """
-        needed_s = _WAY_S + _LONGEST_MORE * self.longest_s
+        needed_s = _WAY_S + _LONGEST_MORE * self.longest_old_response_s
         return self.duration_s - min(needed_s, _MOST_OF_TIME * self.duration_s)
 
 
@@ -137,7 +137,7 @@
         return None
     if view.phase == WAITING:
         return Step(TRIAL, "its replicas are there")
-    if view.elapsed_s >= view.move_after_s and view.may_be_moved_to:
+    if view.elapsed_s >= view.move_start_s and view.can_move:
         return Step(MOVING, view.verdict.reason)
     return None
 
@@ -151,9 +151,9 @@
     if view.elapsed_s >= _LATEST * view.duration_s:
         return Step(ROLLED_BACK, f"old answers ran on for {_LATEST:g} times its time")
     is_sound = view.verdict.decision is Decision.SOUND
-    if view.move_is_over and not is_sound:
+    if view.is_move_overdue and not is_sound:
         return Step(ROLLED_BACK, f"not proved in its time: {view.verdict.reason}")
     is_time = view.elapsed_s >= view.duration_s - _COMPLETE_BEFORE_S
-    if is_time and view.all_clear and is_sound:
+    if is_time and view.others_drained and is_sound:
         return Step(COMPLETED, view.verdict.reason)
     return None
--- a/packages/heronladder-control/src/heronladder_control/rollouts/pace.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/request_rate.py
@@ -6,7 +6,7 @@
 _LEAST_S = 0.2  # no rate is known of less: one look of the leader
 
 
-class RequestPace:
+class RequestRate:
     """Follows the sum of a service's requests since an order."""
 
     def __init__(self) -> None:
--- a/packages/heronladder-control/src/heronladder_control/rollouts/table.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/table.py
@@ -133,7 +133,7 @@
 
     # ---- newcomers --------------------------------------------------------
 
-    def watch_newcomer(self, index: int, service: str, software: str, before: set[str]) -> None:
+    def detect_newcomer(self, index: int, service: str, software: str, before: set[str]) -> None:
         """Have a version that a service did not have go by grants, until it is ordered or old.
 
         Args:
@@ -152,7 +152,7 @@
         if self._take_stand_in(service, record) or took:
             self._write(index, service, record)
 
-    def watch_left(self, index: int, service: str) -> None:
+    def admit_after_departure(self, index: int, service: str) -> None:
         """Admit another version if the last replica that may be sent to has left."""
         held = self.get(service)
         if held is None:
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -25,7 +25,7 @@
 from heronladder_control.recalls import recall_leases, recall_prepaid
 from heronladder_control.replica_limits import SharedReplicaLimits
 from heronladder_control.replica_loads import ReplicaLoads
-from heronladder_control.rollouts.conductor import RolloutConductor
+from heronladder_control.rollouts.controller import RolloutController
 
 _IDLE_CHECK_S = 1.0
 # Routers; with more, each learns of a lender with its next heartbeat.
@@ -44,7 +44,7 @@
     """
 
     promise_notes: PromiseNotes
-    rollouts: RolloutConductor
+    rollouts: RolloutController
     fleet_service: FleetService
     allotments: AllotmentKeeper
 
--- a/packages/heronladder-control/src/heronladder_control/state.py
+++ b/packages/heronladder-control/src/heronladder_control/state.py
@@ -22,7 +22,7 @@
 from heronladder_control.daemons import DaemonTable
 from heronladder_control.evacuations import EvacuationTable
 from heronladder_control.fleet import FleetTable
-from heronladder_control.lease_rules import Standing
+from heronladder_control.lease_rules import SettlementStatus
 from heronladder_control.ledger import Ledger
 from heronladder_control.prepaid import PrepaidTable
 from heronladder_control.resources import ResourceTable
@@ -256,11 +256,11 @@
         result = success()
         for position, settlement in enumerate(order.settlements):
             standing = self.ledger.standing(settlement)
-            if standing is Standing.LEASE_CLOSED:
+            if standing is SettlementStatus.LEASE_CLOSED:
                 result.lease_closed.append(position)
-            elif standing is Standing.BILLED_BEFORE:
+            elif standing is SettlementStatus.BILLED_BEFORE:
                 result.billed_before.append(position)
-            elif standing is Standing.LOST_BEFORE:
+            elif standing is SettlementStatus.LOST_BEFORE:
                 result.lost_before.append(position)
             if self._settle_one(settlement) and settlement.request_id:
                 self.claims.mark_ran_if(settlement)
--- a/packages/heronladder-control/src/heronladder_control/status.py
+++ b/packages/heronladder-control/src/heronladder_control/status.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from heronladder_control.cluster_version import find_holdups
+from heronladder_control.cluster_version import find_blockers
 from heronladder_control.member_context import MemberContext
 
 
@@ -20,8 +20,8 @@
         "committedRevision": committed,
         "inForceRevision": state.in_force_revision,
         "clusterVersion": state.cluster_version,
-        "versionHeldUpBy": [str(holdup) for holdup in find_holdups(member)],
-        "heldUpBy": member.in_force.holding_up(committed),
+        "versionHeldUpBy": [str(holdup) for holdup in find_blockers(member)],
+        "heldUpBy": member.in_force.blocking_daemons(committed),
         "members": [
             {
                 "name": entry.name,
--- a/tests/lending_control.py
+++ b/tests/lending_control.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from decided_draws import DecidedPrepaidTable
+from decided_prepaid_table import DecidedPrepaidTable
 from heronladder_control.daemon_session import DaemonSession
 from heronladder_control.member import ControlMember
 from heronladder_control.prepaid_watch import PrepaidWatch
--- a/tests/lending_fleet.py
+++ b/tests/lending_fleet.py
@@ -7,7 +7,7 @@
 import asyncio
 from random import Random
 
-from decided_draws import DecidedPrepaidTable
+from decided_prepaid_table import DecidedPrepaidTable
 from heronladder_control.results import failure
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 from heronladder_runtime.errors import RefusedByInvariantError
--- a/tests/rollout_trials.py
+++ b/tests/rollout_trials.py
@@ -204,7 +204,7 @@
             requests += 1
             route = source.choices(range(len(drawn.routes)), drawn.routes)[0]
             is_new = in_force == MOVING
-            if in_force == TRIAL and sent < LIMITS.trial(requests, now_s, drawn.duration_s):
+            if in_force == TRIAL and sent < LIMITS.trial_limit(requests, now_s, drawn.duration_s):
                 # As a gateway chooses: the route that the trial has seen least, or after a wait.
                 is_due = tried[route] <= min(tried) or now_s - tried_s >= _RARE_ROUTE_WAIT_S
                 is_new = is_due and source.random() < 0.5
@@ -231,7 +231,7 @@
         if verdict.decision is not Decision.GO_BACK:
             verdict = judge(evidence, alone=phase == MOVING)
         old_runs = any(not answer[3] for answer in coming)
-        longest_s = evidence.whole(of_target=False).longest_ms / 1000
+        longest_old_response_s = evidence.whole(of_target=False).longest_ms / 1000
         step = next_step(
             RolloutView(
                 phase,
@@ -240,10 +240,10 @@
                 duration_s=drawn.duration_s,
                 target_replicas=2,
                 verdict=verdict,
-                longest_s=longest_s,
-                left=LIMITS.whole(requests) - sent,
+                longest_old_response_s=longest_old_response_s,
+                left=LIMITS.total_limit(requests) - sent,
                 per_s=requests / now_s,
-                all_clear=in_force == MOVING and not old_runs,
+                others_drained=in_force == MOVING and not old_runs,
             )
         )
         if step is not None:
--- a/tests/test_cluster_version.py
+++ b/tests/test_cluster_version.py
@@ -8,7 +8,7 @@
 from control_group import ControlGroup
 from google.protobuf.message import DecodeError
 from heronladder_consensus.state_machine import StateMachine
-from heronladder_control.cluster_version import Holdup, find_holdups
+from heronladder_control.cluster_version import Blocker, find_blockers
 from heronladder_control.daemon_builds import DaemonBuilds
 from heronladder_control.daemons import ROLE_ROUTER
 from heronladder_control.leader_asks import Standing
@@ -79,7 +79,7 @@
 
     async def test_a_new_group_begins_with_the_latest_version(self) -> None:
         self.assertEqual(self.leader.state.cluster_version, LATEST_VERSION)
-        self.assertEqual(find_holdups(self.leader), [])
+        self.assertEqual(find_blockers(self.leader), [])
 
     async def test_a_new_group_whose_first_leader_is_lost_at_once_waits_for_nothing_more(
         self,
@@ -99,9 +99,9 @@
         command.register_daemon.daemon.incarnation = "one"
         await self.leader.propose(command)
         self.leader.state._cluster_version = 0
-        self.assertEqual([str(one) for one in find_holdups(self.leader)], ["daemon front: silent"])
+        self.assertEqual([str(one) for one in find_blockers(self.leader)], ["daemon front: silent"])
         await self.leader.declare_gone(self.leader.state.daemons.daemons["front"])
-        self.assertEqual(find_holdups(self.leader), [])
+        self.assertEqual(find_blockers(self.leader), [])
 
     async def test_heartbeats_that_tell_a_start_write_nothing_more_below_its_version(self) -> None:
         """Each was news, as the log could not hold the start: an entry a heartbeat and replica."""
@@ -109,8 +109,8 @@
             id="a", service="s", address="10.0.0.1:80", start_ms=5, sequence=1
         )
         self.leader.state._cluster_version = 0
-        held_up = [Holdup("member", "other", 0)]
-        with mock.patch("heronladder_control.cluster_version.find_holdups", lambda _: held_up):
+        held_up = [Blocker("member", "other", 0)]
+        with mock.patch("heronladder_control.cluster_version.find_blockers", lambda _: held_up):
             await self.leader.fleet_service.register(replica)
             index = self.leader.node.log.last_index
             for sequence in range(2, 12):
@@ -152,7 +152,7 @@
             while leader.node.replication.reachable(name):
                 await leader.node.changed.wait(0.1)
         leader.state._cluster_version = 0
-        self.assertEqual([str(one) for one in find_holdups(leader)], [f"member {name}: silent"])
+        self.assertEqual([str(one) for one in find_blockers(leader)], [f"member {name}: silent"])
 
 
 if __name__ == "__main__":
--- a/tests/test_cold_replicas.py
+++ b/tests/test_cold_replicas.py
@@ -189,27 +189,27 @@
 
     def test_a_countdown_is_no_news(self) -> None:
         self.clock.now_s += 1.2
-        self.assertFalse(self.words.is_news(_replica(1800), self.recorded))
+        self.assertFalse(self.words.is_update(_replica(1800), self.recorded))
 
     def test_one_that_turns_cold_again_is(self) -> None:
         self.clock.now_s += 1.2
-        self.assertTrue(self.words.is_news(_replica(3000), self.recorded))
+        self.assertTrue(self.words.is_update(_replica(3000), self.recorded))
 
     def test_a_warm_one_that_turns_cold_is(self) -> None:
         self.words.known(_replica())
-        self.assertTrue(self.words.is_news(_replica(2500), _replica()))
+        self.assertTrue(self.words.is_update(_replica(2500), _replica()))
 
     def test_a_word_from_before_it_turned_cold_does_not_warm_it(self) -> None:
         self.clock.now_s += 1.0
-        self.assertFalse(self.words.is_news(_replica(0), self.recorded))
+        self.assertFalse(self.words.is_update(_replica(0), self.recorded))
         self.clock.now_s += 2.0
-        self.assertTrue(self.words.is_news(_replica(0), self.recorded))
+        self.assertTrue(self.words.is_update(_replica(0), self.recorded))
 
     def test_a_new_leader_counts_from_its_first_word(self) -> None:
         words = ColdReports(self.clock)
-        self.assertFalse(words.is_news(_replica(0), self.recorded))
+        self.assertFalse(words.is_update(_replica(0), self.recorded))
         self.clock.now_s += 3.0
-        self.assertTrue(words.is_news(_replica(0), self.recorded))
+        self.assertTrue(words.is_update(_replica(0), self.recorded))
 
 
 class ColdReplicaTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_crash_evidence.py
+++ b/tests/test_crash_evidence.py
@@ -4,11 +4,11 @@
 from collections.abc import Iterable
 
 from heronladder_control.crashes.evidence import (
-    REFUSED_AFTER,
-    REFUSED_ANYWAY_AFTER,
+    REFUSE_AFTER_CRASHES,
+    REFUSE_UNISOLATED_AFTER_CRASHES,
     CrashEvidence,
 )
-from heronladder_control.crashes.refusals import Refusals, refusal_s
+from heronladder_control.crashes.refusals import Refusals, refusal_duration_s
 from heronladder_control.crashes.table import CrashTable
 from heronladder_control.state import ControlState
 from heronladder_runtime.clock import Environment
@@ -38,10 +38,10 @@
         self.evidence = CrashEvidence()
 
     def _is_enough(self, fingerprint: str) -> bool:
-        return self.evidence.is_enough(fingerprint, refused_before=False)
+        return self.evidence.is_sufficient(fingerprint, refused_before=False)
 
     def test_the_one_that_was_there_each_time_is_to_blame_and_no_other(self) -> None:
-        for number in range(REFUSED_AFTER):
+        for number in range(REFUSE_AFTER_CRASHES):
             others = [f"beside-{number}-{other}" for other in range(20)]
             self.evidence.add(_crash(f"r{number}", _CULPRIT, *others))
         self.assertTrue(self._is_enough(_CULPRIT))
@@ -49,7 +49,7 @@
 
     def test_who_was_beside_it_each_time_is_not_told_apart(self) -> None:
         """A caller's own repeats can meet it again and again."""
-        for number in range(REFUSED_AFTER):
+        for number in range(REFUSE_AFTER_CRASHES):
             self.evidence.add(_crash(f"r{number}", _CULPRIT, "unlucky"))
         self.assertFalse(self._is_enough(_CULPRIT) or self._is_enough("unlucky"))
         self.evidence.add(_crash("r9", _CULPRIT))
@@ -57,13 +57,13 @@
         self.assertFalse(self._is_enough("unlucky"))
 
     def test_two_that_always_come_together_are_refused_after_more_crashes(self) -> None:
-        for number in range(REFUSED_ANYWAY_AFTER):
+        for number in range(REFUSE_UNISOLATED_AFTER_CRASHES):
             self.assertFalse(self._is_enough(_CULPRIT))
             self.evidence.add(_crash(f"r{number}", _CULPRIT, "twin"))
         self.assertTrue(self._is_enough(_CULPRIT))
 
     def test_several_gateways_tell_of_one_crash(self) -> None:
-        for _ in range(REFUSED_AFTER):
+        for _ in range(REFUSE_AFTER_CRASHES):
             self.evidence.add(_crash("r1", _CULPRIT))
         self.assertEqual(self.evidence.count(_CULPRIT), 1)
 
@@ -73,7 +73,7 @@
         self.assertEqual(self.evidence.count(_CULPRIT), 3)
 
     def test_a_crash_that_is_explained_is_held_against_no_other(self) -> None:
-        for number in range(REFUSED_AFTER):
+        for number in range(REFUSE_AFTER_CRASHES):
             self.evidence.add(_crash(f"r{number}", _CULPRIT, "beside"))
         self.assertEqual(self.evidence.explain(_CULPRIT), ["beside"])
         self.assertEqual(self.evidence.add(_crash("r0", "told late")), [])
@@ -118,14 +118,14 @@
 class TableTest(_TableCase):
     def test_a_suspect_is_told_after_two_crashes_and_forgotten_once_served(self) -> None:
         self.report([_crash("r1", _CULPRIT, "b1"), _crash("r2", _CULPRIT, "b2")])
-        noted = self.table.noted(_CULPRIT)
-        assert noted is not None
-        self.assertEqual((noted.crashes, noted.refused, noted.tenant), (2, False, "t"))
-        self.assertIsNone(self.table.noted("b1"))
+        entry = self.table.entry(_CULPRIT)
+        assert entry is not None
+        self.assertEqual((entry.crashes, entry.refused, entry.tenant), (2, False, "t"))
+        self.assertIsNone(self.table.entry("b1"))
         self.report(served=[_CULPRIT])
-        self.assertIsNone(self.table.noted(_CULPRIT))
+        self.assertIsNone(self.table.entry(_CULPRIT))
         self.report([_crash("r3", _CULPRIT)])
-        self.assertIsNone(self.table.noted(_CULPRIT), "what was held against it is gone")
+        self.assertIsNone(self.table.entry(_CULPRIT), "what was held against it is gone")
 
     def test_refusing_one_frees_the_suspects_beside_it(self) -> None:
         self.report([_crash("r1", _CULPRIT, "b"), _crash("r2", _CULPRIT, "b")])
@@ -133,7 +133,7 @@
         self.assertEqual(self.table.to_refuse(), [_CULPRIT])
         self.refuse(_CULPRIT)
         self.assertEqual(self.table.refused(), {_CULPRIT: 1})
-        self.assertIsNone(self.table.noted("b"))
+        self.assertIsNone(self.table.entry("b"))
         self.report([_crash("r4", _CULPRIT, "c")])  # sent before its gateway knew
         self.report([_crash("r4", "c")])
         self.assertEqual(self.table.to_refuse(), [])
@@ -167,9 +167,9 @@
         for number in range(300):
             name = f"s{number}"
             self.report([_crash(f"{name}-1", name), _crash(f"{name}-2", name)])
-        noted = self.state.resources.resources["crashing_request"]
-        self.assertEqual(len(noted), 256)
-        self.assertIn(_CULPRIT, noted)
+        entry = self.state.resources.resources["crashing_request"]
+        self.assertEqual(len(entry), 256)
+        self.assertIn(_CULPRIT, entry)
 
 
 class RefusalTest(_TableCase):
@@ -209,7 +209,7 @@
         self.assertEqual(self.table.refused(), {})
 
     def test_each_refusal_is_longer(self) -> None:
-        times_s = [refusal_s(refusals) for refusals in range(1, 12)]
+        times_s = [refusal_duration_s(refusals) for refusals in range(1, 12)]
         self.assertEqual(times_s, sorted(times_s))
         self.assertEqual(times_s[1], 4 * times_s[0])
 
--- a/tests/test_in_force.py
+++ b/tests/test_in_force.py
@@ -45,8 +45,8 @@
     """Have the gateway be heard, and lag; return what is in force after it."""
     for _ in range(round(for_s / _HEARTBEAT_S)):
         await _look(tracker, _HEARTBEAT_S, committed)
-        heard_from_us_s = 0.0 if deaf else asyncio.get_running_loop().time()
-        tracker.heartbeat("gateway", _HELD, committed, _HELD, 0, heard_from_us_s)
+        last_received_s = 0.0 if deaf else asyncio.get_running_loop().time()
+        tracker.heartbeat("gateway", _HELD, committed, _HELD, 0, last_received_s)
     return tracker.reached(committed, _HELD)
 
 
@@ -60,7 +60,7 @@
         async def scenario() -> None:
             tracker = _tracker()
             self.assertEqual(await _lag(tracker, for_s=9.0), _HELD)  # no lease for 8 s
-            self.assertEqual(tracker.holding_up(_CHANGE), ["gateway"])
+            self.assertEqual(tracker.blocking_daemons(_CHANGE), ["gateway"])
             tracker.heartbeat("gateway", _CHANGE, _CHANGE, _HELD)
             self.assertEqual(tracker.reached(_CHANGE, _HELD), _CHANGE)
 
@@ -94,17 +94,17 @@
             tracker = _tracker("other")
             tracker.heartbeat("other", _CHANGE, _CHANGE, _HELD)
             await _lag(tracker, for_s=1.8)
-            self.assertEqual(tracker.to_hold(_CHANGE), [])
+            self.assertEqual(tracker.daemons_to_hold(_CHANGE), [])
             await _lag(tracker, for_s=0.3)
-            self.assertEqual(tracker.to_hold(_CHANGE), ["gateway"])
+            self.assertEqual(tracker.daemons_to_hold(_CHANGE), ["gateway"])
             self.assertEqual(tracker.reached(_CHANGE, _HELD), _HELD)
             tracker.heartbeat("gateway", _HELD, _CHANGE, _HELD, held_below=_CHANGE)
             self.assertEqual(tracker.reached(_CHANGE, _HELD), _CHANGE)
-            self.assertEqual(tracker.to_hold(_CHANGE), [])
+            self.assertEqual(tracker.daemons_to_hold(_CHANGE), [])
             # It serves nothing already: a further change asks for its word at once.
             tracker.heartbeat("other", _LATER, _LATER, _CHANGE)
             self.assertEqual(tracker.reached(_LATER, _CHANGE), _CHANGE)
-            self.assertEqual(tracker.to_hold(_LATER), ["gateway"])
+            self.assertEqual(tracker.daemons_to_hold(_LATER), ["gateway"])
 
         self._run(scenario())
 
@@ -119,10 +119,10 @@
             tracker.heartbeat("gateway", _CHANGE, _LATER, _HELD, 0, 1.8)
             self.assertEqual(tracker.reached(_LATER, _HELD), _CHANGE)
             for _ in range(2):
-                self.assertEqual(tracker.to_hold(_LATER), [])
+                self.assertEqual(tracker.daemons_to_hold(_LATER), [])
                 await asyncio.sleep(_HEARTBEAT_S)
                 tracker.reached(_LATER, _CHANGE)
-            self.assertEqual(tracker.to_hold(_LATER), ["gateway"])
+            self.assertEqual(tracker.daemons_to_hold(_LATER), ["gateway"])
 
         self._run(scenario())
 
@@ -133,7 +133,7 @@
                 await _lag(tracker, for_s=_HEARTBEAT_S)
                 now_s = asyncio.get_running_loop().time()
                 tracker.heartbeat("other", _HELD, _CHANGE, _HELD, 0, now_s)
-                self.assertEqual(tracker.to_hold(_CHANGE), [])
+                self.assertEqual(tracker.daemons_to_hold(_CHANGE), [])
             self.assertEqual(tracker.reached(_CHANGE, _HELD), _HELD)
 
         self._run(scenario())
@@ -152,7 +152,7 @@
     def test_one_that_comes_back_with_an_older_state_is_waited_for_at_once(self) -> None:
         async def scenario() -> None:
             tracker = _tracker()
-            tracker.heartbeat("gateway", _HELD, _HELD, _HELD, 0, heard_from_us_s=0.001)
+            tracker.heartbeat("gateway", _HELD, _HELD, _HELD, 0, last_received_s=0.001)
             tracker.disconnected("gateway")
             await _look(tracker, for_s=5.0, committed=_HELD)
             tracker.connected("gateway", _HELD, acts_past_lease=True)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -9,7 +9,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from decided_draws import DecidedPrepaidTable
+from decided_prepaid_table import DecidedPrepaidTable
 from heronladder_router.tokens.balance import OwnReservation
 from heronladder_router.tokens.lenders import Lenders
 from heronladder_router.tokens.lending import LoanBook
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from decided_draws import DecidedPrepaidTable
+from decided_prepaid_table import DecidedPrepaidTable
 from heronladder_control.prepaid_watch import PrepaidWatch
 from heronladder_router.event_stream import EventCutter
 from heronladder_router.kept_parts import KeptParts, parse_parts
--- a/tests/test_prepaid_promises.py
+++ b/tests/test_prepaid_promises.py
@@ -5,7 +5,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from decided_draws import DecidedPrepaidTable
+from decided_prepaid_table import DecidedPrepaidTable
 from heronladder_control import prepaid_watch
 from heronladder_control.prepaid_watch import HolderKey, PrepaidWatch
 from heronladder_control.promise_notes import PromiseNotes
--- a/tests/test_prepaid_tokens.py
+++ b/tests/test_prepaid_tokens.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import cast
 
-from decided_draws import DecidedPrepaidTable
+from decided_prepaid_table import DecidedPrepaidTable
 from heronladder_router.errors import PrepaidUnavailableError
 from heronladder_router.tokens.balance import TokenBalance
 from heronladder_router.tokens.held_tokens import HeldTokens
--- a/tests/test_replica_incarnations.py
+++ b/tests/test_replica_incarnations.py
@@ -4,7 +4,7 @@
 from random import Random
 from typing import Any
 
-from decided_draws import DecidedPrepaidTable
+from decided_prepaid_table import DecidedPrepaidTable
 from heronladder_control.ended_replicas import EndedReplicas
 from heronladder_control.fleet import FleetTable
 from heronladder_control.resources import ResourceTable
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -143,7 +143,7 @@
             self.assertEqual(tracker.reached(5, 1), 1)
             tracker.heartbeat("a", 5, 5, 1)
             self.assertEqual(tracker.reached(5, 1), 1)
-            self.assertEqual(tracker.holding_up(5), ["b"])
+            self.assertEqual(tracker.blocking_daemons(5), ["b"])
             await asyncio.sleep(8.9)  # b is silent: its lease runs out
             self.assertEqual(tracker.reached(5, 1), 5)
             self.assertFalse(tracker.heartbeat("b", 1, 5, 5))  # stale: not renewed
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -5,9 +5,9 @@
 from collections.abc import ValuesView
 
 from heronladder_control.resources import ResourceTable
-from heronladder_control.rollouts.exposure import ExposureLimits, GrantBook
-from heronladder_control.rollouts.pace import RequestPace
+from heronladder_control.rollouts.exposure import ExposureLimits, GrantLedger
 from heronladder_control.rollouts.plan import RolloutView, next_step
+from heronladder_control.rollouts.request_rate import RequestRate
 from heronladder_control.rollouts.table import (
     COMPLETED,
     MOVING,
@@ -46,7 +46,7 @@
         resource.replica.software = version
         before = self.table.versions(_SERVICE)
         self.resources.write(self._index, "replica", name, resource)
-        self.table.watch_newcomer(self._index, _SERVICE, version, before)
+        self.table.detect_newcomer(self._index, _SERVICE, version, before)
 
     def _record(self) -> resources_pb2.Rollout:
         record = self.table.get(_SERVICE)
@@ -133,7 +133,7 @@
         resource.CopyFrom(self.resources.resources["replica"][name])
         resource.replica.draining = True
         self.resources.write(self._index, "replica", name, resource)
-        self.table.watch_left(self._index, _SERVICE)
+        self.table.admit_after_departure(self._index, _SERVICE)
 
     def test_an_order_before_any_replica_admits_the_old_ones_that_come_later(self) -> None:
         """Nothing was admitted then, and all requests were refused."""
@@ -223,13 +223,13 @@
             held: dict[str, int] = {}
             sent: dict[str, int] = {}
             ceiling = allowance = serial = 0
-            book = GrantBook(0)
+            book = GrantLedger(0)
             for _ in range(80):
                 allowance += source.randrange(4)
                 if source.random() < 0.5:
                     ceiling = max(ceiling, allowance)
                 if source.random() < 0.05:
-                    book = GrantBook(ceiling)
+                    book = GrantLedger(ceiling)
                 if source.random() < 0.1 or not held:
                     serial += 1
                     held[f"g{serial}"] = sent[f"g{serial}"] = 0
@@ -251,13 +251,13 @@
         for per_s in (1, 6, 60, 150, 400):
             for elapsed_s in range(1, 20):
                 requests = per_s * elapsed_s
-                trial = limits.trial(requests, float(elapsed_s), 20.0)
-                self.assertLess(trial, limits.whole(requests))
+                trial = limits.trial_limit(requests, float(elapsed_s), 20.0)
+                self.assertLess(trial, limits.total_limit(requests))
 
 
 class PaceTest(unittest.TestCase):
     def test_a_jump_counts_after_a_second(self) -> None:
-        pace = RequestPace()
+        pace = RequestRate()
         for look in range(51):
             pace.note(look * 0.2, look * 2)  # 10 a second
         self.assertAlmostEqual(pace.per_s(10.0), 10.0)
@@ -266,7 +266,7 @@
         self.assertAlmostEqual(pace.per_s(11.0), 200.0)
 
     def test_a_lull_is_no_reason_to_plan_with_less(self) -> None:
-        pace = RequestPace()
+        pace = RequestRate()
         pace.note(0.0, 0)
         pace.note(5.0, 500)
         pace.note(7.0, 500)
@@ -283,10 +283,10 @@
             "duration_s": 10.0,
             "target_replicas": 2,
             "verdict": Verdict(Decision.SOUND, "sound"),
-            "longest_s": 0.5,
+            "longest_old_response_s": 0.5,
             "left": 150,
             "per_s": 100.0,
-            "all_clear": False,
+            "others_drained": False,
         }
         return RolloutView(**{**known, **changes})  # type: ignore[arg-type]
 
@@ -319,7 +319,7 @@
 
     def test_of_a_sound_one_the_deadline_bounds_what_it_may_still_do(self) -> None:
         """A good version of 90 requests a second was sent back: its trial had used too much."""
-        known = {"per_s": 91.0, "duration_s": 4.0, "left": 46, "longest_s": 0.035}
+        known = {"per_s": 91.0, "duration_s": 4.0, "left": 46, "longest_old_response_s": 0.035}
         self.assertIsNone(self._phase(**known, elapsed_s=3.3))
         self.assertEqual(self._phase(**known, elapsed_s=3.58), MOVING)
         doubt = Verdict(Decision.GO_ON, "in doubt")
@@ -350,12 +350,12 @@
 
     def test_completed_only_when_all_are_clear_and_it_is_sound(self) -> None:
         self.assertIsNone(self._phase(phase=MOVING))
-        self.assertIsNone(self._phase(phase=MOVING, all_clear=True))  # it is still watched
+        self.assertIsNone(self._phase(phase=MOVING, others_drained=True))  # it is still watched
         late = {"phase": MOVING, "elapsed_s": 9.5}
-        self.assertEqual(self._phase(**late, all_clear=True), COMPLETED)
+        self.assertEqual(self._phase(**late, others_drained=True), COMPLETED)
         self.assertIsNone(self._phase(**late))
         doubt = Verdict(Decision.GO_ON, "in doubt")
-        self.assertIsNone(self._phase(**late, all_clear=True, verdict=doubt))
+        self.assertIsNone(self._phase(**late, others_drained=True, verdict=doubt))
 
 
 class VerdictTest(unittest.TestCase):
