--- a/packages/heronladder-control/src/heronladder_control/cluster_version.py
+++ b/packages/heronladder-control/src/heronladder_control/cluster_version.py
@@ -15,8 +15,8 @@
 from heronladder_control.daemons import ROLE_ROUTER
 from heronladder_control.member_context import MemberContext
 
-_NEW_GROUP_LOOK_S = 0.02
-_NAMED_HOLDUPS = 8  # in a log line, so that it stays short
+_NEW_GROUP_CHECK_INTERVAL_S = 0.02
+_MAX_LOGGED_BLOCKERS = 8  # in a log line, so that it stays short
 
 
 @dataclass(frozen=True)
@@ -55,10 +55,10 @@
         version = node.replication.highest_version(entry.name)
         if entry.name != node.name and (version is None or version < LATEST_VERSION):
             found.append(Blocker("member", entry.name, version))
-    return found + _find_daemons(member)
+    return found + _find_blocking_daemons(member)
 
 
-def _find_daemons(member: MemberContext) -> list[Blocker]:
+def _find_blocking_daemons(member: MemberContext) -> list[Blocker]:
     """Return the daemons whose builds do not support the version, or may not.
 
     A router that is cut off may be of an earlier build: it is waited for until it is declared gone.
@@ -100,17 +100,17 @@
     def check_interval_s(self) -> float:
         """Time until the next look while a new group waits for its version, in seconds; else 0."""
         is_below = self._member.state.cluster_version < target_version(self._member)
-        return _NEW_GROUP_LOOK_S if self._is_formed_at_target and is_below else 0.0
+        return _NEW_GROUP_CHECK_INTERVAL_S if self._is_formed_at_target and is_below else 0.0
 
     async def tend(self) -> None:
         """Raise the version if nothing holds it up, and has not for some time."""
         version = self._member.state.cluster_version
         if version >= target_version(self._member):
             return
-        holdups = [holdup for holdup in find_blockers(self._member) if holdup.kind != "setting"]
-        self._report(version, holdups)
+        blockers = [blocker for blocker in find_blockers(self._member) if blocker.kind != "setting"]
+        self._report(version, blockers)
         now_s = self._member.environment.monotonic()
-        if holdups:
+        if blockers:
             self._ready_since_s = None
             return
         if self._ready_since_s is None:
@@ -131,9 +131,9 @@
             "cluster_version_raised", step="cluster_version", before=version, version=target
         )
 
-    def _report(self, version: int, holdups: list[Blocker]) -> None:
+    def _report(self, version: int, blockers: list[Blocker]) -> None:
         """Log what holds the version up, once a change of that."""
-        names = tuple(str(holdup) for holdup in holdups)
+        names = tuple(str(blocker) for blocker in blockers)
         if names == self._reported:
             return
         self._reported = names
@@ -142,6 +142,6 @@
             step="cluster_version",
             version=version,
             target=target_version(self._member),
-            held_up_by="; ".join(names[:_NAMED_HOLDUPS]),
+            held_up_by="; ".join(names[:_MAX_LOGGED_BLOCKERS]),
             count=len(names),
         )
--- a/packages/heronladder-control/src/heronladder_control/cold_reports.py
+++ b/packages/heronladder-control/src/heronladder_control/cold_reports.py
@@ -10,7 +10,7 @@
 
 # A heartbeat is under way for so long, and clocks of two machines differ: no longer time is
 # told anew for it.
-_SLACK_S = 0.3
+_END_TOLERANCE_S = 0.3
 
 
 class ColdReports:
@@ -46,7 +46,7 @@
             self._until_s[told.id] = self._end_s(recorded)  # recorded before this member led
         until_s = self._until_s.get(told.id, float("-inf"))
         if told.cold_ms:
-            return self._end_s(told) > until_s + _SLACK_S
+            return self._end_s(told) > until_s + _END_TOLERANCE_S
         # Only once the time told has passed: this word may be from before it turned cold.
         return recorded.cold_ms > 0 and self._environment.monotonic() >= until_s
 
--- a/packages/heronladder-control/src/heronladder_control/crashes/evidence.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/evidence.py
@@ -17,8 +17,8 @@
 REFUSE_UNISOLATED_AFTER_CRASHES = 5
 # The oldest evidence goes first. A day of 89 failed machines fits, with 46 runs at each; all of it
 # is some 400 kB of a snapshot.
-_MOST_CRASHES = 128
-_MOST_RUNS = 4_096
+_MAX_CRASHES = 128
+_MAX_RUNS = 4_096
 
 
 class CrashKey(NamedTuple):
@@ -61,7 +61,7 @@
         return new
 
     def _drop_oldest(self) -> None:
-        while len(self._crashes) > _MOST_CRASHES or self._runs > _MOST_RUNS:
+        while len(self._crashes) > _MAX_CRASHES or self._runs > _MAX_RUNS:
             key, crash = self._crashes.popitem(last=False)
             self._forget_runs(key, crash)
 
--- a/packages/heronladder-control/src/heronladder_control/crashes/refusals.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/refusals.py
@@ -10,15 +10,15 @@
 
 # For so long all routers in touch can say that they have had an answer to a suspect, which clears
 # it: it was told to them as one, and a heartbeat takes 0.3 s.
-_ASKED_S = 0.4
-_LOOK_S = 0.1  # while there are suspects
-_IDLE_LOOK_S = 1.0
+_CLEARANCE_WAIT_S = 0.4
+_CHECK_INTERVAL_S = 0.1  # while there are suspects
+_IDLE_CHECK_INTERVAL_S = 1.0
 # Of the first refusal, an hour; each later one is four times as long, a month at most. A
 # caller's mended service or replicas of a new version are let through in the end; one send that
 # crashes a replica refuses it again.
 _FIRST_REFUSAL_S = 3_600.0
-_LONGER = 4
-_LONGEST_REFUSAL_S = 30 * 24 * 3_600.0
+_REFUSAL_GROWTH_FACTOR = 4
+_MAX_REFUSAL_S = 30 * 24 * 3_600.0
 
 
 def refusal_duration_s(refusals: int) -> float:
@@ -27,8 +27,8 @@
     Args:
         refusals: How often it was refused, with this time.
     """
-    longer = float(_LONGER ** (refusals - 1))
-    return min(_LONGEST_REFUSAL_S, _FIRST_REFUSAL_S * longer)
+    longer = float(_REFUSAL_GROWTH_FACTOR ** (refusals - 1))
+    return min(_MAX_REFUSAL_S, _FIRST_REFUSAL_S * longer)
 
 
 class Refusals:
@@ -51,7 +51,7 @@
         self._environment = environment
         self._metrics = metrics
         self._log = log
-        self._enough_since_s: dict[str, float] = {}
+        self._sufficient_since_s: dict[str, float] = {}
         self._refused_since_s: dict[str, float] = {}
         self.reported = Pulse()
         metrics.gauge("crashing_requests_refused", lambda: len(table.refused()))
@@ -59,11 +59,11 @@
     @property
     def check_interval_s(self) -> float:
         """Time until the next look, without a report before, in seconds."""
-        return _LOOK_S if self._enough_since_s else _IDLE_LOOK_S
+        return _CHECK_INTERVAL_S if self._sufficient_since_s else _IDLE_CHECK_INTERVAL_S
 
     def begin(self) -> None:
         """Begin as the leader."""
-        self._enough_since_s.clear()
+        self._sufficient_since_s.clear()
         self._refused_since_s.clear()
 
     def due(self) -> list[control_pb2.Command]:
@@ -71,12 +71,14 @@
         now_s = self._environment.monotonic()
         suspects = self._table.to_refuse()
         refused = self._table.refused()
-        self._enough_since_s = {name: self._enough_since_s.get(name, now_s) for name in suspects}
+        self._sufficient_since_s = {
+            name: self._sufficient_since_s.get(name, now_s) for name in suspects
+        }
         self._refused_since_s = {name: self._refused_since_s.get(name, now_s) for name in refused}
         commands = [
             self._order(name, ended=False)
-            for name, since_s in self._enough_since_s.items()
-            if now_s - since_s >= _ASKED_S
+            for name, since_s in self._sufficient_since_s.items()
+            if now_s - since_s >= _CLEARANCE_WAIT_S
         ]
         commands += [
             self._order(name, ended=True)
--- a/packages/heronladder-control/src/heronladder_control/crashes/table.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/table.py
@@ -11,8 +11,8 @@
 from heronladder_control.resources import ResourceTable
 from heronladder_control.results import success
 
-_SUSPECT_AFTER = 2  # crashes; each one makes suspects of all that ran there otherwise
-_MOST_NOTED = 256  # suspects and refused ones together; routers hold them all
+_SUSPECT_AFTER_CRASHES = 2  # crashes; each one makes suspects of all that ran there otherwise
+_MAX_ENTRIES = 256  # suspects and refused ones together; routers hold them all
 
 
 class CrashTable:
@@ -31,19 +31,19 @@
         resource = self._resources.get(CRASHING_REQUEST_KIND, fingerprint)
         return resource.crashing_request if resource is not None else None
 
-    def _all_noted(self) -> list[tuple[str, resources_pb2.CrashingRequest]]:
+    def _entries(self) -> list[tuple[str, resources_pb2.CrashingRequest]]:
         kept = self._resources.resources[CRASHING_REQUEST_KIND]
         return [(name, kept[name].crashing_request) for name in sorted(kept)]
 
     def refused(self) -> dict[str, int]:
         """Return how often each request was refused that is refused now."""
-        return {name: entry.refusals for name, entry in self._all_noted() if entry.refused}
+        return {name: entry.refusals for name, entry in self._entries() if entry.refused}
 
     def to_refuse(self) -> list[str]:
         """Return the suspects against which the evidence is enough."""
         return [
             name
-            for name, entry in self._all_noted()
+            for name, entry in self._entries()
             if not entry.refused
             and self._evidence.is_sufficient(name, refused_before=entry.refusals > 0)
         ]
@@ -62,7 +62,7 @@
                     self._evidence.explain(run.fingerprint)
                 continue
             for run in new:
-                self._note_suspect(index, run)
+                self._record_suspect(index, run)
         result = success()
         result.revision = self._resources.revision
         return result
@@ -78,7 +78,7 @@
             self._write(index, order.fingerprint, state)
             if state.refused:
                 for other in self._evidence.explain(order.fingerprint):
-                    self._note_fewer(index, other)
+                    self._reduce_suspicion(index, other)
         result = success()
         result.revision = self._resources.revision
         return result
@@ -87,10 +87,10 @@
         entry = self.entry(fingerprint)
         return entry is not None and entry.refused
 
-    def _note_suspect(self, index: int, run: control_pb2.CrashedRun) -> None:
+    def _record_suspect(self, index: int, run: control_pb2.CrashedRun) -> None:
         known = self.entry(run.fingerprint)
         crashes = self._evidence.count(run.fingerprint)
-        if known is None and crashes < _SUSPECT_AFTER:
+        if known is None and crashes < _SUSPECT_AFTER_CRASHES:
             return
         state = resources_pb2.CrashingRequest(
             tenant=run.tenant, service=run.service, target=run.target, crashes=crashes
@@ -101,13 +101,13 @@
         self._write(index, run.fingerprint, state)
         self._drop_oldest(index)
 
-    def _note_fewer(self, index: int, fingerprint: str) -> None:
+    def _reduce_suspicion(self, index: int, fingerprint: str) -> None:
         """Note that a suspect has lost evidence: another request is to blame for it."""
         known = self.entry(fingerprint)
         if known is None or known.refusals:
             return
         crashes = self._evidence.count(fingerprint)
-        if crashes < _SUSPECT_AFTER:
+        if crashes < _SUSPECT_AFTER_CRASHES:
             self._resources.erase(index, CRASHING_REQUEST_KIND, fingerprint)
             return
         state = resources_pb2.CrashingRequest()
@@ -129,7 +129,7 @@
     def _drop_oldest(self, index: int) -> None:
         """Keep what routers hold bounded: suspects go before those that are refused."""
         kept = self._resources.resources[CRASHING_REQUEST_KIND]
-        while len(kept) > _MOST_NOTED:
+        while len(kept) > _MAX_ENTRIES:
             oldest = min(
                 kept.values(),
                 key=lambda one: (one.crashing_request.refused, one.metadata.revision),
--- a/packages/heronladder-control/src/heronladder_control/draw_decisions.py
+++ b/packages/heronladder-control/src/heronladder_control/draw_decisions.py
@@ -20,7 +20,7 @@
     """An account as it will be once the draws under way are applied."""
 
     account: ledger_pb2.PrepaidAccount
-    under_way: int = 0
+    in_flight: int = 0
 
 
 class DrawDecisions:
@@ -44,7 +44,7 @@
         projection = self._projection(order.tenant)
         if projection is None:
             return False
-        projection.under_way += 1
+        projection.in_flight += 1
         order.decided = self._grant(projection.account, order)
         return True
 
@@ -79,8 +79,8 @@
         projection = self._projections.get(order.tenant)
         if projection is None:
             return
-        projection.under_way -= 1
-        if projection.under_way <= 0:
+        projection.in_flight -= 1
+        if projection.in_flight <= 0:
             del self._projections[order.tenant]
 
     def applied(self, command: control_pb2.Command) -> None:
--- a/packages/heronladder-control/src/heronladder_control/grant_rules.py
+++ b/packages/heronladder-control/src/heronladder_control/grant_rules.py
@@ -7,14 +7,14 @@
 
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
-_SCARCE_SHARE = 0.1  # of the limit: with less left after a loss, nothing is held ahead
-_MUCH_LOST_SHARE = 0.02  # of the limit: as after a loss of all; one gateway costs less
-_SCARCE_AFTER_MUCH_SHARE = 0.2  # of the limit: what a loss of all leaves
+_SCARCE_FRACTION = 0.1  # of the limit: with less left after a loss, nothing is held ahead
+_LARGE_LOSS_FRACTION = 0.02  # of the limit: as after a loss of all; one gateway costs less
+_SCARCE_AFTER_LARGE_LOSS_FRACTION = 0.2  # of the limit: what a loss of all leaves
 # Of what no request has, for one request where tokens are scarce: with a larger share the few
 # large ones take what many small ones would have been served with.
-_LARGEST_SHARE = 1 / 32
-_NEVER_LARGE_TOKENS = 2_000  # a common small request at its most
-_MOST_HELD = 0.75  # of what is not spent, by all holders together
+_MAX_REQUEST_FRACTION = 1 / 32
+_SMALL_REQUEST_TOKENS = 2_000  # a common small request at its most
+_MAX_HELD_FRACTION = 0.75  # of what is not spent, by all holders together
 
 
 def charged(account: ledger_pb2.PrepaidAccount) -> int:
@@ -52,11 +52,11 @@
         return 0
     # All that wait at once: one by one each would wait for the draws of those before it.
     needed = max(order.minimum, order.needed)
-    if _is_scarce(account, _scarce_share(account)):
+    if _is_scarce(account, _scarcity_fraction(account)):
         # Tokens held ahead would lie idle where nobody asks.
-        needed = max(order.minimum, min(needed, _largest(account)))
+        needed = max(order.minimum, min(needed, _max_request_tokens(account)))
         return min(needed, left)
-    return min(order.wanted, left, max(_may_be_held(account), needed))
+    return min(order.wanted, left, max(_holding_headroom(account), needed))
 
 
 def grant_size_of_version_0(
@@ -68,19 +68,19 @@
     left = available(account)
     if left < order.minimum:
         return 0
-    if _is_scarce(account, _SCARCE_SHARE):
+    if _is_scarce(account, _SCARCE_FRACTION):
         return order.minimum
-    return min(order.wanted, left, max(_may_be_held(account), order.minimum))
+    return min(order.wanted, left, max(_holding_headroom(account), order.minimum))
 
 
 def is_too_large(account: ledger_pb2.PrepaidAccount, tokens: int) -> bool:
     """Whether one request would take too much of what a loss has left."""
-    scarce = _has_lost_much(account) and _is_scarce(account, _SCARCE_AFTER_MUCH_SHARE)
-    return scarce and tokens > _largest(account)
+    scarce = _has_large_loss(account) and _is_scarce(account, _SCARCE_AFTER_LARGE_LOSS_FRACTION)
+    return scarce and tokens > _max_request_tokens(account)
 
 
-def _scarce_share(account: ledger_pb2.PrepaidAccount) -> float:
-    return _SCARCE_AFTER_MUCH_SHARE if _has_lost_much(account) else _SCARCE_SHARE
+def _scarcity_fraction(account: ledger_pb2.PrepaidAccount) -> float:
+    return _SCARCE_AFTER_LARGE_LOSS_FRACTION if _has_large_loss(account) else _SCARCE_FRACTION
 
 
 def _is_scarce(account: ledger_pb2.PrepaidAccount, share: float) -> bool:
@@ -89,17 +89,17 @@
     return lost and unused(account) < account.limit * share
 
 
-def _has_lost_much(account: ledger_pb2.PrepaidAccount) -> bool:
+def _has_large_loss(account: ledger_pb2.PrepaidAccount) -> bool:
     lost = account.closed_charge - account.closed_spent
-    return lost > account.limit * _MUCH_LOST_SHARE
+    return lost > account.limit * _LARGE_LOSS_FRACTION
 
 
-def _largest(account: ledger_pb2.PrepaidAccount) -> int:
+def _max_request_tokens(account: ledger_pb2.PrepaidAccount) -> int:
     """Return the most that one request gets where tokens are scarce."""
-    return max(_NEVER_LARGE_TOKENS, int(unused(account) * _LARGEST_SHARE))
+    return max(_SMALL_REQUEST_TOKENS, int(unused(account) * _MAX_REQUEST_FRACTION))
 
 
-def _may_be_held(account: ledger_pb2.PrepaidAccount) -> int:
+def _holding_headroom(account: ledger_pb2.PrepaidAccount) -> int:
     """Return how much more all holders together may hold ahead of need.
 
     What is held carries them, and those they lend to, through a cut from control, and is
@@ -110,4 +110,4 @@
     spent = account.closed_charge + sum(entry.spent for entry in account.holders)
     rest = max(0, account.limit - spent)
     held = sum(entry.granted - entry.returned - entry.spent for entry in account.holders)
-    return max(0, int(rest * _MOST_HELD) - held)
+    return max(0, int(rest * _MAX_HELD_FRACTION) - held)
--- a/packages/heronladder-control/src/heronladder_control/in_force.py
+++ b/packages/heronladder-control/src/heronladder_control/in_force.py
@@ -21,16 +21,16 @@
 from heronladder_runtime.clock import Environment
 
 _CLOCK_RATE_MARGIN = 1.1  # daemons' clocks may run this much slower than ours
-_RENEWAL_PATIENCE_SHARE = 0.5  # of the freshness time, before a laggard is not renewed
+_RENEWAL_GRACE_FRACTION = 0.5  # of the freshness time, before a laggard is not renewed
 # Before a laggard must hold: a whole large update at 5 Mbit/s, and under the 3 s that an
 # operator's call waits.
-_HOLD_PATIENCE_S = 2.0
+_HOLD_DELAY_S = 2.0
 # One that is heard but shows no sign of hearing us, on all its streams: nothing that waits
 # for its word would end.
-_DEAF_LIMIT_S = 4.0
+_UNACKNOWLEDGED_LIMIT_S = 4.0
 # Between two looks at who is behind, twice the longest pause of the leader's chores: what
 # is over it was our own lateness, not their silence.
-_OWN_LATENESS_S = 1.0
+_STALL_THRESHOLD_S = 1.0
 
 
 @dataclass
@@ -100,7 +100,7 @@
         self._pending_since_s = 0.0
         self._reached_revision = 0
         self._commits: deque[tuple[int, float]] = deque()  # revision, when it was noted
-        self._looked_s = 0.0
+        self._last_check_s = 0.0
 
     def begin(self, names: list[str], earlier_leader_s: float) -> None:
         """Begin as a new leader: any daemon may hold a lease of the leader before.
@@ -115,7 +115,7 @@
         self._pending_revision = 0  # what an earlier term waited for is not waited for since
         self._reached_revision = 0
         self._commits.clear()
-        self._looked_s = now
+        self._last_check_s = now
 
     def note_contact(self, name: str) -> None:
         """Note a sign of a daemon whose stream is not open yet."""
@@ -188,9 +188,9 @@
         # A change that is being put in force counts already: it no longer waits for anyone.
         if applied_revision < max(in_force_revision, self._reached_revision):
             return False
-        patience_s = self._freshness_s * _RENEWAL_PATIENCE_SHARE
+        grace_s = self._freshness_s * _RENEWAL_GRACE_FRACTION
         waited_s = now - self._pending_since_s if self._pending_revision else 0.0
-        if applied_revision < committed_revision and waited_s > patience_s:
+        if applied_revision < committed_revision and waited_s > grace_s:
             return False
         progress.fresh_until_s = max(
             progress.fresh_until_s, now + self._freshness_s * _CLOCK_RATE_MARGIN
@@ -199,7 +199,7 @@
 
     def reached(self, committed_revision: int, in_force_revision: int) -> int:
         """Return the revision that no daemon that is waited for acts below."""
-        self._forgive_own_lateness()
+        self._discount_own_stall()
         self._note_commits(committed_revision, in_force_revision)
         if committed_revision <= in_force_revision:
             self._pending_revision = 0
@@ -210,27 +210,27 @@
         now = self._environment.monotonic()
         reached = committed_revision
         for progress in self.daemons.values():
-            if self._waited_for(progress, now):
+            if self._is_awaited(progress, now):
                 reached = min(reached, progress.oldest_usable_revision)
         if reached > in_force_revision:
             self._pending_revision = 0  # those still pending count from now on
             self._reached_revision = reached
         return max(reached, in_force_revision)
 
-    def _waited_for(self, progress: DaemonProgress, now_s: float) -> bool:
+    def _is_awaited(self, progress: DaemonProgress, now_s: float) -> bool:
         if progress.fresh_until_s > now_s:
             return True
         if not progress.acts_past_lease:
             return False
         is_in_contact = now_s - progress.last_contact_s < self._freshness_s * _CLOCK_RATE_MARGIN
-        return is_in_contact and now_s - progress.last_acknowledged_s < _DEAF_LIMIT_S
+        return is_in_contact and now_s - progress.last_acknowledged_s < _UNACKNOWLEDGED_LIMIT_S
 
-    def _forgive_own_lateness(self) -> None:
+    def _discount_own_stall(self) -> None:
         """Take no time for silence in which this member itself did not look."""
         now = self._environment.monotonic()
-        late_s = now - self._looked_s
-        self._looked_s = now
-        if late_s < _OWN_LATENESS_S:
+        late_s = now - self._last_check_s
+        self._last_check_s = now
+        if late_s < _STALL_THRESHOLD_S:
             return
         for progress in self.daemons.values():
             progress.last_contact_s = min(now, progress.last_contact_s + late_s)
@@ -268,7 +268,7 @@
         late = [
             name
             for name, progress in candidates.items()
-            if self._waited_s(progress) >= _HOLD_PATIENCE_S
+            if self._waited_s(progress) >= _HOLD_DELAY_S
         ]
         holding = [
             name
@@ -282,7 +282,7 @@
     def awaited_daemons(self) -> list[str]:
         """Return the daemons that are waited for: they are heard, and hear."""
         now = self._environment.monotonic()
-        return [name for name, known in self.daemons.items() if self._waited_for(known, now)]
+        return [name for name, known in self.daemons.items() if self._is_awaited(known, now)]
 
     def left_out(self, revision: int) -> Iterator[LeftOut]:
         """Give the daemons that may act by something older than a revision."""
@@ -314,5 +314,5 @@
         return [
             name
             for name in self.behind(committed_revision)
-            if self._waited_for(self.daemons[name], now)
+            if self._is_awaited(self.daemons[name], now)
         ]
--- a/packages/heronladder-control/src/heronladder_control/replica_loads.py
+++ b/packages/heronladder-control/src/heronladder_control/replica_loads.py
@@ -13,7 +13,7 @@
 
 # The busiest are chosen anew so often while all routers tell once: at each word of 300 routers
 # it sorted 3,000 sums 1,000 times a second.
-_CHOSEN_A_ROUND = 4
+_SELECTIONS_PER_ROUND = 4
 
 _Loads = dict[str, tuple[int, int]]  # by replica: requests, unread tokens
 
@@ -22,51 +22,51 @@
     """Sums what routers told, by replica."""
 
     def __init__(self) -> None:
-        self._told: dict[str, _Loads] = {}
-        self._sums: _Loads = {}
+        self._reported: dict[str, _Loads] = {}
+        self._totals: _Loads = {}
         self._busiest: list[str] = []
-        self._told_since = 0
+        self._reports_since_selection = 0
 
     def observe(self, router: str, loads: Mapping[str, control_pb2.ReplicaLoad]) -> None:
         """Take what a router has under way now; it replaces what it told before."""
         self.forget(router)
-        told = {name: (load.in_flight, load.unread_tokens) for name, load in loads.items()}
-        self._told[router] = told
-        self._told_since += 1
-        for name, (in_flight, unread) in told.items():
-            sum_in_flight, sum_unread = self._sums.get(name, (0, 0))
-            self._sums[name] = (sum_in_flight + in_flight, sum_unread + unread)
+        reported = {name: (load.in_flight, load.unread_tokens) for name, load in loads.items()}
+        self._reported[router] = reported
+        self._reports_since_selection += 1
+        for name, (in_flight, unread) in reported.items():
+            total_in_flight, total_unread = self._totals.get(name, (0, 0))
+            self._totals[name] = (total_in_flight + in_flight, total_unread + unread)
 
     def forget(self, router: str) -> None:
         """Drop what a router told: it is gone, or tells anew."""
-        for name, (in_flight, unread) in self._told.pop(router, {}).items():
-            sum_in_flight, sum_unread = self._sums[name]
-            rest = (sum_in_flight - in_flight, sum_unread - unread)
+        for name, (in_flight, unread) in self._reported.pop(router, {}).items():
+            total_in_flight, total_unread = self._totals[name]
+            rest = (total_in_flight - in_flight, total_unread - unread)
             if any(rest):
-                self._sums[name] = rest
+                self._totals[name] = rest
             else:
-                del self._sums[name]
+                del self._totals[name]
 
     def fill(self, router: str, frame: control_pb2.ControlFrame) -> None:
         """Tell a router what all others have under way, the busiest replicas first."""
         frame.has_replica_loads = True
-        own = self._told.get(router, {})
-        for name in self._chosen():
-            in_flight, unread = self._sums.get(name, (0, 0))
+        own = self._reported.get(router, {})
+        for name in self._select_busiest():
+            in_flight, unread = self._totals.get(name, (0, 0))
             own_in_flight, own_unread = own.get(name, (0, 0))
             if in_flight > own_in_flight or unread > own_unread:
                 load = frame.replica_loads[name]
                 load.in_flight = in_flight - own_in_flight
                 load.unread_tokens = unread - own_unread
 
-    def _chosen(self) -> list[str]:
+    def _select_busiest(self) -> list[str]:
         """Return the busiest replicas, as they were at most a part of a round ago.
 
         While there is room for all, all: each is told at once, and none is sorted.
         """
-        if len(self._sums) <= MOST_TOLD:
-            return list(self._sums)
-        if self._told_since * _CHOSEN_A_ROUND >= len(self._told):
-            self._told_since = 0
-            self._busiest = heapq.nlargest(MOST_TOLD, self._sums, key=self._sums.__getitem__)
+        if len(self._totals) <= MOST_TOLD:
+            return list(self._totals)
+        if self._reports_since_selection * _SELECTIONS_PER_ROUND >= len(self._reported):
+            self._reports_since_selection = 0
+            self._busiest = heapq.nlargest(MOST_TOLD, self._totals, key=self._totals.__getitem__)
         return self._busiest
--- a/packages/heronladder-control/src/heronladder_control/rollouts/controller.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/controller.py
@@ -26,31 +26,31 @@
     from heronladder_control.daemon_session import DaemonSession
     from heronladder_control.member_context import MemberContext
 
-_LOOK_S = 0.2  # between two looks at a roll-out; under a heartbeat
-_CLEAR_HOLDS_S = 1.0  # as long as a router that hears nothing stays with a move
-_NOTE_S = 0.5  # between two notes in the log
-_NOTE_AHEAD_S = 1.0  # the ceiling is as high as the allowance will be so much later
+_CHECK_INTERVAL_S = 0.2  # between two looks at a roll-out; under a heartbeat
+_CLEAR_REPORT_VALID_S = 1.0  # as long as a router that hears nothing stays with a move
+_NOTE_INTERVAL_S = 0.5  # between two notes in the log
+_CEILING_LOOKAHEAD_S = 1.0  # the ceiling is as high as the allowance will be so much later
 
 
 @dataclass
-class _Conducted:
+class _RolloutProgress:
     """What the leader knows of one order."""
 
     ordered_revision: int
-    began_s: float  # on this member's clock, as far as is known
-    book: GrantLedger
+    started_s: float  # on this member's clock, as far as is known
+    ledger: GrantLedger
     watch: Watch
-    told: dict[str, control_pb2.RolloutReport] = field(default_factory=dict)  # by incarnation
-    told_s: dict[str, float] = field(default_factory=dict)  # when a word came last
-    pace: RequestRate = field(default_factory=RequestRate)
-    noted_s: float = float("-inf")
-    requests_noted: int = 0
+    reports: dict[str, control_pb2.RolloutReport] = field(default_factory=dict)  # by incarnation
+    reported_at_s: dict[str, float] = field(default_factory=dict)  # when a word came last
+    rate: RequestRate = field(default_factory=RequestRate)
+    last_note_s: float = float("-inf")
+    last_note_requests: int = 0
     verdict: Verdict = field(default_factory=lambda: Verdict(Decision.GO_ON, "nothing counted yet"))
 
     @property
     def requests(self) -> int:
         """Requests of the service since the order, as routers told."""
-        return sum(told.requests for told in self.told.values())
+        return sum(reports.requests for reports in self.reports.values())
 
 
 class RolloutController:
@@ -63,83 +63,83 @@
     def __init__(self, member: MemberContext) -> None:
         self._member = member
         self._limits = member.options.rollout_limits
-        self._conducted: dict[str, _Conducted] = {}
-        self._next_look_s = 0.0
+        self._progress: dict[str, _RolloutProgress] = {}
+        self._next_check_s = 0.0
 
     def begin(self) -> None:
         """Begin as the leader: what an earlier term knew is void."""
-        self._conducted.clear()
-        self._next_look_s = 0.0
+        self._progress.clear()
+        self._next_check_s = 0.0
 
     # ---- words of routers -------------------------------------------------
 
     def observe(self, session: DaemonSession, words: Iterable[control_pb2.RolloutReport]) -> None:
         """Take what a router did since the order; a repeat or an older word changes nothing."""
         for word in words:
-            conducted = self._conducted_for(word.service)
-            if conducted is None or conducted.ordered_revision != word.ordered_revision:
+            progress = self._progress_for(word.service)
+            if progress is None or progress.ordered_revision != word.ordered_revision:
                 continue
             incarnation = session.record.incarnation
-            earlier = conducted.told.get(incarnation)
+            earlier = progress.reports.get(incarnation)
             if earlier is None or word.age_ms >= earlier.age_ms:
-                conducted.told[incarnation] = word
-                conducted.told_s[incarnation] = self._now_s()
+                progress.reports[incarnation] = word
+                progress.reported_at_s[incarnation] = self._now_s()
             # Routers learned of the order after it came: so much time has surely passed.
-            began_s = self._now_s() - word.age_ms / MILLISECONDS_PER_SECOND
-            conducted.began_s = min(conducted.began_s, began_s)
+            started_s = self._now_s() - word.age_ms / MILLISECONDS_PER_SECOND
+            progress.started_s = min(progress.started_s, started_s)
 
     def fill(self, session: DaemonSession, frame: control_pb2.ControlFrame) -> None:
         """Grant a router what it may send."""
-        for service, conducted in self._conducted.items():
+        for service, progress in self._progress.items():
             record = self._member.state.rollouts.get(service)
-            word = conducted.told.get(session.record.incarnation)
-            if record is None or word is None or not _goes_by_grants(record):
+            word = progress.reports.get(session.record.incarnation)
+            if record is None or word is None or not _uses_grants(record):
                 continue
-            if conducted.ordered_revision != record.ordered_revision:
+            if progress.ordered_revision != record.ordered_revision:
                 continue
             note = self._member.state.rollouts.notes.get(service)
             ceiling = note.ceiling if note is not None else 0
-            total = conducted.book.grant(
+            total = progress.ledger.grant(
                 session.record.incarnation,
                 held=word.granted,
                 sent=word.sent,
-                allowance=min(ceiling, self._allowance(record, conducted, conducted.requests)),
+                allowance=min(ceiling, self._allowance(record, progress, progress.requests)),
                 routers=len(self._member.sessions),
             )
             frame.rollout_grants.add(
-                service=service, ordered_revision=conducted.ordered_revision, total=total
+                service=service, ordered_revision=progress.ordered_revision, total=total
             )
 
     def _allowance(
-        self, record: resources_pb2.Rollout, conducted: _Conducted, requests: int
+        self, record: resources_pb2.Rollout, progress: _RolloutProgress, requests: int
     ) -> int:
         if record.phase != TRIAL:
             return self._limits.newcomer_limit(requests)
-        elapsed_s = self._now_s() - conducted.began_s
+        elapsed_s = self._now_s() - progress.started_s
         duration_s = record.duration_ms / MILLISECONDS_PER_SECOND
         return self._limits.trial_limit(requests, elapsed_s, duration_s)
 
-    def _conducted_for(self, service: str) -> _Conducted | None:
+    def _progress_for(self, service: str) -> _RolloutProgress | None:
         """Return what is known of a service's order, from nothing if it is new."""
         record = self._member.state.rollouts.get(service)
         if record is None or not (record.phase in RUNNING or record.newcomer):
-            self._conducted.pop(service, None)
+            self._progress.pop(service, None)
             return None
-        known = self._conducted.get(service)
+        known = self._progress.get(service)
         if known is None or known.ordered_revision != record.ordered_revision:
             note = self._member.state.rollouts.notes.get(service)
             if note is None or note.ordered_revision != record.ordered_revision:
                 note = control_pb2.RolloutNote()
-            known = _Conducted(
+            known = _RolloutProgress(
                 record.ordered_revision,
                 self._now_s() - note.elapsed_ms / MILLISECONDS_PER_SECOND,
                 GrantLedger(note.ceiling),
-                Watch(self._unread_routes()),
+                Watch(self._affinity_routes()),
             )
-            self._conducted[service] = known
+            self._progress[service] = known
         return known
 
-    def _unread_routes(self) -> frozenset[str]:
+    def _affinity_routes(self) -> frozenset[str]:
         fleet = self._member.state.fleet.configuration()
         routes = fleet.routes if fleet is not None else ()
         return frozenset(route.name for route in routes if route.affinity)
@@ -149,32 +149,32 @@
     async def tend(self) -> None:
         """Look at all roll-outs, and write what has to be in the log."""
         services = self._member.state.rollouts.services()
-        if not services or self._now_s() < self._next_look_s:
+        if not services or self._now_s() < self._next_check_s:
             return
-        self._next_look_s = self._now_s() + _LOOK_S
+        self._next_check_s = self._now_s() + _CHECK_INTERVAL_S
         for service in services:
-            conducted = self._conducted_for(service)
+            progress = self._progress_for(service)
             record = self._member.state.rollouts.get(service)
-            if conducted is None or record is None:
+            if progress is None or record is None:
                 continue
-            view = self._view(service, record, conducted)
+            view = self._view(service, record, progress)
             step = next_step(view)
             if step is not None:
-                await self._advance(service, record, conducted, step)
-            elif _goes_by_grants(record):
-                await self._note(service, record, conducted)
+                await self._advance(service, record, progress, step)
+            elif _uses_grants(record):
+                await self._raise_ceiling(service, record, progress)
 
     def _view(
-        self, service: str, record: resources_pb2.Rollout, conducted: _Conducted
+        self, service: str, record: resources_pb2.Rollout, progress: _RolloutProgress
     ) -> RolloutView:
         evidence = Evidence()
-        for word in conducted.told.values():
+        for word in progress.reports.values():
             evidence.add(Evidence.from_messages(word.answers))
-        if record.phase in RUNNING and conducted.verdict.decision is not Decision.GO_BACK:
-            conducted.verdict = conducted.watch.judge(evidence, alone=record.phase == MOVING)
-        elapsed_s = self._now_s() - conducted.began_s
-        conducted.pace.note(self._now_s(), conducted.requests)
-        sent = sum(word.sent for word in conducted.told.values())
+        if record.phase in RUNNING and progress.verdict.decision is not Decision.GO_BACK:
+            progress.verdict = progress.watch.judge(evidence, alone=record.phase == MOVING)
+        elapsed_s = self._now_s() - progress.started_s
+        progress.rate.note(self._now_s(), progress.requests)
+        sent = sum(word.sent for word in progress.reports.values())
         longest_ms = evidence.whole(of_target=False).longest_ms
         return RolloutView(
             phase=record.phase,
@@ -182,11 +182,12 @@
             elapsed_s=elapsed_s,
             duration_s=record.duration_ms / MILLISECONDS_PER_SECOND,
             target_replicas=self._replicas_of(service, record.target),
-            verdict=conducted.verdict,
+            verdict=progress.verdict,
             longest_old_response_s=longest_ms / MILLISECONDS_PER_SECOND,
-            left=self._limits.total_limit(conducted.requests) - max(sent, conducted.book.given),
-            per_s=conducted.pace.per_s(elapsed_s),
-            others_drained=record.phase == MOVING and self._all_clear(service, conducted),
+            left=self._limits.total_limit(progress.requests)
+            - max(sent, progress.ledger.granted_total),
+            per_s=progress.rate.per_s(elapsed_s),
+            others_drained=record.phase == MOVING and self._others_drained(service, progress),
         )
 
     def _replicas_of(self, service: str, version: str) -> int:
@@ -197,7 +198,7 @@
             if replica.software == version and not state.evacuations.is_evacuated(replica.zone)
         )
 
-    def _all_clear(self, service: str, conducted: _Conducted) -> bool:
+    def _others_drained(self, service: str, progress: _RolloutProgress) -> bool:
         """Whether the move is in force, and every router in touch has nothing elsewhere."""
         resource = self._member.state.resources.get(ROLLOUT_KIND, service)
         if resource is None or self._member.state.in_force_revision < resource.metadata.revision:
@@ -206,19 +207,19 @@
         routers = [known[name] for name in self._member.in_force.awaited_daemons() if name in known]
         asked = [r.incarnation for r in routers if r.role == ROLE_ROUTER and not r.gone]
         # None in touch: what they have elsewhere is not known.
-        return bool(asked) and all(self._is_clear(conducted, name) for name in asked)
+        return bool(asked) and all(self._is_router_clear(progress, name) for name in asked)
 
-    def _is_clear(self, conducted: _Conducted, incarnation: str) -> bool:
+    def _is_router_clear(self, progress: _RolloutProgress, incarnation: str) -> bool:
         """Whether a router says so now: one that hears nothing goes back to old replicas."""
-        word = conducted.told.get(incarnation)
-        silent_s = self._now_s() - conducted.told_s.get(incarnation, float("-inf"))
-        return word is not None and word.clear and silent_s <= _CLEAR_HOLDS_S
+        word = progress.reports.get(incarnation)
+        silent_s = self._now_s() - progress.reported_at_s.get(incarnation, float("-inf"))
+        return word is not None and word.clear and silent_s <= _CLEAR_REPORT_VALID_S
 
     async def _advance(
         self,
         service: str,
         record: resources_pb2.Rollout,
-        conducted: _Conducted,
+        progress: _RolloutProgress,
         step: Step,
     ) -> None:
         command = control_pb2.Command()
@@ -235,32 +236,32 @@
             target=record.target or record.newcomer,
             phase=phase_name(record.phase),
             to_phase=phase_name(step.phase),
-            elapsed_s=self._now_s() - conducted.began_s,
-            requests=conducted.requests,
-            sent=sum(word.sent for word in conducted.told.values()),
-            granted=conducted.book.given,
-            routers=len(conducted.told),
+            elapsed_s=self._now_s() - progress.started_s,
+            requests=progress.requests,
+            sent=sum(word.sent for word in progress.reports.values()),
+            granted=progress.ledger.granted_total,
+            routers=len(progress.reports),
             # What single routers took it for, of few answers each: their sum decides.
-            stopped=sum(1 for word in conducted.told.values() if word.stopped),
+            stopped=sum(1 for word in progress.reports.values() if word.stopped),
             reason=step.reason,
         )
         await self._member.propose(command)
 
-    async def _note(
-        self, service: str, record: resources_pb2.Rollout, conducted: _Conducted
+    async def _raise_ceiling(
+        self, service: str, record: resources_pb2.Rollout, progress: _RolloutProgress
     ) -> None:
         """Raise the ceiling in the log ahead of what will be granted."""
         now_s = self._now_s()
-        if now_s - conducted.noted_s < _NOTE_S:
+        if now_s - progress.last_note_s < _NOTE_INTERVAL_S:
             return
-        requests = conducted.requests
+        requests = progress.requests
         grown = 0.0
-        if conducted.noted_s > float("-inf"):
-            grown = (requests - conducted.requests_noted) / (now_s - conducted.noted_s)
-        conducted.noted_s = now_s
-        conducted.requests_noted = requests
-        ahead = requests + int(max(0.0, grown) * _NOTE_AHEAD_S)
-        ceiling = self._allowance(record, conducted, ahead)
+        if progress.last_note_s > float("-inf"):
+            grown = (requests - progress.last_note_requests) / (now_s - progress.last_note_s)
+        progress.last_note_s = now_s
+        progress.last_note_requests = requests
+        ahead = requests + int(max(0.0, grown) * _CEILING_LOOKAHEAD_S)
+        ceiling = self._allowance(record, progress, ahead)
         note = self._member.state.rollouts.notes.get(service)
         if note is not None and ceiling <= note.ceiling:
             return
@@ -268,7 +269,7 @@
         command.note_rollout.service = service
         command.note_rollout.ordered_revision = record.ordered_revision
         command.note_rollout.ceiling = ceiling
-        elapsed_s = now_s - conducted.began_s
+        elapsed_s = now_s - progress.started_s
         command.note_rollout.elapsed_ms = int(elapsed_s * MILLISECONDS_PER_SECOND)
         await self._member.propose(command)
 
@@ -276,5 +277,5 @@
         return self._member.environment.monotonic()
 
 
-def _goes_by_grants(record: resources_pb2.Rollout) -> bool:
+def _uses_grants(record: resources_pb2.Rollout) -> bool:
     return record.phase == TRIAL or bool(record.newcomer)
--- a/packages/heronladder-control/src/heronladder_control/rollouts/exposure.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/exposure.py
@@ -4,16 +4,16 @@
 
 # What a trial may use of the bound in any case. The rest is for the move, in which a version that
 # turns bad gets all requests until that is noticed.
-_TRIAL_SHARE = 0.5
-_TRIAL_SLACK = 0.4
+_TRIAL_FRACTION = 0.5
+_TRIAL_SLACK_FRACTION = 0.4
 # Of a service with few requests a trial may use more: all but what the service gets in so many
 # seconds, and but a tenth for what is under way.
-_KEPT_S = 1.0
-_USABLE = 0.9
-_AT_ONCE = 0.4  # of that, from the start; the rest evenly until the move
-_RATE_KNOWN_S = 1.0  # an estimate of the requests a second needs so long
-_NEWCOMER_PART = 0.5  # of a trial's, for a version that no order has named
-_MOST_AT_ONCE = 8  # sends that one router holds beyond those it has made
+_RESERVED_S = 1.0
+_USABLE_FRACTION = 0.9
+_INITIAL_FRACTION = 0.4  # of that, from the start; the rest evenly until the move
+_MIN_RATE_WINDOW_S = 1.0  # an estimate of the requests a second needs so long
+_NEWCOMER_FRACTION = 0.5  # of a trial's, for a version that no order has named
+_MAX_OUTSTANDING_SENDS = 8  # sends that one router holds beyond those it has made
 
 
 @dataclass(frozen=True)
@@ -45,16 +45,20 @@
             elapsed_s: Time since the order, in seconds.
             duration_s: Time within which it is to be completed.
         """
-        least = _TRIAL_SHARE * self.share * requests + _TRIAL_SLACK * self.slack
-        per_s = requests / max(elapsed_s, _RATE_KNOWN_S)
-        kept = self.share * per_s * duration_s + self.slack - per_s * _KEPT_S
-        paced = min(1.0, _AT_ONCE + (1.0 - _AT_ONCE) * elapsed_s / max(duration_s, _RATE_KNOWN_S))
-        return int(max(least, min(_USABLE * self.total_limit(requests), kept) * paced))
+        least = _TRIAL_FRACTION * self.share * requests + _TRIAL_SLACK_FRACTION * self.slack
+        per_s = requests / max(elapsed_s, _MIN_RATE_WINDOW_S)
+        kept = self.share * per_s * duration_s + self.slack - per_s * _RESERVED_S
+        paced = min(
+            1.0,
+            _INITIAL_FRACTION
+            + (1.0 - _INITIAL_FRACTION) * elapsed_s / max(duration_s, _MIN_RATE_WINDOW_S),
+        )
+        return int(max(least, min(_USABLE_FRACTION * self.total_limit(requests), kept) * paced))
 
     def newcomer_limit(self, requests: int) -> int:
         """Return what a version may have been granted that no order has named."""
-        least = _TRIAL_SHARE * self.share * requests + _TRIAL_SLACK * self.slack
-        return int(_NEWCOMER_PART * least)
+        least = _TRIAL_FRACTION * self.share * requests + _TRIAL_SLACK_FRACTION * self.slack
+        return int(_NEWCOMER_FRACTION * least)
 
 
 class GrantLedger:
@@ -65,7 +69,7 @@
     """
 
     def __init__(self, granted_before: int) -> None:
-        self.given = granted_before
+        self.granted_total = granted_before
         self._totals: dict[str, int] = {}  # by incarnation of a router
 
     def grant(self, router: str, *, held: int, sent: int, allowance: int, routers: int) -> int:
@@ -79,9 +83,9 @@
             routers: How many share what is left.
         """
         total = max(self._totals.get(router, 0), held)
-        free = allowance - self.given
-        wanted = min(_MOST_AT_ONCE, free // (2 * max(1, routers)) + 1) - (total - sent)
+        free = allowance - self.granted_total
+        wanted = min(_MAX_OUTSTANDING_SENDS, free // (2 * max(1, routers)) + 1) - (total - sent)
         more = max(0, min(free, wanted))
-        self.given += more
+        self.granted_total += more
         self._totals[router] = total + more
         return total + more
--- a/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
@@ -10,7 +10,7 @@
 
 # An operator repeats an order for 5 s at most; the same order later than this after its end is
 # a new one.
-_REPEATS_S = 10.0
+_RETRY_WINDOW_S = 10.0
 
 
 class RolloutOrders:
@@ -41,7 +41,7 @@
         """
         held = self._member.state.rollouts.get(order.service)
         now_s = self._member.environment.monotonic()
-        order.anew = now_s - self._ended_s.get(order.service, self._began_s) >= _REPEATS_S
+        order.anew = now_s - self._ended_s.get(order.service, self._began_s) >= _RETRY_WINDOW_S
         same = held is not None and held.target == order.target
         late = not same and self._late.is_late(order.service, age_s, self._member.node.term)
         self._member.log.info(
--- a/packages/heronladder-control/src/heronladder_control/rollouts/plan.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/plan.py
@@ -17,19 +17,21 @@
 
 # From the order to move until all routers hold it, and from the last answer elsewhere until
 # `completed` is in the log: three heartbeats each way and a commit of a slow disk.
-_WAY_S = 1.0
-_LONGEST_MORE = 1.1  # the longest answer still to come, against the longest seen
-_MOST_OF_TIME = 0.4  # of an order's time, that is kept for the move at most
+_PROPAGATION_S = 1.0
+_LONGEST_RESPONSE_FACTOR = 1.1  # the longest answer still to come, against the longest seen
+_MAX_MOVE_FRACTION = 0.4  # of an order's time, that is kept for the move at most
 # There is no way back from `completed`: it is written so long before the deadline, and what all
 # requests show at the target is watched until then: two heartbeats.
-_COMPLETE_BEFORE_S = 0.6
-_SAFE_PART = 0.7  # of what is left, planned with: the load may rise
+_COMPLETION_LEAD_S = 0.6
+_PLANNED_FRACTION = 0.7  # of what is left, planned with: the load may rise
 # In a service's whole traffic, until a version that turns bad is noticed and left; see the table
 # in docs/measurements/rollouts.md.
-_NOTICED_S = 0.6
-_PROVED_WITHIN = 1.5  # times an order's time, for a version that only lacks answers
-_LATEST = 3.0  # times an order's time, after which a move ends whose old answers do not
-_ORDER_REPEATS_S = 8.0  # operators repeat an order for 5 s; a newcomer is admitted after this
+_DETECTION_S = 0.6
+_EXTENDED_DURATION_FACTOR = 1.5  # times an order's time, for a version that only lacks answers
+_MAX_MOVE_DURATION_FACTOR = (
+    3.0  # times an order's time, after which a move ends whose old answers do not
+)
+_ORDER_RETRY_WINDOW_S = 8.0  # operators repeat an order for 5 s; a newcomer is admitted after this
 
 
 @dataclass(frozen=True)
@@ -69,10 +71,10 @@
         or the deadline. By what is left until the deadline anything would fit just before it.
         """
         move_s = self.duration_s - self.move_start_s
-        if self.per_s * move_s <= self.left * _SAFE_PART:
+        if self.per_s * move_s <= self.left * _PLANNED_FRACTION:
             return True
         rest_s = max(0.0, self.duration_s - self.elapsed_s)
-        fits = self.per_s * min(_NOTICED_S, rest_s) <= self.left
+        fits = self.per_s * min(_DETECTION_S, rest_s) <= self.left
         return fits and self.verdict.decision is Decision.SOUND
 
     @property
@@ -83,7 +85,7 @@
         its replicas, or what routers tell of it, may have come late.
         """
         if self.verdict.lacks_answers:
-            return self.elapsed_s >= _PROVED_WITHIN * self.duration_s
+            return self.elapsed_s >= _EXTENDED_DURATION_FACTOR * self.duration_s
         return self.elapsed_s >= self.duration_s
 
     @property
@@ -92,8 +94,8 @@
 
         Until then a version that turns bad gets a trial's share only.
         """
-        needed_s = _WAY_S + _LONGEST_MORE * self.longest_old_response_s
-        return self.duration_s - min(needed_s, _MOST_OF_TIME * self.duration_s)
+        needed_s = _PROPAGATION_S + _LONGEST_RESPONSE_FACTOR * self.longest_old_response_s
+        return self.duration_s - min(needed_s, _MAX_MOVE_FRACTION * self.duration_s)
 
 
 @dataclass(frozen=True)
@@ -108,27 +110,27 @@
     """Return the next step, or None to go on."""
     match view.phase:
         case resources_pb2.ROLLOUT_PHASE_WAITING | resources_pb2.ROLLOUT_PHASE_TRIAL:
-            return _in_trial(view)
+            return _next_in_trial(view)
         case resources_pb2.ROLLOUT_PHASE_MOVING:
-            return _in_move(view)
+            return _next_in_move(view)
         case _:
-            return _newcomer(view)
+            return _next_for_newcomer(view)
 
 
-def _newcomer(view: RolloutView) -> Step | None:
-    if view.newcomer and view.elapsed_s >= _ORDER_REPEATS_S:
+def _next_for_newcomer(view: RolloutView) -> Step | None:
+    if view.newcomer and view.elapsed_s >= _ORDER_RETRY_WINDOW_S:
         return Step(view.phase, "no order came for it")
     return None
 
 
-def _bad(view: RolloutView) -> Step | None:
+def _roll_back_if_bad(view: RolloutView) -> Step | None:
     if view.verdict.decision is Decision.GO_BACK:
         return Step(ROLLED_BACK, view.verdict.reason)
     return None
 
 
-def _in_trial(view: RolloutView) -> Step | None:
-    bad = _bad(view)
+def _next_in_trial(view: RolloutView) -> Step | None:
+    bad = _roll_back_if_bad(view)
     if bad is not None:
         return bad
     if view.elapsed_s >= view.duration_s:
@@ -142,18 +144,20 @@
     return None
 
 
-def _in_move(view: RolloutView) -> Step | None:
-    bad = _bad(view)
+def _next_in_move(view: RolloutView) -> Step | None:
+    bad = _roll_back_if_bad(view)
     if bad is not None:
         return bad
     if not view.target_replicas:
         return Step(ROLLED_BACK, "no replica of it is left")
-    if view.elapsed_s >= _LATEST * view.duration_s:
-        return Step(ROLLED_BACK, f"old answers ran on for {_LATEST:g} times its time")
+    if view.elapsed_s >= _MAX_MOVE_DURATION_FACTOR * view.duration_s:
+        return Step(
+            ROLLED_BACK, f"old answers ran on for {_MAX_MOVE_DURATION_FACTOR:g} times its time"
+        )
     is_sound = view.verdict.decision is Decision.SOUND
     if view.is_move_overdue and not is_sound:
         return Step(ROLLED_BACK, f"not proved in its time: {view.verdict.reason}")
-    is_time = view.elapsed_s >= view.duration_s - _COMPLETE_BEFORE_S
+    is_time = view.elapsed_s >= view.duration_s - _COMPLETION_LEAD_S
     if is_time and view.others_drained and is_sound:
         return Step(COMPLETED, view.verdict.reason)
     return None
--- a/packages/heronladder-control/src/heronladder_control/rollouts/table.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/table.py
@@ -68,17 +68,17 @@
         if held is not None and held.phase != UNORDERED:
             is_same = (held.target, held.duration_ms) == (order.target, order.duration_ms)
             if is_same and (held.phase in RUNNING or not order.anew):
-                return self._outcome(order.service, held.ordered_revision)
+                return self._result(order.service, held.ordered_revision)
             if held.phase in RUNNING:
                 message = f"the roll-out of {order.service} to {held.target!r} is under way"
                 return failure(control_pb2.RESULT_CODE_VERSION_CONFLICT, message)
-        self._write(index, order.service, self._ordered(index, order, held))
+        self._write(index, order.service, self._new_record(index, order, held))
         self.notes[order.service] = control_pb2.RolloutNote(
             service=order.service, ordered_revision=index
         )
-        return self._outcome(order.service, index)
+        return self._result(order.service, index)
 
-    def _ordered(
+    def _new_record(
         self, index: int, order: control_pb2.StartRollout, held: resources_pb2.Rollout | None
     ) -> resources_pb2.Rollout:
         """Return the record of a new order."""
@@ -127,9 +127,9 @@
             record.admitted.append(record.target)
         elif record.phase == ROLLED_BACK and held.phase != ROLLED_BACK:
             record.refused.append(record.target)
-        self._take_newcomer(index, order.service, record)
+        self._record_newcomer(index, order.service, record)
         self._write(index, order.service, record)
-        return self._outcome(order.service, index)
+        return self._result(order.service, index)
 
     # ---- newcomers --------------------------------------------------------
 
@@ -148,8 +148,8 @@
         record = resources_pb2.Rollout(admitted=sorted(before))
         if held is not None:
             record.CopyFrom(held)
-        took = self._take_newcomer(index, service, record)
-        if self._take_stand_in(service, record) or took:
+        recorded = self._record_newcomer(index, service, record)
+        if self._admit_substitutes(service, record) or recorded:
             self._write(index, service, record)
 
     def admit_after_departure(self, index: int, service: str) -> None:
@@ -159,10 +159,10 @@
             return
         record = resources_pb2.Rollout()
         record.CopyFrom(held)
-        if self._take_stand_in(service, record):
+        if self._admit_substitutes(service, record):
             self._write(index, service, record)
 
-    def _take_stand_in(self, service: str, record: resources_pb2.Rollout) -> bool:
+    def _admit_substitutes(self, service: str, record: resources_pb2.Rollout) -> bool:
         """Admit versions that are neither ordered nor refused where no admitted one is left.
 
         An order before any replica of the service, or a release during one, left nothing that
@@ -171,18 +171,18 @@
         live = self.versions(service)
         if record.phase not in BEFORE_MOVE or live & set(record.admitted):
             return False
-        strangers = sorted(live - {*record.admitted, *record.refused, record.target, ""})
-        record.admitted.extend(strangers)
-        return bool(strangers)
+        unknown = sorted(live - {*record.admitted, *record.refused, record.target, ""})
+        record.admitted.extend(unknown)
+        return bool(unknown)
 
-    def _take_newcomer(self, index: int, service: str, record: resources_pb2.Rollout) -> bool:
+    def _record_newcomer(self, index: int, service: str, record: resources_pb2.Rollout) -> bool:
         if record.phase in RUNNING or record.newcomer:
             return False
         known = {*record.admitted, *record.refused, record.target, ""}
-        strangers = sorted(self.versions(service) - known)
-        if not strangers:
+        unknown = sorted(self.versions(service) - known)
+        if not unknown:
             return False
-        record.newcomer = strangers[0]
+        record.newcomer = unknown[0]
         record.ordered_revision = index
         self.notes[service] = control_pb2.RolloutNote(service=service, ordered_revision=index)
         return True
@@ -214,7 +214,7 @@
         resource.rollout.CopyFrom(record)
         self._resources.write(index, ROLLOUT_KIND, service, resource)
 
-    def _outcome(self, service: str, revision: int) -> control_pb2.CommandResult:
+    def _result(self, service: str, revision: int) -> control_pb2.CommandResult:
         result = success()
         result.revision = revision
         resource = self._resources.get(ROLLOUT_KIND, service)
--- a/packages/heronladder-control/src/heronladder_control/rollouts/version_index.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/version_index.py
@@ -24,12 +24,12 @@
             if resource is None:
                 continue
             replica = resource.replica
-            self._count(self._known, replica, step)
+            self._adjust(self._known, replica, step)
             if not (replica.gone or replica.draining):
-                self._count(self._live, replica, step)
+                self._adjust(self._live, replica, step)
 
     @staticmethod
-    def _count(counts: dict[str, Counter[str]], replica: resources_pb2.Replica, step: int) -> None:
+    def _adjust(counts: dict[str, Counter[str]], replica: resources_pb2.Replica, step: int) -> None:
         of_service = counts.setdefault(replica.service, Counter())
         of_service[replica.software] += step
         if of_service[replica.software] <= 0:
--- a/tests/decided_prepaid_table.py
+++ b/tests/decided_prepaid_table.py
@@ -15,11 +15,11 @@
 
     def draw(self, order: control_pb2.DrawTokens) -> control_pb2.CommandResult:
         """Decide and apply a draw."""
-        is_under_way = self._decisions.decide(order)
+        is_in_flight = self._decisions.decide(order)
         try:
             return super().draw(order)
         finally:
-            if is_under_way:
+            if is_in_flight:
                 self._decisions.ended(order)
 
     @staticmethod
--- a/tests/rollout_trials.py
+++ b/tests/rollout_trials.py
@@ -22,13 +22,13 @@
 LIMITS = ExposureLimits(0.1, 50)
 _TICK_S = 0.1
 _STALL_EVERY_S = 1.5
-_HEARD_S = 0.4  # from an answer's end until the leader counts it, with its look (chosen)
+_REPORT_DELAY_S = 0.4  # from an answer's end until the leader counts it, with its look (chosen)
 _RARE_ROUTE_WAIT_S = 0.5  # as in a gateway
 _IN_FORCE_S = 0.3  # from a phase's entry until gateways keep to it (chosen)
 
 
 @dataclass
-class Drawn:
+class Scenario:
     """A service and its new version.
 
     Attributes:
@@ -68,11 +68,11 @@
         return self.slow > 1.0 or self.fails > 0.0
 
 
-def draw(source: Random) -> Drawn:
+def sample_scenario(source: Random) -> Scenario:
     """Draw a service and a version; about one in four is good."""
     count = source.choice((1, 2, 3, 5))
     weights = [source.uniform(0.05, 1.0) for _ in range(count)]
-    drawn = Drawn(
+    scenario = Scenario(
         "good",
         per_s=source.choice((6.0, 20.0, 60.0, 150.0, 400.0)),
         duration_s=source.choice((8.0, 12.0, 20.0, 40.0)),
@@ -83,21 +83,21 @@
     )
     kind = source.choice(("good", "fails", "slow", "fails", "slow", "both"))
     if kind == "good":
-        drawn.name = f"good, fails {drawn.usual:.0%} when well"
-        return drawn
+        scenario.name = f"good, fails {scenario.usual:.0%} when well"
+        return scenario
     if kind in ("slow", "both"):
-        drawn.slow = source.choice((1.5, 2.0, 3.0, 5.0, 8.0))
+        scenario.slow = source.choice((1.5, 2.0, 3.0, 5.0, 8.0))
     if kind in ("fails", "both"):
-        drawn.fails = source.choice((0.05, 0.1, 0.2, 0.4, 0.8))
+        scenario.fails = source.choice((0.05, 0.1, 0.2, 0.4, 0.8))
     when = source.choice(("at once", "at once", "later", "one route"))
     if when == "later":
-        drawn.after_s = source.uniform(2.0, 8.0)
+        scenario.after_s = source.uniform(2.0, 8.0)
     if when == "one route" and count > 1:
-        drawn.route = source.randrange(count)
-    fails = f"fails {drawn.fails:.0%}" if drawn.fails else ""
-    slow = f"{drawn.slow:g} times slower" if drawn.slow > 1 else ""
-    drawn.name = f"{' and '.join(filter(None, (fails, slow)))}, {when}"
-    return drawn
+        scenario.route = source.randrange(count)
+    fails = f"fails {scenario.fails:.0%}" if scenario.fails else ""
+    slow = f"{scenario.slow:g} times slower" if scenario.slow > 1 else ""
+    scenario.name = f"{' and '.join(filter(None, (fails, slow)))}, {when}"
+    return scenario
 
 
 @dataclass
@@ -166,7 +166,7 @@
 Stall = tuple[float, float]  # when all answers stand still, and until when
 
 
-def draw_stalls(until_s: float, source: Random) -> list[Stall]:
+def sample_stalls(until_s: float, source: Random) -> list[Stall]:
     """Draw moments at which a machine that has too much to do delays answers of both versions."""
     stalls = []
     now_s = 0.0
@@ -185,7 +185,9 @@
     return took_s
 
 
-def play(drawn: Drawn, judge: Judge, source: Random, stalls: Sequence[Stall] = ()) -> Outcome:
+def run_rollout(
+    scenario: Scenario, judge: Judge, source: Random, stalls: Sequence[Stall] = ()
+) -> Outcome:
     """Roll a version out; return how it ended."""
     phase, in_force, ended_s, reason = TRIAL, TRIAL, 0.0, ""
     changes: list[tuple[float, int]] = []  # when a phase is in force
@@ -194,17 +196,19 @@
     verdict = Verdict(Decision.GO_ON, "")
     requests = sent = exposed = serial = 0
     now_s = tried_s = 0.0
-    tried = [0] * len(drawn.routes)  # sends of the trial by route
+    tried = [0] * len(scenario.routes)  # sends of the trial by route
     # A tick beyond the latest end, so that none is left running.
-    while now_s < 3.0 * drawn.duration_s + 1.0 and phase in (TRIAL, MOVING):
+    while now_s < 3.0 * scenario.duration_s + 1.0 and phase in (TRIAL, MOVING):
         now_s += _TICK_S
         while changes and changes[0][0] <= now_s:
             in_force = changes.pop(0)[1]
-        for _ in range(_poisson(drawn.per_s * _TICK_S, source)):
+        for _ in range(_poisson(scenario.per_s * _TICK_S, source)):
             requests += 1
-            route = source.choices(range(len(drawn.routes)), drawn.routes)[0]
+            route = source.choices(range(len(scenario.routes)), scenario.routes)[0]
             is_new = in_force == MOVING
-            if in_force == TRIAL and sent < LIMITS.trial_limit(requests, now_s, drawn.duration_s):
+            if in_force == TRIAL and sent < LIMITS.trial_limit(
+                requests, now_s, scenario.duration_s
+            ):
                 # As a gateway chooses: the route that the trial has seen least, or after a wait.
                 is_due = tried[route] <= min(tried) or now_s - tried_s >= _RARE_ROUTE_WAIT_S
                 is_new = is_due and source.random() < 0.5
@@ -212,14 +216,14 @@
                 tried[route] += 1
                 tried_s = now_s
             sent += is_new
-            exposed += is_new and now_s <= drawn.duration_s
-            bad = is_new and now_s >= drawn.after_s and drawn.route in (-1, route)
-            took_s = drawn.work_s * math.exp(source.gauss(0, drawn.spread))
-            took_s *= drawn.slow if bad else 1.0
+            exposed += is_new and now_s <= scenario.duration_s
+            bad = is_new and now_s >= scenario.after_s and scenario.route in (-1, route)
+            took_s = scenario.work_s * math.exp(source.gauss(0, scenario.spread))
+            took_s *= scenario.slow if bad else 1.0
             took_s = _with_stalls(now_s, took_s, stalls)
-            failed = source.random() < (drawn.usual + (drawn.fails if bad else 0.0))
+            failed = source.random() < (scenario.usual + (scenario.fails if bad else 0.0))
             serial += 1
-            at_s = now_s + took_s + _HEARD_S
+            at_s = now_s + took_s + _REPORT_DELAY_S
             heapq.heappush(coming, (at_s, serial, route, is_new, failed, took_s))
         while coming and coming[0][0] <= now_s:
             _, _, route, is_new, failed, took_s = heapq.heappop(coming)
@@ -237,7 +241,7 @@
                 phase,
                 newcomer=False,
                 elapsed_s=now_s,
-                duration_s=drawn.duration_s,
+                duration_s=scenario.duration_s,
                 target_replicas=2,
                 verdict=verdict,
                 longest_old_response_s=longest_old_response_s,
@@ -249,17 +253,19 @@
         if step is not None:
             phase, ended_s, reason = step.phase, now_s, step.reason
             changes.append((now_s + _IN_FORCE_S, phase))
-    exposed += _after_the_end(drawn, phase, in_force, ended_s, source)
-    bound = 0.1 * drawn.per_s * max(drawn.duration_s, 0.0) + 50
+    exposed += _after_the_end(scenario, phase, in_force, ended_s, source)
+    bound = 0.1 * scenario.per_s * max(scenario.duration_s, 0.0) + 50
     return Outcome(phase, exposed, bound, ended_s, reason)
 
 
-def _after_the_end(drawn: Drawn, phase: int, in_force: int, ended_s: float, source: Random) -> int:
+def _after_the_end(
+    scenario: Scenario, phase: int, in_force: int, ended_s: float, source: Random
+) -> int:
     """Return what the version gets from its end until the deadline."""
-    rest_s = max(0.0, drawn.duration_s - ended_s)
+    rest_s = max(0.0, scenario.duration_s - ended_s)
     if phase == ROLLED_BACK:
         rest_s = min(rest_s, _IN_FORCE_S) if in_force == MOVING else 0.0
-    return _poisson(drawn.per_s * rest_s, source) if phase in (COMPLETED, ROLLED_BACK) else 0
+    return _poisson(scenario.per_s * rest_s, source) if phase in (COMPLETED, ROLLED_BACK) else 0
 
 
 def _poisson(mean: float, source: Random) -> int:
@@ -272,7 +278,7 @@
     return count
 
 
-WAYS: dict[str, Callable[[], Judge]] = {
+JUDGES: dict[str, Callable[[], Judge]] = {
     "likelihood": lambda: Watch().judge,
     "fixed sample": lambda: FixedSample().judge,
 }
@@ -280,14 +286,14 @@
 
 def table(draws: int, *, has_stalls: bool = False) -> None:
     """Print how each way does on the same draws."""
-    for way, make in WAYS.items():
+    for way, make in JUDGES.items():
         outcomes = []
         for seed in range(draws):
             source = Random(seed)
-            drawn = draw(source)
-            until_s = 3.0 * drawn.duration_s if has_stalls else 0.0
-            stalls = draw_stalls(until_s, Random(seed))
-            outcomes.append((seed, drawn, play(drawn, make(), source, stalls)))
+            scenario = sample_scenario(source)
+            until_s = 3.0 * scenario.duration_s if has_stalls else 0.0
+            stalls = sample_stalls(until_s, Random(seed))
+            outcomes.append((seed, scenario, run_rollout(scenario, make(), source, stalls)))
         bad = [(s, d, o) for s, d, o in outcomes if d.is_bad]
         good = [(s, d, o) for s, d, o in outcomes if not d.is_bad]
         through = [(s, d, o) for s, d, o in bad if o.phase != ROLLED_BACK]
@@ -315,13 +321,14 @@
                 f" p90 {used[int(0.9 * len(used))]:.2f}, most {used[-1]:.2f}"
             )
         for word, cases in (("through", through), ("over", over), ("good back", back)):
-            for seed, drawn, outcome in cases:
-                if drawn.is_bad and not drawn.is_serious:
+            for seed, scenario, outcome in cases:
+                if scenario.is_bad and not scenario.is_serious:
                     continue
                 print(
-                    f"    {word}: seed {seed} {drawn.name} {drawn.per_s:g}/s {drawn.duration_s:g} s"
-                    f" usual {drawn.usual} spread {drawn.spread:.2f} work {drawn.work_s}"
-                    f" routes {[round(r, 2) for r in drawn.routes]}: {outcome}"
+                    f"    {word}: seed {seed} {scenario.name} {scenario.per_s:g}/s"
+                    f" {scenario.duration_s:g} s"
+                    f" usual {scenario.usual} spread {scenario.spread:.2f} work {scenario.work_s}"
+                    f" routes {[round(r, 2) for r in scenario.routes]}: {outcome}"
                 )
 
 
@@ -334,10 +341,12 @@
                 for fails, slow in ((0.0, 1.0), (0.5, 1.0), (0.0, 4.0)):
                     if not per_s and (fails or slow > 1.0):
                         continue
-                    drawn = Drawn(
+                    scenario = Scenario(
                         "", per_s, duration_s, routes, 0.09, 0.3, 0.0, fails=fails, slow=slow
                     )
-                    ends = [play(drawn, Watch().judge, Random(seed)) for seed in range(seeds)]
+                    ends = [
+                        run_rollout(scenario, Watch().judge, Random(seed)) for seed in range(seeds)
+                    ]
                     in_time = sum(o.phase == COMPLETED and o.ended_s <= duration_s for o in ends)
                     back = sum(o.phase == ROLLED_BACK for o in ends)
                     over = sum(not o.kept for o in ends)
--- a/tests/test_cluster_version.py
+++ b/tests/test_cluster_version.py
@@ -19,7 +19,7 @@
 from heronladder_runtime.invariants import BOOK
 from heronladder_schema.v1 import consensus_pb2, control_pb2, resources_pb2
 
-_PATIENCE_S = 10.0
+_TIMEOUT_S = 10.0
 
 
 def _versioned(version: int = LATEST_VERSION) -> bytes:
@@ -148,7 +148,7 @@
         lost = random.Random(1).choice([one for one in group.running if one != group.leader])
         name = group.running[lost].settings.common.name
         await group.end_member(lost, planned=False)
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             while leader.node.replication.reachable(name):
                 await leader.node.changed.wait(0.1)
         leader.state._cluster_version = 0
--- a/tests/test_in_force.py
+++ b/tests/test_in_force.py
@@ -16,7 +16,7 @@
 
 _FRESHNESS_S = 1.0
 _HEARTBEAT_S = 0.3
-_LOOK_S = 0.1  # between two looks of the leader
+_CHECK_INTERVAL_S = 0.1  # between two looks of the leader
 _HELD, _CHANGE, _LATER = 1, 5, 9  # revisions
 
 
@@ -31,11 +31,11 @@
     return tracker
 
 
-async def _look(tracker: InForceTracker, for_s: float, committed: int = _CHANGE) -> int:
+async def _run_checks(tracker: InForceTracker, for_s: float, committed: int = _CHANGE) -> int:
     """Let time pass in which the leader does its chores; return what is in force after it."""
-    for _ in range(round(for_s / _LOOK_S)):
+    for _ in range(round(for_s / _CHECK_INTERVAL_S)):
         tracker.reached(committed, _HELD)
-        await asyncio.sleep(_LOOK_S)
+        await asyncio.sleep(_CHECK_INTERVAL_S)
     return tracker.reached(committed, _HELD)
 
 
@@ -44,7 +44,7 @@
 ) -> int:
     """Have the gateway be heard, and lag; return what is in force after it."""
     for _ in range(round(for_s / _HEARTBEAT_S)):
-        await _look(tracker, _HEARTBEAT_S, committed)
+        await _run_checks(tracker, _HEARTBEAT_S, committed)
         last_received_s = 0.0 if deaf else asyncio.get_running_loop().time()
         tracker.heartbeat("gateway", _HELD, committed, _HELD, 0, last_received_s)
     return tracker.reached(committed, _HELD)
@@ -69,8 +69,8 @@
     def test_a_gateway_that_is_not_heard_of_is_left_out(self) -> None:
         async def scenario() -> None:
             tracker = _tracker()
-            self.assertEqual(await _look(tracker, for_s=_FRESHNESS_S), _HELD)
-            self.assertEqual(await _look(tracker, for_s=0.2), _CHANGE)
+            self.assertEqual(await _run_checks(tracker, for_s=_FRESHNESS_S), _HELD)
+            self.assertEqual(await _run_checks(tracker, for_s=0.2), _CHANGE)
 
         self._run(scenario())
 
@@ -143,7 +143,7 @@
 
         async def scenario() -> None:
             tracker = _tracker()
-            await _look(tracker, for_s=0.2)
+            await _run_checks(tracker, for_s=0.2)
             await asyncio.sleep(3.0)  # the leader's process is held; heartbeats wait unread
             self.assertEqual(tracker.reached(_CHANGE, _HELD), _HELD)
 
@@ -154,7 +154,7 @@
             tracker = _tracker()
             tracker.heartbeat("gateway", _HELD, _HELD, _HELD, 0, last_received_s=0.001)
             tracker.disconnected("gateway")
-            await _look(tracker, for_s=5.0, committed=_HELD)
+            await _run_checks(tracker, for_s=5.0, committed=_HELD)
             tracker.connected("gateway", _HELD, acts_past_lease=True)
             self.assertEqual(tracker.reached(_CHANGE, _HELD), _HELD)
 
@@ -186,7 +186,7 @@
     def test_no_lease_is_renewed_below_a_change_that_is_being_put_in_force(self) -> None:
         async def scenario() -> None:
             tracker = _tracker()
-            self.assertEqual(await _look(tracker, for_s=2.0), _CHANGE)
+            self.assertEqual(await _run_checks(tracker, for_s=2.0), _CHANGE)
             # The group has not committed yet that it is in force.
             self.assertFalse(tracker.heartbeat("gateway", _HELD, _CHANGE, _HELD))
 
@@ -206,7 +206,7 @@
     def test_it_holds_a_second_after_something_newer_came_into_force(self) -> None:
         async def scenario() -> None:
             standing, store = self._standing()
-            await self._hear(standing)
+            await self._stay_connected(standing)
             standing.note_in_force(_HELD, 0)
             self.assertFalse(standing.behind)
             standing.note_in_force(_CHANGE, 0)
@@ -224,7 +224,7 @@
 
         async def scenario() -> None:
             standing, _ = self._standing()
-            await self._hear(standing)
+            await self._stay_connected(standing)
             standing.note_in_force(_CHANGE, 0, in_force_age_s=0.7)
             self.assertFalse(standing.must_hold)
             await asyncio.sleep(0.2)
@@ -248,7 +248,7 @@
         run_virtual(scenario())
 
     @staticmethod
-    async def _hear(standing: ConfigurationStanding) -> None:
+    async def _stay_connected(standing: ConfigurationStanding) -> None:
         """Have it be in touch for long."""
         standing.note_contact()
         for _ in range(4):
@@ -270,7 +270,7 @@
     def test_one_that_is_cut_off_while_behind_goes_on_by_what_it_holds(self) -> None:
         async def scenario() -> None:
             standing, _ = self._standing()
-            await self._hear(standing)
+            await self._stay_connected(standing)
             standing.note_in_force(_CHANGE, 0)
             await asyncio.sleep(1.0)
             self.assertTrue(standing.must_hold)
--- a/tests/test_load_reports_to_idle_gateways.py
+++ b/tests/test_load_reports_to_idle_gateways.py
@@ -11,7 +11,7 @@
 
 from platform_stand_ins import configuration, route, start_fleet
 
-_TOLD_WITHIN_S = 3.0
+_REPORT_TIMEOUT_S = 3.0
 _POLL_S = 0.02
 
 
@@ -22,10 +22,10 @@
         gateway = fleet.gateway.gateway
         assert gateway is not None
         loads = gateway.replicas.loads
-        until_s = asyncio.get_running_loop().time() + _TOLD_WITHIN_S
+        until_s = asyncio.get_running_loop().time() + _REPORT_TIMEOUT_S
         while loads.age_s == float("inf") and asyncio.get_running_loop().time() < until_s:
             await asyncio.sleep(_POLL_S)
-        self.assertLess(loads.age_s, _TOLD_WITHIN_S)
+        self.assertLess(loads.age_s, _REPORT_TIMEOUT_S)
 
 
 if __name__ == "__main__":
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -19,9 +19,9 @@
         await limited.ask(30.0, 0.5)
         bounded = limited.replicas[0]
         bounded.limit = "1.7"
-        judged = await limited.ask(30.0, 9.0, weights=lambda number: min(number % 6, 2))
+        result = await limited.ask(30.0, 9.0, weights=lambda number: min(number % 6, 2))
         self.assert_within(limited)
-        self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
+        self.assertEqual(set(result.statuses), {200}, "callers beside it are served")
         assert bounded.first_named_s is not None
         used = limited.sent_since(bounded, bounded.first_named_s + 3.0)
         self.assertGreaterEqual(used, 0.5 * 1.7 * 6.0, "what it takes is used")
@@ -32,15 +32,15 @@
         await limited.ask(20.0, 0.5)
         for replica in limited.replicas:
             replica.limit = "1.7"
-        judged = await limited.ask(20.0, 9.0)
+        result = await limited.ask(20.0, 9.0)
         self.assert_within(limited)
-        self.assertEqual(set(judged.statuses), {200, 503})
-        self.assertEqual(judged.unserved_without_retry, 0)
-        self.assertGreater(len(set(judged.retry_after)), 5, "they come back one after another")
-        slow = [took_s for status, took_s in judged.took_s if status == 503 and took_s > 0.35]
+        self.assertEqual(set(result.statuses), {200, 503})
+        self.assertEqual(result.unserved_without_retry, 0)
+        self.assertGreater(len(set(result.retry_after)), 5, "they come back one after another")
+        slow = [took_s for status, took_s in result.took_s if status == 503 and took_s > 0.35]
         self.assertLess(len(slow), 5, "a refusal is not held back")
         ran = sum(len(replica.arrivals) for replica in limited.replicas)
-        self.assertGreaterEqual(ran, judged.statuses[200])
+        self.assertGreaterEqual(ran, result.statuses[200])
         for replica in limited.replicas:
             assert replica.first_named_s is not None
             used = limited.sent_since(replica, replica.first_named_s + 3.0)
@@ -50,21 +50,21 @@
         """Four gateways; one replica names 0.5 a second on streams, another as it turns away."""
         limited = await self.start(4, 4)
         await limited.ask(20.0, 0.5, "/stream/")
-        streams, turns_away = limited.replicas[:2]
-        streams.limit = turns_away.limit = "0.5"
-        turns_away.refuses = True
-        judged = await limited.ask(20.0, 8.0, "/stream/")
+        streams, rejecting = limited.replicas[:2]
+        streams.limit = rejecting.limit = "0.5"
+        rejecting.refuses = True
+        result = await limited.ask(20.0, 8.0, "/stream/")
         self.assert_within(limited)
-        self.assertEqual(set(judged.statuses), {200}, "callers beside them are served")
+        self.assertEqual(set(result.statuses), {200}, "callers beside them are served")
 
     async def test_twelve_gateways_and_a_small_limit(self) -> None:
         """One of three replicas takes 0.5 a second; its reports come on heads of streams."""
         limited = await self.start(12, 3)
         await limited.ask(30.0, 0.5, "/stream/")
         limited.replicas[0].limit = "0.5"
-        judged = await limited.ask(30.0, 8.0, "/stream/")
+        result = await limited.ask(30.0, 8.0, "/stream/")
         self.assert_within(limited)
-        self.assertEqual(set(judged.statuses), {200}, "callers beside it are served")
+        self.assertEqual(set(result.statuses), {200}, "callers beside it are served")
 
 
 if __name__ == "__main__":
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -20,7 +20,7 @@
 from heronladder_runtime.rollouts.evidence import Answers, Evidence
 from heronladder_runtime.rollouts.verdict import Decision, Verdict, Watch
 from heronladder_schema.v1 import control_pb2, resources_pb2
-from rollout_trials import draw, play
+from rollout_trials import run_rollout, sample_scenario
 
 _SERVICE = "app"
 
@@ -391,17 +391,17 @@
     def test_drawn_versions_that_are_clearly_bad_keep_to_the_bound(self) -> None:
         """A seed that once went over the bound: 69, whose first old answers failed often."""
         over = []
-        played = 0
+        ran = 0
         for seed in (69, 3, 17, 42, 63, 97, 101, 188, 250, 320):
             source = random.Random(seed)
-            drawn = draw(source)
-            if not drawn.is_serious:
+            scenario = sample_scenario(source)
+            if not scenario.is_serious:
                 continue
-            played += 1
-            outcome = play(drawn, Watch().judge, source)
+            ran += 1
+            outcome = run_rollout(scenario, Watch().judge, source)
             if not outcome.kept:
-                over.append((seed, drawn, outcome))
-        self.assertGreater(played, 3)
+                over.append((seed, scenario, outcome))
+        self.assertGreater(ran, 3)
         self.assertEqual(over, [])
 
 
--- a/tests/test_rollout_low_traffic.py
+++ b/tests/test_rollout_low_traffic.py
@@ -6,19 +6,19 @@
 from heronladder_control.rollouts.table import COMPLETED, ROLLED_BACK
 from heronladder_runtime.rollouts.evidence import Answers, Evidence
 from heronladder_runtime.rollouts.verdict import Decision, Watch
-from rollout_trials import Drawn, play
+from rollout_trials import Scenario, run_rollout
 
 _SEEDS = 40
 
 
-def _drawn(per_s: float, duration_s: float, routes: list[float], fails: float = 0.0) -> Drawn:
-    return Drawn("drawn", per_s, duration_s, routes, 0.09, 0.3, 0.0, fails=fails)
+def _scenario(per_s: float, duration_s: float, routes: list[float], fails: float = 0.0) -> Scenario:
+    return Scenario("drawn", per_s, duration_s, routes, 0.09, 0.3, 0.0, fails=fails)
 
 
 class QuietTest(unittest.TestCase):
-    def _completed_in_time(self, drawn: Drawn) -> int:
-        outcomes = [play(drawn, Watch().judge, Random(seed)) for seed in range(_SEEDS)]
-        return sum(o.phase == COMPLETED and o.ended_s <= drawn.duration_s for o in outcomes)
+    def _completed_in_time(self, scenario: Scenario) -> int:
+        outcomes = [run_rollout(scenario, Watch().judge, Random(seed)) for seed in range(_SEEDS)]
+        return sum(o.phase == COMPLETED and o.ended_s <= scenario.duration_s for o in outcomes)
 
     def test_a_good_version_of_a_quiet_service_is_completed_in_time(self) -> None:
         """Verdicts asked for answers of the old version that no longer came once all had moved."""
@@ -31,16 +31,18 @@
             (5.0, 30.0, [0.81, 0.19]),
         ):
             with self.subTest(per_s=per_s, duration_s=duration_s, routes=routes):
-                completed = self._completed_in_time(_drawn(per_s, duration_s, routes))
+                completed = self._completed_in_time(_scenario(per_s, duration_s, routes))
                 self.assertGreaterEqual(completed, 0.8 * _SEEDS)
 
     def test_a_service_without_requests_completes(self) -> None:
-        self.assertEqual(self._completed_in_time(_drawn(0.0, 6.0, [1.0])), _SEEDS)
+        self.assertEqual(self._completed_in_time(_scenario(0.0, 6.0, [1.0])), _SEEDS)
 
     def test_a_version_that_fails_half_is_not_completed(self) -> None:
         for per_s, duration_s in ((6.0, 6.0), (2.0, 30.0), (10.0, 12.0)):
-            drawn = _drawn(per_s, duration_s, [1.0], fails=0.5)
-            outcomes = [play(drawn, Watch().judge, Random(seed)) for seed in range(_SEEDS)]
+            scenario = _scenario(per_s, duration_s, [1.0], fails=0.5)
+            outcomes = [
+                run_rollout(scenario, Watch().judge, Random(seed)) for seed in range(_SEEDS)
+            ]
             back = sum(outcome.phase == ROLLED_BACK for outcome in outcomes)
             self.assertEqual(back, _SEEDS, (per_s, duration_s))
 
