--- a/packages/heronladder-control/src/heronladder_control/cluster_version.py
+++ b/packages/heronladder-control/src/heronladder_control/cluster_version.py
@@ -1,7 +1,7 @@
-"""The leader raises the cluster version once all members and daemons in touch support it.
+"""Raising of the cluster version once all members and connected daemons support it.
 
-Builds run side by side while a release goes out. What a build before it could not read, or would
-apply by other rules, is kept out of the log until then; until then that build can be put back.
+Two builds run side by side during a release. Until the version is raised, the log contains nothing
+that the earlier build can't read or would apply by other rules, so the release can be reverted.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from heronladder_control.member_context import MemberContext
 
 _NEW_GROUP_CHECK_INTERVAL_S = 0.02
-_MAX_LOGGED_BLOCKERS = 8  # in a log line, so that it stays short
+_MAX_LOGGED_BLOCKERS = 8  # limits the length of the log line
 
 
 @dataclass(frozen=True)
 class Blocker:
-    """What keeps the version from being raised.
+    """A reason why the cluster version can't be raised.
 
     Attributes:
         kind: ``member``, ``daemon`` or ``setting``.
-        name: Which one.
-        highest_version: What its build supports; None if it does not answer.
+        name: Name of the member, daemon or setting.
+        highest_version: Highest version that it supports or allows; None if it does not answer.
     """
 
     kind: str
@@ -39,12 +39,12 @@
 
 
 def target_version(member: MemberContext) -> int:
-    """Return the version to raise to: what this build supports, as far as the setting lets it."""
+    """Return the version to raise to: the latest of this build, limited by the setting."""
     return min(LATEST_VERSION, member.options.most_cluster_version)
 
 
 def find_blockers(member: MemberContext) -> list[Blocker]:
-    """Return what keeps the leader from raising the version to what its build supports."""
+    """Return the reasons why the leader can't raise the version to the latest of its build."""
     if member.state.cluster_version >= LATEST_VERSION:
         return []
     found = []
@@ -59,9 +59,10 @@
 
 
 def _find_blocking_daemons(member: MemberContext) -> list[Blocker]:
-    """Return the daemons whose builds do not support the version, or may not.
+    """Return the daemons whose builds do not support the latest version, or may not.
 
-    A router that is cut off may be of an earlier build: it is waited for until it is declared gone.
+    A disconnected router may run an earlier build, so it blocks the version until it is declared
+    gone.
     """
     found = []
     for name, record in sorted(member.state.daemons.daemons.items()):
@@ -77,7 +78,7 @@
     """Raises the cluster version while this member leads.
 
     Args:
-        member: What the parts of the member share.
+        member: Context of this control member.
     """
 
     def __init__(self, member: MemberContext) -> None:
@@ -86,7 +87,7 @@
         self._reported: tuple[str, ...] = ()
 
     def begin(self) -> None:
-        """Begin as the leader of a term."""
+        """Start a term as the leader."""
         self._ready_since_s = None
         self._reported = ()
 
@@ -98,12 +99,12 @@
 
     @property
     def check_interval_s(self) -> float:
-        """Time until the next look while a new group waits for its version, in seconds; else 0."""
+        """Time until the next check while a new group awaits its version, in seconds, else 0."""
         is_below = self._member.state.cluster_version < target_version(self._member)
         return _NEW_GROUP_CHECK_INTERVAL_S if self._is_formed_at_target and is_below else 0.0
 
     async def tend(self) -> None:
-        """Raise the version if nothing holds it up, and has not for some time."""
+        """Raise the version if nothing has blocked it for the configured time."""
         version = self._member.state.cluster_version
         if version >= target_version(self._member):
             return
@@ -115,7 +116,7 @@
             return
         if self._ready_since_s is None:
             self._ready_since_s = now_s
-        # A group that no earlier build formed has none to go back to.
+        # A group that was formed by builds of this version has no earlier build to revert to.
         is_held = not self._is_formed_at_target
         hold_s = self._member.options.cluster_version_hold_s if is_held else 0.0
         if now_s - self._ready_since_s >= hold_s:
@@ -125,14 +126,14 @@
         target = target_version(self._member)
         command = control_pb2.Command()
         command.set_cluster_version.version = target
-        # Not by way of the member's gate, which this command lifts.
+        # Bypasses the member's version check, which rejects commands until this one is applied.
         await self._member.node.propose(encode_command(command))
         self._member.log.info(
             "cluster_version_raised", step="cluster_version", before=version, version=target
         )
 
     def _report(self, version: int, blockers: list[Blocker]) -> None:
-        """Log what holds the version up, once a change of that."""
+        """Log the blockers each time they change."""
         names = tuple(str(blocker) for blocker in blockers)
         if names == self._reported:
             return
--- a/packages/heronladder-control/src/heronladder_control/crashes/__init__.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash the replicas that run them: evidence in the log, and what follows."""
+"""Detection and refusal of requests that crash the replicas that run them."""
--- a/packages/heronladder-control/src/heronladder_control/crashes/evidence.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/evidence.py
@@ -1,8 +1,8 @@
-"""What ran at which replica when it crashed, and whom that tells against.
+"""Evidence of which requests crash replicas.
 
-A crash is held against every request that ran at the replica at that moment, though one at most
-is to blame. What tells them apart is what follows: only the one to blame is there each time, as
-others are answered elsewhere or do not come again.
+A crash counts against every request that was in flight at the replica, although at most one of them
+caused it. Further crashes isolate that one: only the request that causes crashes is in flight at
+each of them, as the others are answered elsewhere or are not sent again.
 """
 
 from collections import OrderedDict
@@ -11,38 +11,46 @@
 
 from heronladder_schema.v1 import control_pb2
 
-REFUSE_AFTER_CRASHES = 3  # crashes; with two, a caller's repeat beside the one to blame is refused
-# Crashes after which it no longer matters that another request was there each time: what may
-# still crash replicas is bounded, and two that always come together are alike.
+REFUSE_AFTER_CRASHES = 3  # with 2, a caller's retry beside the causing request would be refused
+# Number of crashes after which a request is refused although another one was in flight each time.
+# It bounds the crashes; two requests that always come together can't be distinguished.
 REFUSE_UNISOLATED_AFTER_CRASHES = 5
-# The oldest evidence goes first. A day of 89 failed machines fits, with 46 runs at each; all of it
-# is some 400 kB of a snapshot.
+# Evidence over these limits is dropped, the oldest first. They hold 89 failed machines with 46 runs
+# each; at most, the evidence takes about 400 kB of a snapshot.
 _MAX_CRASHES = 128
 _MAX_RUNS = 4_096
 
 
 class CrashKey(NamedTuple):
-    """One start of a replica, which crashed."""
+    """Identity of a crash: a replica and the start of its crashed incarnation.
+
+    Attributes:
+        replica: Id of the replica.
+        start_ms: Start time in milliseconds; 0 if the replica reported none.
+    """
 
     replica: str
     start_ms: int
 
 
 class CrashEvidence:
-    """Crashes and what ran at them, the newest ones."""
+    """The newest crashes, and the requests that were in flight at each."""
 
     def __init__(self) -> None:
         self._crashes: OrderedDict[CrashKey, control_pb2.CrashedReplica] = OrderedDict()
         self._crashes_of: dict[str, set[CrashKey]] = {}  # by fingerprint
         self._runs = 0
 
-    def add(self, told: control_pb2.CrashedReplica) -> list[control_pb2.CrashedRun]:
-        """Take what a router tells of a crash.
+    def add(self, report: control_pb2.CrashedReplica) -> list[control_pb2.CrashedRun]:
+        """Add a router's report of a crash.
+
+        Args:
+            report: The crash and the requests that the router had in flight at the replica.
 
         Returns:
-            The runs that were not known of this crash; none if it is explained.
+            The runs that were not yet recorded for this crash; none if it is explained.
         """
-        key = CrashKey(told.replica, told.start_ms)
+        key = CrashKey(report.replica, report.start_ms)
         crash = self._crashes.get(key)
         if crash is None:
             crash = control_pb2.CrashedReplica(replica=key.replica, start_ms=key.start_ms)
@@ -50,7 +58,7 @@
         if crash.explained:
             return []
         new = []
-        for run in told.runs:
+        for run in report.runs:
             known = self._crashes_of.setdefault(run.fingerprint, set())
             if key not in known:
                 known.add(key)
@@ -74,25 +82,25 @@
         del crash.runs[:]
 
     def count(self, fingerprint: str) -> int:
-        """Return how many crashes are held against a request."""
+        """Return the number of crashes that count against a request."""
         return len(self._crashes_of.get(fingerprint, ()))
 
     def explain(self, fingerprint: str) -> list[str]:
-        """Hold the crashes under a request against that one alone.
+        """Attribute the crashes that count against a request to it alone.
 
         Returns:
-            Fingerprints of the others that they were held against.
+            Sorted fingerprints of the other requests that these crashes counted against.
         """
-        freed: set[str] = set()
+        others: set[str] = set()
         for key in sorted(self._crashes_of.get(fingerprint, set()).copy()):
             crash = self._crashes[key]
-            freed.update(run.fingerprint for run in crash.runs)
+            others.update(run.fingerprint for run in crash.runs)
             self._forget_runs(key, crash)
             crash.explained = True
-        return sorted(freed - {fingerprint})
+        return sorted(others - {fingerprint})
 
     def clear(self, fingerprint: str) -> None:
-        """Hold nothing against a request any more."""
+        """Remove all evidence against a request."""
         for key in self._crashes_of.pop(fingerprint, set()):
             crash = self._crashes[key]
             kept = [run for run in crash.runs if run.fingerprint != fingerprint]
@@ -101,16 +109,21 @@
             crash.runs.extend(kept)
 
     def is_isolated(self, fingerprint: str) -> bool:
-        """Whether no other request was there at all crashes that are held against this one."""
+        """Whether no other request was in flight at every crash that counts against this one."""
         keys = self._crashes_of.get(fingerprint, set())
         at_each = ({run.fingerprint for run in self._crashes[key].runs} for key in keys)
         common = next(at_each, set())
-        for there in at_each:
-            common &= there
+        for fingerprints in at_each:
+            common &= fingerprints
         return common <= {fingerprint}
 
     def is_sufficient(self, fingerprint: str, *, refused_before: bool) -> bool:
-        """Whether the evidence against a request is enough to refuse it."""
+        """Whether the evidence against a request is sufficient to refuse it.
+
+        Args:
+            fingerprint: The request.
+            refused_before: Whether it was refused before; one more crash is sufficient then.
+        """
         crashes = self.count(fingerprint)
         if refused_before:
             return crashes > 0
@@ -125,7 +138,7 @@
         return self._crashes.values()
 
     def load(self, crashes: Iterable[control_pb2.CrashedReplica]) -> None:
-        """Replace everything by what a snapshot holds."""
+        """Replace all evidence by that of a snapshot."""
         self._crashes.clear()
         self._crashes_of.clear()
         self._runs = 0
--- a/packages/heronladder-control/src/heronladder_control/crashes/refusals.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/refusals.py
@@ -1,4 +1,4 @@
-"""When the leader refuses a suspect, and when it lets it through again."""
+"""The leader's decisions to refuse a suspect request and to end the refusal."""
 
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
@@ -8,40 +8,40 @@
 
 from heronladder_control.crashes.table import CrashTable
 
-# For so long all routers in touch can say that they have had an answer to a suspect, which clears
-# it: it was told to them as one, and a heartbeat takes 0.3 s.
+# Time in which connected routers can report that a replica answered a suspect, which clears it. The
+# routers are told about suspects, and a heartbeat takes 0.3 s.
 _CLEARANCE_WAIT_S = 0.4
-_CHECK_INTERVAL_S = 0.1  # while there are suspects
+_CHECK_INTERVAL_S = 0.1  # while there are suspects to refuse
 _IDLE_CHECK_INTERVAL_S = 1.0
-# Of the first refusal, an hour; each later one is four times as long, a month at most. A
-# caller's mended service or replicas of a new version are let through in the end; one send that
-# crashes a replica refuses it again.
+# The first refusal lasts an hour; each further one is four times as long, up to 30 days. A refusal
+# ends because the caller may have fixed the request, or a new version of the replicas may no longer
+# crash. A single further crash refuses the request again.
 _FIRST_REFUSAL_S = 3_600.0
 _REFUSAL_GROWTH_FACTOR = 4
 _MAX_REFUSAL_S = 30 * 24 * 3_600.0
 
 
 def refusal_duration_s(refusals: int) -> float:
-    """Return for how long a request is refused, in seconds.
+    """Return the duration of a refusal, in seconds.
 
     Args:
-        refusals: How often it was refused, with this time.
+        refusals: Number of refusals of the request, including this one.
     """
-    longer = float(_REFUSAL_GROWTH_FACTOR ** (refusals - 1))
-    return min(_MAX_REFUSAL_S, _FIRST_REFUSAL_S * longer)
+    growth = float(_REFUSAL_GROWTH_FACTOR ** (refusals - 1))
+    return min(_MAX_REFUSAL_S, _FIRST_REFUSAL_S * growth)
 
 
 class Refusals:
-    """The leader's decisions on suspects; another leader counts its times anew.
+    """The leader's decisions on suspects; a new leader restarts their timers.
 
     Args:
-        table: What is known.
-        environment: Time.
-        metrics: Where it counts.
-        log: Where decisions are reported.
+        table: Replicated suspects and evidence.
+        environment: Source of time.
+        metrics: Metrics of this process.
+        log: Event log of this process.
 
     Attributes:
-        reported: Given when crashes were reported.
+        reported: Signalled when crashes are reported.
     """
 
     def __init__(
@@ -58,16 +58,16 @@
 
     @property
     def check_interval_s(self) -> float:
-        """Time until the next look, without a report before, in seconds."""
+        """Time until the next check if no report comes earlier, in seconds."""
         return _CHECK_INTERVAL_S if self._sufficient_since_s else _IDLE_CHECK_INTERVAL_S
 
     def begin(self) -> None:
-        """Begin as the leader."""
+        """Start a term as the leader."""
         self._sufficient_since_s.clear()
         self._refused_since_s.clear()
 
     def due(self) -> list[control_pb2.Command]:
-        """Return what is to be decided now."""
+        """Return the commands that are due now."""
         now_s = self._environment.monotonic()
         suspects = self._table.to_refuse()
         refused = self._table.refused()
@@ -95,7 +95,7 @@
         return command
 
     def applied(self, command: control_pb2.Command, *, is_leader: bool) -> None:
-        """Report a command that was just applied."""
+        """Log and count a command that was just applied."""
         if not is_leader:
             return
         body = command.WhichOneof("body")
--- a/packages/heronladder-control/src/heronladder_control/crashes/table.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/table.py
@@ -1,7 +1,8 @@
-"""Requests that crash replicas, as the log carries them; routers hear of them as resources.
+"""Replicated state of requests that crash replicas, published to routers as resources.
 
-A request that was there at two crashes is a suspect: routers are told, so that those that have had
-an answer to it say so, and so that it is sent with care. One that is refused is sent nowhere.
+A request that was in flight at two crashes is a suspect. Routers are told about it, so that they
+report any complete answer to it, and send it with precautions. A refused request is sent to no
+replica.
 """
 
 from heronladder_runtime.configuration import CRASHING_REQUEST_KIND
@@ -11,15 +12,15 @@
 from heronladder_control.resources import ResourceTable
 from heronladder_control.results import success
 
-_SUSPECT_AFTER_CRASHES = 2  # crashes; each one makes suspects of all that ran there otherwise
-_MAX_ENTRIES = 256  # suspects and refused ones together; routers hold them all
+_SUSPECT_AFTER_CRASHES = 2  # with 1, all requests in flight at any crash would be suspects
+_MAX_ENTRIES = 256  # suspects and refused requests; each router keeps all of them
 
 
 class CrashTable:
-    """Applies what routers tell of crashes, and the leader's word on who is refused.
+    """Applies the routers' crash reports and the leader's refusals.
 
     Args:
-        resources: Where what routers are to know is kept.
+        resources: Resources, through which suspects and refusals are published to routers.
     """
 
     def __init__(self, resources: ResourceTable) -> None:
@@ -27,7 +28,7 @@
         self._evidence = CrashEvidence()
 
     def entry(self, fingerprint: str) -> resources_pb2.CrashingRequest | None:
-        """Return what routers are told of a request, or None."""
+        """Return the published entry of a request, or None."""
         resource = self._resources.get(CRASHING_REQUEST_KIND, fingerprint)
         return resource.crashing_request if resource is not None else None
 
@@ -36,11 +37,11 @@
         return [(name, kept[name].crashing_request) for name in sorted(kept)]
 
     def refused(self) -> dict[str, int]:
-        """Return how often each request was refused that is refused now."""
+        """Return the number of refusals of each request that is refused now, by fingerprint."""
         return {name: entry.refusals for name, entry in self._entries() if entry.refused}
 
     def to_refuse(self) -> list[str]:
-        """Return the suspects against which the evidence is enough."""
+        """Return the suspects against which the evidence is sufficient."""
         return [
             name
             for name, entry in self._entries()
@@ -51,14 +52,14 @@
     # ---- commands ---------------------------------------------------------
 
     def report(self, index: int, order: control_pb2.ReportCrashes) -> control_pb2.CommandResult:
-        """Take what a router tells; the same again changes nothing."""
+        """Apply a router's report; a duplicate changes nothing."""
         for fingerprint in order.served:
             self._clear(index, fingerprint)
-        for told in order.replicas:
-            new = self._evidence.add(told)
-            to_blame = [run for run in new if self._is_refused(run.fingerprint)]
-            if to_blame:
-                for run in to_blame:
+        for crash in order.replicas:
+            new = self._evidence.add(crash)
+            refused = [run for run in new if self._is_refused(run.fingerprint)]
+            if refused:
+                for run in refused:
                     self._evidence.explain(run.fingerprint)
                 continue
             for run in new:
@@ -68,7 +69,10 @@
         return result
 
     def refuse(self, index: int, order: control_pb2.RefuseRequest) -> control_pb2.CommandResult:
-        """Refuse a suspect, or end that; void if it stands so, or was cleared meanwhile."""
+        """Refuse a suspect, or end its refusal.
+
+        The command has no effect if the request is in that state already or is no longer a suspect.
+        """
         entry = self.entry(order.fingerprint)
         if entry is not None and entry.refused == order.ended:
             state = resources_pb2.CrashingRequest()
@@ -102,7 +106,7 @@
         self._drop_oldest(index)
 
     def _reduce_suspicion(self, index: int, fingerprint: str) -> None:
-        """Note that a suspect has lost evidence: another request is to blame for it."""
+        """Lower the crash count of a suspect after crashes were attributed to another request."""
         known = self.entry(fingerprint)
         if known is None or known.refusals:
             return
@@ -116,7 +120,7 @@
         self._write(index, fingerprint, state)
 
     def _clear(self, index: int, fingerprint: str) -> None:
-        """Take a request for harmless: a replica has run it to the end."""
+        """Clear a request that a replica has run to the end, unless it is refused."""
         if not self._is_refused(fingerprint):
             self._evidence.clear(fingerprint)
             self._resources.erase(index, CRASHING_REQUEST_KIND, fingerprint)
@@ -127,7 +131,7 @@
         self._resources.write(index, CRASHING_REQUEST_KIND, fingerprint, resource)
 
     def _drop_oldest(self, index: int) -> None:
-        """Keep what routers hold bounded: suspects go before those that are refused."""
+        """Limit the number of published entries, dropping suspects before refused requests."""
         kept = self._resources.resources[CRASHING_REQUEST_KIND]
         while len(kept) > _MAX_ENTRIES:
             oldest = min(
@@ -139,9 +143,9 @@
     # ---- snapshots --------------------------------------------------------
 
     def save(self, snapshot: control_pb2.StateSnapshot) -> None:
-        """Write the evidence into a snapshot; what routers hold is among the resources."""
+        """Write the evidence into a snapshot; the published entries are saved as resources."""
         snapshot.crashes.extend(self._evidence.all())
 
     def load(self, snapshot: control_pb2.StateSnapshot) -> None:
-        """Take the evidence from a snapshot."""
+        """Replace the evidence by that of a snapshot."""
         self._evidence.load(snapshot.crashes)
--- a/packages/heronladder-control/src/heronladder_control/daemon_builds.py
+++ b/packages/heronladder-control/src/heronladder_control/daemon_builds.py
@@ -1,4 +1,4 @@
-"""Which builds of daemons the leader serves, and what it tells them of the cluster version."""
+"""Check of daemons' builds against the cluster version, and its distribution to daemons."""
 
 from heronladder_schema.v1 import control_pb2
 
@@ -10,16 +10,16 @@
     """Compares the builds of daemons with the cluster version in force.
 
     Args:
-        member: What the parts of the member share, which leads.
+        member: Context of this control member, which is the leader.
     """
 
     def __init__(self, member: MemberContext) -> None:
         self._member = member
 
     def refusal(self, hello: control_pb2.Hello) -> control_pb2.ControlFrame | None:
-        """Return a frame that refuses a daemon whose build is too old; None if it is not.
+        """Return a frame that refuses a daemon whose build is too old, or None.
 
-        It would keep to none of the rules that came with the version.
+        Such a build does not follow the rules that the cluster version introduced.
         """
         version = self._member.state.cluster_version
         if hello.highest_version >= version:
@@ -31,7 +31,10 @@
         )
 
     def version_raised(self) -> None:
-        """Tell all daemons; end streams that were opened while it was on its way into the log."""
+        """Update all daemons, and close streams of earlier builds.
+
+        These may have been opened while the version was being committed.
+        """
         version = self._member.state.cluster_version
         for session in list(self._member.sessions.values()):
             if session.hello.highest_version < version:
@@ -39,7 +42,7 @@
             session.wake.give()
 
     def fill(self, session: DaemonSession, frame: control_pb2.ControlFrame) -> None:
-        """Add the cluster version to a frame, if the daemon was not told of it."""
+        """Add the cluster version to a frame if it was not sent to the daemon yet."""
         version = self._member.state.cluster_version
         if version != session.told_version:
             session.told_version = frame.cluster_version = version
--- a/packages/heronladder-control/src/heronladder_control/draw_decisions.py
+++ b/packages/heronladder-control/src/heronladder_control/draw_decisions.py
@@ -1,7 +1,7 @@
-"""The leader decides what draws get before they go into the log.
+"""The leader's decisions on the size of draws, made before the draws are appended to the log.
 
-Members of two builds with other rules would grant other tokens for one draw, and the next leader
-would grant again what it does not know of.
+If each member decided while it applies a draw, members of builds with different rules would grant
+different numbers of tokens, and the next leader could grant tokens a second time.
 """
 
 from dataclasses import dataclass
@@ -17,17 +17,22 @@
 
 @dataclass
 class _Projection:
-    """An account as it will be once the draws under way are applied."""
+    """An account as it will be once the draws in flight are applied.
+
+    Attributes:
+        account: Projected account.
+        in_flight: Number of decided draws that are not applied yet.
+    """
 
     account: ledger_pb2.PrepaidAccount
     in_flight: int = 0
 
 
 class DrawDecisions:
-    """Decides draws in the order in which they go into the log.
+    """Decides draws in the order in which they are appended to the log.
 
     Args:
-        table: The accounts as they are.
+        table: Accounts as currently applied.
     """
 
     def __init__(self, table: PrepaidTable) -> None:
@@ -35,10 +40,15 @@
         self._projections: dict[str, _Projection] = {}
 
     def decide(self, order: control_pb2.DrawTokens) -> bool:
-        """Add to a draw what it gets; it has to go into the log before the next one is decided.
+        """Set the number of tokens that a draw gets.
+
+        The draw must be appended to the log before the next one is decided.
+
+        Args:
+            order: The draw, whose ``decided`` is set.
 
         Returns:
-            Whether it counts as under way until ``ended``.
+            Whether the draw counts as in flight until ``ended`` is called for it.
         """
         order.decided = 0
         projection = self._projection(order.tenant)
@@ -50,7 +60,7 @@
 
     @staticmethod
     def _grant(account: ledger_pb2.PrepaidAccount, order: control_pb2.DrawTokens) -> int:
-        """Carry a draw out in a projection; return what it gets."""
+        """Apply a draw to a projected account, and return the number of tokens granted."""
         holder = find_or_add_holder(account, order.holder, order.incarnation)
         if order.number <= holder.last_number:
             return 0
@@ -58,7 +68,7 @@
         try:
             apply_report(holder, order)
         except RefusedByInvariantError:
-            return 0  # refused again where it is applied, and reported there
+            return 0  # refused and reported again when it is applied
         size = grant_rules.grant_size(account, order)
         holder.granted += size
         return size
@@ -75,7 +85,7 @@
         return self._projections.setdefault(tenant, _Projection(copy))
 
     def ended(self, order: control_pb2.DrawTokens) -> None:
-        """Note that a draw was applied, or that it is not known whether it will be."""
+        """Record that a draw was applied, or that its outcome is unknown."""
         projection = self._projections.get(order.tenant)
         if projection is None:
             return
@@ -84,6 +94,6 @@
             del self._projections[order.tenant]
 
     def applied(self, command: control_pb2.Command) -> None:
-        """Begin with the accounts as they are once something else changed them."""
+        """Discard the projections after a command that changes accounts in another way."""
         if command.WhichOneof("body") in _CHANGES_ACCOUNTS:
             self._projections.clear()
--- a/packages/heronladder-control/src/heronladder_control/in_force.py
+++ b/packages/heronladder-control/src/heronladder_control/in_force.py
@@ -1,17 +1,18 @@
-"""When a committed change counts as in force.
+"""Tracking of when a committed change is in force.
 
-A change is in force once no daemon may act by an older state: each daemon has
-applied it, or promised to act by nothing older, or cannot be waited for.
+A change is in force once no daemon may act on an older configuration: each daemon has applied it,
+or has promised to act on nothing older, or can't be awaited.
 
-- A daemon that stops when its freshness lease ends is waited for until then.
-- One that goes on by what it holds while control is silent (a gateway) has no lease
-  that would stop it. It is waited for while it is heard and hears, however far it lags;
-  one that lags for long is told to hold, and counts once it says that it does. Only one
-  that is out of touch is left out: it may go on for a bounded time, and learns what is
-  in force, and since when, with the first word it hears again.
+- A daemon that stops when its freshness lease ends is awaited until then.
+- A gateway goes on with the configuration that it has while control is unreachable, so no lease
+  stops it. It is awaited as long as messages pass in both directions, however far it lags. A
+  gateway that lags for long is told to hold, which means to serve nothing by an older
+  configuration, and counts once it confirms that. Only a gateway that is disconnected from control
+  is left out: it may go on for a bounded time, and the first message after its reconnection says
+  what is in force, and since when.
 
-The leader keeps this knowledge in memory only; a new leader first takes every daemon
-for fresh.
+The leader keeps this state in memory only. A new leader first assumes that every daemon holds a
+lease.
 """
 
 from collections import deque
@@ -20,32 +21,32 @@
 
 from heronladder_runtime.clock import Environment
 
-_CLOCK_RATE_MARGIN = 1.1  # daemons' clocks may run this much slower than ours
-_RENEWAL_GRACE_FRACTION = 0.5  # of the freshness time, before a laggard is not renewed
-# Before a laggard must hold: a whole large update at 5 Mbit/s, and under the 3 s that an
-# operator's call waits.
+_CLOCK_RATE_MARGIN = 1.1  # daemons' clocks may run slower than ours by this factor
+_RENEWAL_GRACE_FRACTION = 0.5  # of the freshness time; then lagging daemons are not renewed
+# Lag after which a gateway must hold. A large full update at 5 Mbit/s takes less, and an operator's
+# call waits 3 s.
 _HOLD_DELAY_S = 2.0
-# One that is heard but shows no sign of hearing us, on all its streams: nothing that waits
-# for its word would end.
+# A gateway that sends messages, but acknowledges none of ours on any stream for this time, is no
+# longer awaited: otherwise nothing that waits for its answer would end.
 _UNACKNOWLEDGED_LIMIT_S = 4.0
-# Between two looks at who is behind, twice the longest pause of the leader's chores: what
-# is over it was our own lateness, not their silence.
+# A longer time between two checks, twice the longest pause of the leader's background tasks, is an
+# event loop stall of this process and not silence of the daemons.
 _STALL_THRESHOLD_S = 1.0
 
 
 @dataclass
 class DaemonProgress:
-    """What the leader knows of one daemon.
+    """What the leader knows about one daemon. Times are on this member's monotonic clock.
 
     Attributes:
-        applied_revision: Configuration it said it has applied; 0 while unknown.
-        fresh_until_s: When its freshness lease has run out for certain.
-        last_contact_s: When it was last heard of.
+        applied_revision: Configuration that it reported as applied; 0 while unknown.
+        fresh_until_s: Time at which its freshness lease has certainly ended.
+        last_contact_s: Time of its last message.
         connected: Whether it has a stream open.
-        acts_past_lease: Whether it goes on by what it holds while control is silent.
-        hears_us_s: Newest time from which it has shown a word of ours.
-        hello_unanswered: Whether it has shown none since a stream was opened.
-        held_below: It promised to act by nothing older than this revision.
+        acts_past_lease: Whether it goes on with its configuration while control is unreachable.
+        last_acknowledged_s: Send time of the newest message of ours that it acknowledged.
+        hello_unacknowledged: Whether it has acknowledged none since a stream was opened.
+        held_below: Revision below which it promised not to act.
     """
 
     applied_revision: int = 0
@@ -59,18 +60,18 @@
 
     @property
     def oldest_usable_revision(self) -> int:
-        """Oldest revision that the daemon may still act by."""
+        """Oldest revision that the daemon may still act on."""
         return max(self.applied_revision, self.held_below)
 
 
 @dataclass(frozen=True)
 class LeftOut:
-    """A daemon that a change in force did not wait for.
+    """A daemon that a change in force did not await.
 
     Attributes:
-        name: The daemon.
-        applied_revision: Configuration it said it has applied.
-        silent_s: Age of its last word.
+        name: Name of the daemon.
+        applied_revision: Configuration that it reported as applied.
+        silent_s: Time since its last message, in seconds.
         connected: Whether it has a stream open.
     """
 
@@ -85,10 +86,10 @@
 
 
 class InForceTracker:
-    """Follows how far each daemon has applied the configuration.
+    """Tracks which configuration each daemon acts on.
 
     Args:
-        environment: Time.
+        environment: Source of time.
         freshness_s: Length of a freshness lease, in seconds.
     """
 
@@ -99,26 +100,26 @@
         self._pending_revision = 0
         self._pending_since_s = 0.0
         self._reached_revision = 0
-        self._commits: deque[tuple[int, float]] = deque()  # revision, when it was noted
+        self._commits: deque[tuple[int, float]] = deque()  # revision, time first seen
         self._last_check_s = 0.0
 
     def begin(self, names: list[str], earlier_leader_s: float) -> None:
-        """Begin as a new leader: any daemon may hold a lease of the leader before.
+        """Start a term as the leader; any daemon may hold a lease of the previous leader.
 
         Args:
-            names: All daemons known.
-            earlier_leader_s: Time for which an earlier leader may have gone on.
+            names: Names of all known daemons.
+            earlier_leader_s: Time for which an earlier leader may have continued, in seconds.
         """
         now = self._environment.monotonic()
         until = now + self._freshness_s * _CLOCK_RATE_MARGIN + earlier_leader_s
         self.daemons = {name: DaemonProgress(0, until, now) for name in names}
-        self._pending_revision = 0  # what an earlier term waited for is not waited for since
+        self._pending_revision = 0  # waiting time of an earlier term does not count
         self._reached_revision = 0
         self._commits.clear()
         self._last_check_s = now
 
     def note_contact(self, name: str) -> None:
-        """Note a sign of a daemon whose stream is not open yet."""
+        """Record a message of a daemon whose stream is not open yet."""
         progress = self.daemons.get(name)
         if progress is not None:
             progress.last_contact_s = self._environment.monotonic()
@@ -126,12 +127,13 @@
     def connected(
         self, name: str, applied_revision: int = 0, *, acts_past_lease: bool = False
     ) -> None:
-        """Note that a daemon opened a stream.
+        """Record that a daemon opened a stream.
 
         Args:
-            name: The daemon.
-            applied_revision: What its process holds; an earlier one may have held more.
-            acts_past_lease: Whether it goes on by that while control is silent.
+            name: Name of the daemon.
+            applied_revision: Configuration of this process; an earlier process of the daemon may
+                have had a newer one.
+            acts_past_lease: Whether it goes on with its configuration while control is unreachable.
         """
         now = self._environment.monotonic()
         progress = self.daemons.setdefault(name, DaemonProgress())
@@ -145,13 +147,13 @@
         progress.acts_past_lease = acts_past_lease
 
     def disconnected(self, name: str) -> None:
-        """Note that a daemon's stream ended; its lease runs on."""
+        """Record that a daemon's stream ended; its lease stays valid."""
         progress = self.daemons.get(name)
         if progress is not None:
             progress.connected = False
 
     def forget(self, name: str) -> None:
-        """Forget a daemon that said it acts no more."""
+        """Remove a daemon that reported that it no longer acts."""
         self.daemons.pop(name, None)
 
     def heartbeat(
@@ -163,19 +165,19 @@
         held_below: int = 0,
         last_received_s: float = 0.0,
     ) -> bool:
-        """Take in a heartbeat.
+        """Record a heartbeat.
 
         Args:
-            name: The daemon.
-            applied_revision: Configuration it says it has applied.
+            name: Name of the daemon.
+            applied_revision: Configuration that it reports as applied.
             committed_revision: Newest committed configuration.
-            in_force_revision: Newest configuration that was said to be in force.
-            held_below: It promises to act by nothing older than this revision.
-            heard_from_us_s: Time of the newest word of ours that it has; 0 for none.
+            in_force_revision: Newest configuration that was reported as in force.
+            held_below: Revision below which the daemon promises not to act.
+            last_received_s: Send time of the newest message of ours that it has; 0 for none.
 
         Returns:
-            Whether the daemon's freshness lease is renewed. A daemon that lags
-            behind a change for long is not: else it would hold the change up.
+            Whether the daemon's freshness lease is renewed. It is not if the daemon lags behind a
+            change for long, as the daemon would otherwise block that change.
         """
         now = self._environment.monotonic()
         progress = self.daemons.setdefault(name, DaemonProgress())
@@ -185,7 +187,7 @@
         if last_received_s:
             progress.last_acknowledged_s = max(progress.last_acknowledged_s, last_received_s)
             progress.hello_unacknowledged = False
-        # A change that is being put in force counts already: it no longer waits for anyone.
+        # A change that is about to be in force counts already, since it awaits no daemon any more.
         if applied_revision < max(in_force_revision, self._reached_revision):
             return False
         grace_s = self._freshness_s * _RENEWAL_GRACE_FRACTION
@@ -198,7 +200,7 @@
         return True
 
     def reached(self, committed_revision: int, in_force_revision: int) -> int:
-        """Return the revision that no daemon that is waited for acts below."""
+        """Return the newest revision below which no awaited daemon acts."""
         self._discount_own_stall()
         self._note_commits(committed_revision, in_force_revision)
         if committed_revision <= in_force_revision:
@@ -213,7 +215,7 @@
             if self._is_awaited(progress, now):
                 reached = min(reached, progress.oldest_usable_revision)
         if reached > in_force_revision:
-            self._pending_revision = 0  # those still pending count from now on
+            self._pending_revision = 0  # waiting for later changes counts from now on
             self._reached_revision = reached
         return max(reached, in_force_revision)
 
@@ -226,18 +228,18 @@
         return is_in_contact and now_s - progress.last_acknowledged_s < _UNACKNOWLEDGED_LIMIT_S
 
     def _discount_own_stall(self) -> None:
-        """Take no time for silence in which this member itself did not look."""
+        """Exclude an event loop stall of this member from the daemons' silence."""
         now = self._environment.monotonic()
-        late_s = now - self._last_check_s
+        pause_s = now - self._last_check_s
         self._last_check_s = now
-        if late_s < _STALL_THRESHOLD_S:
+        if pause_s < _STALL_THRESHOLD_S:
             return
         for progress in self.daemons.values():
-            progress.last_contact_s = min(now, progress.last_contact_s + late_s)
-            progress.last_acknowledged_s = min(now, progress.last_acknowledged_s + late_s)
+            progress.last_contact_s = min(now, progress.last_contact_s + pause_s)
+            progress.last_acknowledged_s = min(now, progress.last_acknowledged_s + pause_s)
 
     def _note_commits(self, committed_revision: int, in_force_revision: int) -> None:
-        """Remember when each change that is not in force was first seen."""
+        """Record when each change that is not in force was first seen."""
         while self._commits and self._commits[0][0] <= in_force_revision:
             self._commits.popleft()
         newest = self._commits[-1][0] if self._commits else in_force_revision
@@ -245,18 +247,18 @@
             self._commits.append((committed_revision, self._environment.monotonic()))
 
     def _waited_s(self, progress: DaemonProgress) -> float:
-        """Return how long the oldest change that a daemon lacks has waited."""
+        """Return how long the oldest change that a daemon lacks has waited, in seconds."""
         for revision, since_s in self._commits:
             if revision > progress.oldest_usable_revision:
                 return self._environment.monotonic() - since_s
         return 0.0
 
     def daemons_to_hold(self, committed_revision: int) -> list[str]:
-        """Return the daemons in touch that must promise to act by nothing older.
+        """Return the connected daemons that must promise not to act on an older revision.
 
-        One that holds already is asked for each further change at once: it serves
-        nothing. Where more than half lag it is control that is slow: the change waits,
-        and they go on serving.
+        A daemon that holds already serves nothing, so it is asked to hold for each further change
+        at once. If more than half of the daemons lag, control itself is slow: the change waits, and
+        the daemons go on serving.
         """
         if not self._commits:
             return []
@@ -265,7 +267,7 @@
             for name, progress in self.daemons.items()
             if progress.connected and progress.acts_past_lease
         }
-        late = [
+        lagging = [
             name
             for name, progress in candidates.items()
             if self._waited_s(progress) >= _HOLD_DELAY_S
@@ -276,16 +278,16 @@
             if progress.held_below > progress.applied_revision
             and progress.oldest_usable_revision < committed_revision
         ]
-        few = len({*late, *holding}) * 2 <= len(candidates)
-        return sorted({*late, *holding}) if few else holding
+        is_minority = len({*lagging, *holding}) * 2 <= len(candidates)
+        return sorted({*lagging, *holding}) if is_minority else holding
 
     def awaited_daemons(self) -> list[str]:
-        """Return the daemons that are waited for: they are heard, and hear."""
+        """Return the awaited daemons: those with a lease or with messages in both directions."""
         now = self._environment.monotonic()
         return [name for name, known in self.daemons.items() if self._is_awaited(known, now)]
 
     def left_out(self, revision: int) -> Iterator[LeftOut]:
-        """Give the daemons that may act by something older than a revision."""
+        """Yield the daemons that may act on something older than a revision."""
         now = self._environment.monotonic()
         for name in self.behind(revision):
             progress = self.daemons[name]
@@ -294,22 +296,22 @@
 
     @property
     def pending_s(self) -> float:
-        """How long the newest change has waited to come into force; 0 while there is none."""
+        """Time for which the pending changes have waited to be in force, in seconds; 0 for none."""
         if not self._pending_revision:
             return 0.0
         return self._environment.monotonic() - self._pending_since_s
 
     def is_behind(self, name: str, revision: int) -> bool:
-        """Whether a daemon may act by something older than a revision."""
+        """Whether a daemon may act on something older than a revision."""
         progress = self.daemons.get(name)
         return progress is not None and progress.oldest_usable_revision < revision
 
     def behind(self, revision: int) -> list[str]:
-        """Return the daemons that may act by something older than a revision."""
+        """Return the names of daemons that may act on something older than a revision."""
         return sorted(name for name in self.daemons if self.is_behind(name, revision))
 
     def blocking_daemons(self, committed_revision: int) -> list[str]:
-        """Return the daemons that are behind and are waited for."""
+        """Return the names of awaited daemons that block a change."""
         now = self._environment.monotonic()
         return [
             name
--- a/packages/heronladder-control/src/heronladder_control/leader_decisions.py
+++ b/packages/heronladder-control/src/heronladder_control/leader_decisions.py
@@ -1,7 +1,8 @@
-"""What the leader decides before a command goes into the log, so that members only carry it out.
+"""Decisions that the leader adds to a command before it is appended to the log.
 
-A rule that decides while a command is applied can't change without a new cluster version: members
-of two builds would hold different states of one log. What is decided here can.
+A rule that is evaluated while a command is applied can't change without a new cluster version,
+since members of different builds would derive different states from one log. A rule that is
+evaluated here can.
 """
 
 from collections.abc import Iterator
@@ -20,7 +21,7 @@
     """Adds the leader's decisions to commands.
 
     Args:
-        state: What they rest on, as it is applied.
+        state: Applied state, on which the decisions depend.
     """
 
     def __init__(self, state: ControlState) -> None:
@@ -30,7 +31,7 @@
 
     @contextmanager
     def deciding(self, command: control_pb2.Command) -> Iterator[None]:
-        """Decide a command that is about to go into the log; ends once its fate is known."""
+        """Add decisions to a command; the context lasts until the command's outcome is known."""
         if self._state.cluster_version < _DECIDED_SINCE:
             yield
             return
@@ -46,7 +47,7 @@
             self._draws.ended(draw)
 
     def _decide(self, draw: control_pb2.DrawTokens) -> bool:
-        """Decide a draw; return whether it counts as under way."""
+        """Decide a draw; return whether it counts as in flight."""
         if not self._state.is_current(draw.holder, draw.incarnation):
             return False
         return self._draws.decide(draw)
--- a/packages/heronladder-control/src/heronladder_control/lease_rules.py
+++ b/packages/heronladder-control/src/heronladder_control/lease_rules.py
@@ -1,4 +1,4 @@
-"""Rules of one lease: what is left of it, and which of its reservations are settled."""
+"""Rules for a single lease: its remaining tokens and its settled reservations."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 def outstanding(lease: ledger_pb2.Lease) -> int:
-    """Return the tokens a lease's holder may still spend."""
+    """Return the number of tokens that a lease's holder may still spend."""
     return lease.granted - lease.returned - lease.billed - lease.withheld
 
 
@@ -16,7 +16,7 @@
 
 
 class SettlementStatus(Enum):
-    """How a settlement stands to an earlier one of its reservation."""
+    """Relation of a settlement to an earlier settlement of the same reservation."""
 
     FIRST = "first"
     BILLED_BEFORE = "billed before"
@@ -25,7 +25,7 @@
 
 
 def lost_reservation(lease: ledger_pb2.Lease, sequence: int) -> ledger_pb2.LostReservation | None:
-    """Return what is charged for a reservation settled as lost, or None."""
+    """Return the charge for a reservation that was settled as lost, or None."""
     for lost in lease.lost:
         if lost.sequence == sequence:
             return lost
@@ -33,7 +33,7 @@
 
 
 def mark_settled(lease: ledger_pb2.Lease, sequence: int) -> None:
-    """Note that a reservation is settled: the watermark rises over dense ones."""
+    """Mark a reservation as settled; the watermark rises over consecutive settled ones."""
     if sequence != lease.watermark + 1:
         lease.settled_above.append(sequence)
         return
--- a/packages/heronladder-control/src/heronladder_control/replica_limits.py
+++ b/packages/heronladder-control/src/heronladder_control/replica_limits.py
@@ -1,9 +1,9 @@
-"""Shares out what rate-limited replicas take: sends that routers may make, granted by the leader.
+"""Distribution of the request rate of rate-limited replicas among routers.
 
-A rate-limited replica names what it takes from all routers together, and no router knows what the
-others send. So the leader alone hands its requests out, a few at a time, to those that ask. A grant
-runs out soon, so that what is granted in any span of time is close to what is sent in it. All of it
-is soft state: routers tell all that they know with each heartbeat.
+A rate-limited replica states the rate that it accepts from all routers together, and no router
+knows what the others send. Therefore the leader alone grants sends, a few at a time, to the routers
+that request them. Grants expire soon, so the sends granted in any time span are close to those made
+in it. All of this is soft state: routers report all that they know with each heartbeat.
 """
 
 from collections.abc import Callable, Iterable
@@ -26,24 +26,25 @@
 
 from heronladder_control.daemon_session import DaemonSession
 
-# Of what a replica takes; the rest is for sends that nobody granted: those under way when it first
-# named its limit, and those of routers that are cut off.
+# Part of a replica's limit that is granted. The rest is for sends without a grant: those in flight
+# when the replica first states its limit, and those of routers that are disconnected from control.
 _GRANTED_FRACTION = 0.95
-# So much is granted of any limit, 0 too: only an answer tells that the need has ended.
+# Rate granted for any limit, even 0: only an answer of the replica shows that its limit has ended.
 _MIN_RATE_PER_S = 0.1
-# What comes together in so long may be granted together: a heartbeat of each router.
+# Grants that accumulate over this time may be given at once: one heartbeat interval.
 _BURST_S = 0.3
-# A router that asked in vain within that time keeps its turn: until its next heartbeat, and a half
-# . Only where a replica takes a request a heartbeat or more: below, a turn kept for callers
-# that have given up costs others (virtual time, 30 gateways, 1.7 a second: 0.58 to 0.61 of it used,
-# 0.72 to 0.75 without; 20 a second: least served gateway 0.19 to 0.21 of its requests, 0.06 to 0.12
-# without turns).
+# A router whose request was not served keeps its turn for this time, which is one and a half
+# heartbeats. Turns are only kept for replicas that accept a request per heartbeat or more: below
+# that, a turn kept for callers that have given up costs others. With 30 gateways and a limit of 1.7
+# requests per second, 0.58 to 0.61 of the limit is used with turns and 0.72 to 0.75 without. At 20
+# requests per second, the least served gateway gets 0.19 to 0.21 of its requests served with turns
+# and 0.06 to 0.12 without.
 _REQUEST_VALID_S = 0.45
-_PRUNE_INTERVAL_S = 1.0  # between two looks for replicas that nobody tells of
-_REPORT_TIMEOUT_S = 5.0  # nobody told of a replica for longer: it is forgotten
-# Nobody heard of a replica for longer: sends granted there run out unused, at gateways that get too
-# few requests. One that holds longer is granted now and then, so that the end of the need is
-# noticed; two at most are out at a time.
+_PRUNE_INTERVAL_S = 1.0
+_REPORT_TIMEOUT_S = 5.0  # a replica that no router reports for this time is removed
+# After this time without an observation of a replica, the sends granted there expire unused at
+# gateways with too few requests. One send with a longer lifetime is then granted now and then, so
+# that the end of the limit is noticed. At most two of these are outstanding at a time.
 _STALE_OBSERVATION_S = 3.0
 _LONG_GRANT_S = 10.0
 _LONG_GRANT_INTERVAL_S = 5.0
@@ -51,7 +52,13 @@
 
 @dataclass(frozen=True)
 class _GrantRequest:
-    """What a router asks for: sends at any of a service's rate-limited replicas."""
+    """A router's request for sends to any of a service's rate-limited replicas.
+
+    Attributes:
+        requested_s: Time of the request, in seconds.
+        service: Name of the service.
+        sends: Number of sends requested.
+    """
 
     requested_s: float
     service: str
@@ -60,17 +67,17 @@
 
 @dataclass
 class _SharedLimit:
-    """One rate-limited replica.
+    """The limit of one rate-limited replica, as a token bucket of sends.
 
     Attributes:
-        report: The newest report on it.
-        version: Rises when what routers go by changes.
-        reported_s: When a router told of it last.
+        report: Newest report about the replica.
+        version: Number of the newest change of the limit, by which routers are updated.
+        reported_s: Time of the newest report of any router, in seconds.
         free: Sends that may be granted now.
-        filled_s: When that was counted.
-        asks: What each router asks for.
-        waits_s: By router: since when it waits, from its first ask or its newest grant.
-        long_s: When a send was granted last that holds longer.
+        refilled_s: Time at which ``free`` was last computed, in seconds.
+        requests: Pending request of each router.
+        waiting_since_s: By router, the time of its first request or its newest grant, in seconds.
+        last_long_grant_s: Time of the newest grant with a longer lifetime, in seconds.
     """
 
     report: LimitReport
@@ -84,50 +91,56 @@
 
     @property
     def rate_per_s(self) -> float:
-        """Sends granted in a second."""
+        """Sends granted per second."""
         return max(_MIN_RATE_PER_S, _GRANTED_FRACTION * (self.report.per_s or 0.0))
 
     @property
     def burst_limit(self) -> float:
-        """Sends that may be granted together."""
+        """Largest number of sends that may be granted at once."""
         return max(1.0, self.rate_per_s * _BURST_S)
 
     def fill(self, now_s: float) -> None:
-        """Add what may be granted since it was counted last."""
+        """Refill the token bucket up to a time."""
         since_s = max(0.0, now_s - self.refilled_s)
         self.free = min(self.burst_limit, self.free + self.rate_per_s * since_s)
         self.refilled_s = max(self.refilled_s, now_s)
 
     def grantable_to(self, router: str, now_s: float) -> int:
-        """Return how many sends a router may be granted now; those that waited longer go first."""
+        """Return how many sends a router may be granted now.
+
+        Routers with a longer wait, weighted by the number of sends that they request, go first.
+        """
         self.fill(now_s)
         if router not in self.requests:
             return 0
         own = self._weighted_wait(router, now_s)
-        before = sum(
+        reserved = sum(
             1
             for other, request in self.requests.items()
             if now_s - request.requested_s < _REQUEST_VALID_S
             and self._weighted_wait(other, now_s) > own
         )
-        return max(0, int(self.free) - before)
+        return max(0, int(self.free) - reserved)
 
     def _weighted_wait(self, router: str, now_s: float) -> float:
         return (now_s - self.waiting_since_s[router]) * self.requests[router].sends
 
     def grant(self, router: str, sends: int, now_s: float) -> None:
-        """Take sends for a router."""
+        """Deduct sends that are granted to a router, and remove its request."""
         self.free -= sends
         self.waiting_since_s[router] = now_s
         del self.requests[router]
 
     def drop_unserved_request(self, router: str) -> None:
-        """Let go of a router's turn, unless turns are kept."""
+        """Remove a router's request that was not served, unless turns are kept."""
         if self.burst_limit <= 1:
             del self.requests[router]
 
     def take_grant_lifetime_s(self, now_s: float) -> float:
-        """Return how long a send that is granted now may be held."""
+        """Return the lifetime of a send that is granted now, in seconds.
+
+        Marks the grant as the newest one with a longer lifetime if it is one.
+        """
         if (
             now_s - self.report.observed_s < _STALE_OBSERVATION_S
             or now_s - self.last_long_grant_s < _LONG_GRANT_INTERVAL_S
@@ -138,13 +151,13 @@
 
 
 class SharedReplicaLimits:
-    """The limits of all rate-limited replicas, as the leader knows them.
+    """The leader's state of the limits of all rate-limited replicas.
 
     Args:
-        environment: Time.
-        term: Tells the leader's term.
-        metrics: Where it counts.
-        log: Where changes are reported.
+        environment: Source of time.
+        term: Returns the leader's term.
+        metrics: Metrics of this process.
+        log: Event log of this process.
     """
 
     def __init__(
@@ -160,14 +173,14 @@
         self._log = log
         self._limits: dict[Incarnation, _SharedLimit] = {}
         self._version = 0
-        self._requested: dict[str, list[Incarnation]] = {}  # by router, with its newest heartbeat
+        self._requested: dict[str, list[Incarnation]] = {}  # by router, from its newest heartbeat
         self._current_term = 0
         self._grants_start_s = 0.0
         self._next_prune_s = 0.0
         metrics.gauge("replicas_limited", lambda: len(self._limits))
 
     def _begin_term(self) -> None:
-        """Begin anew: what an earlier term knew is void, what it granted may still be used."""
+        """Discard the state of an earlier term, and delay grants until its grants have expired."""
         if self._current_term == self._term():
             return
         self._current_term = self._term()
@@ -178,7 +191,7 @@
     # ---- reports of routers -------------------------------------------------
 
     def observe(self, router: str, reports: Iterable[control_pb2.ReplicaLimit]) -> None:
-        """Take in what a router knows of rate-limited replicas, and what it asks for."""
+        """Record a router's reports about rate-limited replicas and its requests for sends."""
         self._begin_term()
         now_s = self._environment.monotonic()
         self._drop_requests(router)
@@ -234,7 +247,7 @@
         )
 
     def forget(self, router: str) -> None:
-        """Let go of a router's turns: its stream ended."""
+        """Remove a router's requests and waiting times after its stream ended."""
         self._drop_requests(router)
         for limit in self._limits.values():
             limit.waiting_since_s.pop(router, None)
@@ -242,7 +255,7 @@
     # ---- reports to routers -------------------------------------------------
 
     def fill(self, session: DaemonSession, frame: control_pb2.ControlFrame) -> None:
-        """Tell a router what changed, and grant it sends; only with an acknowledged heartbeat."""
+        """Add changed limits and granted sends to a frame that acknowledges a heartbeat."""
         self._begin_term()
         if not self._limits:
             return
@@ -254,20 +267,20 @@
         self._grant(session.record.name, frame, now_s)
 
     def _grant(self, router: str, frame: control_pb2.ControlFrame, now_s: float) -> None:
-        """Grant a router what it asked for, at the replicas of each service that have most left."""
-        left: dict[str, int] = {}
-        asked = [one for one in self._requested.get(router, ()) if one in self._limits]
-        for incarnation in sorted(asked, key=lambda one: -self._limits[one].free):
+        """Grant a router requested sends, first at the replicas with most free sends."""
+        unserved: dict[str, int] = {}  # sends still requested, by service
+        requested = [one for one in self._requested.get(router, ()) if one in self._limits]
+        for incarnation in sorted(requested, key=lambda one: -self._limits[one].free):
             limit = self._limits[incarnation]
             request = limit.requests.get(router)
             if request is None:
                 continue
-            grantable_to = limit.grantable_to(router, now_s)
-            sends = min(left.setdefault(request.service, request.sends), grantable_to)
+            grantable = limit.grantable_to(router, now_s)
+            sends = min(unserved.setdefault(request.service, request.sends), grantable)
             if sends <= 0:
                 limit.drop_unserved_request(router)
                 continue
-            left[request.service] -= sends
+            unserved[request.service] -= sends
             limit.grant(router, sends, now_s)
             frame.replica_grants.add(
                 replica=incarnation[0],
@@ -280,29 +293,29 @@
     def _add_changes(
         self, session: DaemonSession, frame: control_pb2.ControlFrame, now_s: float
     ) -> None:
-        told = session.sent_limits
-        if told == self._version:
+        sent_version = session.sent_limits
+        if sent_version == self._version:
             return
-        news = sorted(
+        changes = sorted(
             (limit.version, incarnation)
             for incarnation, limit in self._limits.items()
-            if limit.version > told
+            if limit.version > sent_version
         )
-        for _, incarnation in news[:MOST_REPORTS]:
+        for _, incarnation in changes[:MOST_REPORTS]:
             report = self._limits[incarnation].report
             frame.replica_limits.append(to_message(incarnation, report, now_s))
-        all_told = len(news) <= MOST_REPORTS
-        session.sent_limits = self._version if all_told else news[MOST_REPORTS - 1][0]
+        all_sent = len(changes) <= MOST_REPORTS
+        session.sent_limits = self._version if all_sent else changes[MOST_REPORTS - 1][0]
 
     def _prune(self, now_s: float) -> None:
         if now_s < self._next_prune_s:
             return
         self._next_prune_s = now_s + _PRUNE_INTERVAL_S
-        old = [
+        expired = [
             incarnation
             for incarnation, limit in self._limits.items()
             if now_s - limit.reported_s > _REPORT_TIMEOUT_S
             or (limit.report.ended and now_s - limit.report.observed_s > 2 * ENDED_REPORTED_S)
         ]
-        for incarnation in old:
+        for incarnation in expired:
             del self._limits[incarnation]
--- a/packages/heronladder-control/src/heronladder_control/replica_loads.py
+++ b/packages/heronladder-control/src/heronladder_control/replica_loads.py
@@ -1,8 +1,8 @@
-"""What all routers together have under way at each replica, as they told it last.
+"""Total load of each replica over all routers.
 
-A router sees its own requests only, a small part of a replica's load when many
-routers share it. Each tells its own with its heartbeats and hears the sum of the
-others with the answer. The sums are soft state: a leader that is new has none.
+A router sees only its own requests, which are a small part of a replica's load when many routers
+share it. Each router reports its own load with its heartbeats and receives the total of the others
+in the reply. The totals are soft state: a new leader starts without any.
 """
 
 import heapq
@@ -11,15 +11,15 @@
 from heronladder_runtime.replica_sums import MOST_TOLD
 from heronladder_schema.v1 import control_pb2
 
-# The busiest are chosen anew so often while all routers tell once: at each word of 300 routers
-# it sorted 3,000 sums 1,000 times a second.
+# Number of times the busiest replicas are selected while every router reports once. Selection at
+# each report would sort the totals of 3,000 replicas 1,000 times per second with 300 routers.
 _SELECTIONS_PER_ROUND = 4
 
 _Loads = dict[str, tuple[int, int]]  # by replica: requests, unread tokens
 
 
 class ReplicaLoads:
-    """Sums what routers told, by replica."""
+    """Totals of the routers' reported loads, by replica."""
 
     def __init__(self) -> None:
         self._reported: dict[str, _Loads] = {}
@@ -28,7 +28,12 @@
         self._reports_since_selection = 0
 
     def observe(self, router: str, loads: Mapping[str, control_pb2.ReplicaLoad]) -> None:
-        """Take what a router has under way now; it replaces what it told before."""
+        """Replace a router's reported load.
+
+        Args:
+            router: Name of the router.
+            loads: Its requests in flight and their unread prompt tokens, by replica.
+        """
         self.forget(router)
         reported = {name: (load.in_flight, load.unread_tokens) for name, load in loads.items()}
         self._reported[router] = reported
@@ -38,7 +43,7 @@
             self._totals[name] = (total_in_flight + in_flight, total_unread + unread)
 
     def forget(self, router: str) -> None:
-        """Drop what a router told: it is gone, or tells anew."""
+        """Remove a router's reported load."""
         for name, (in_flight, unread) in self._reported.pop(router, {}).items():
             total_in_flight, total_unread = self._totals[name]
             rest = (total_in_flight - in_flight, total_unread - unread)
@@ -48,7 +53,7 @@
                 del self._totals[name]
 
     def fill(self, router: str, frame: control_pb2.ControlFrame) -> None:
-        """Tell a router what all others have under way, the busiest replicas first."""
+        """Add the load of all other routers to a frame, limited to the busiest replicas."""
         frame.has_replica_loads = True
         own = self._reported.get(router, {})
         for name in self._select_busiest():
@@ -60,9 +65,9 @@
                 load.unread_tokens = unread - own_unread
 
     def _select_busiest(self) -> list[str]:
-        """Return the busiest replicas, as they were at most a part of a round ago.
+        """Return the busiest replicas, selected a fraction of a reporting round ago at most.
 
-        While there is room for all, all: each is told at once, and none is sorted.
+        If all replicas fit, all are returned unsorted, so that new loads are reported at once.
         """
         if len(self._totals) <= MOST_TOLD:
             return list(self._totals)
--- a/packages/heronladder-control/src/heronladder_control/rollouts/__init__.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Roll-outs: their record in the log, and what the leader decides on them."""
+"""Rollouts of new software versions: the replicated record and the leader's decisions."""
--- a/packages/heronladder-control/src/heronladder_control/rollouts/controller.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/controller.py
@@ -1,7 +1,8 @@
-"""The leader's chores for roll-outs: grants out, counts in, the next phase into the log.
+"""The leader's background work for rollouts.
 
-All of it is soft but the record and its note: a new leader hears the sums again, and takes all
-that its predecessors may have granted for used.
+Collects the routers' reports, grants them requests to a version on trial, and proposes the next
+phase. Only the rollout record and its note are replicated; the rest is soft state. A new leader
+receives the routers' totals again and counts all that its predecessors may have granted as used.
 """
 
 from __future__ import annotations
@@ -26,38 +27,54 @@
     from heronladder_control.daemon_session import DaemonSession
     from heronladder_control.member_context import MemberContext
 
-_CHECK_INTERVAL_S = 0.2  # between two looks at a roll-out; under a heartbeat
-_CLEAR_REPORT_VALID_S = 1.0  # as long as a router that hears nothing stays with a move
-_NOTE_INTERVAL_S = 0.5  # between two notes in the log
-_CEILING_LOOKAHEAD_S = 1.0  # the ceiling is as high as the allowance will be so much later
+_CHECK_INTERVAL_S = 0.2  # shorter than a heartbeat interval
+_CLEAR_REPORT_VALID_S = 1.0  # a disconnected router keeps to a move for this long
+_NOTE_INTERVAL_S = 0.5  # between two notes proposed for one rollout
+# The ceiling in the log covers the allowance as it is expected to be this much later.
+_CEILING_LOOKAHEAD_S = 1.0
 
 
 @dataclass
 class _RolloutProgress:
-    """What the leader knows of one order."""
+    """What the leader knows about one order.
+
+    Attributes:
+        ordered_revision: Log index of the order.
+        started_s: Start of the order on this member's monotonic clock; at the latest.
+        ledger: Grants for this order.
+        watch: Statistical tests of the target version.
+        reports: Newest report of each router, by incarnation.
+        reported_at_s: Time of each router's newest report, by incarnation.
+        rate: Rate of the service's requests.
+        last_note_s: Time at which the ceiling was last considered; -inf if never.
+        last_note_requests: Requests of the service at that time.
+        verdict: Newest verdict on the target version.
+    """
 
     ordered_revision: int
-    started_s: float  # on this member's clock, as far as is known
+    started_s: float
     ledger: GrantLedger
     watch: Watch
-    reports: dict[str, control_pb2.RolloutReport] = field(default_factory=dict)  # by incarnation
-    reported_at_s: dict[str, float] = field(default_factory=dict)  # when a word came last
+    reports: dict[str, control_pb2.RolloutReport] = field(default_factory=dict)
+    reported_at_s: dict[str, float] = field(default_factory=dict)
     rate: RequestRate = field(default_factory=RequestRate)
     last_note_s: float = float("-inf")
     last_note_requests: int = 0
-    verdict: Verdict = field(default_factory=lambda: Verdict(Decision.GO_ON, "nothing counted yet"))
+    verdict: Verdict = field(
+        default_factory=lambda: Verdict(Decision.GO_ON, "no answers counted yet")
+    )
 
     @property
     def requests(self) -> int:
-        """Requests of the service since the order, as routers told."""
-        return sum(reports.requests for reports in self.reports.values())
+        """Requests of the service since the order, as reported by routers."""
+        return sum(report.requests for report in self.reports.values())
 
 
 class RolloutController:
-    """Leads all roll-outs of a group while its member leads.
+    """Drives all rollouts of a control group while its member is the leader.
 
     Args:
-        member: The member.
+        member: Context of this control member.
     """
 
     def __init__(self, member: MemberContext) -> None:
@@ -67,33 +84,33 @@
         self._next_check_s = 0.0
 
     def begin(self) -> None:
-        """Begin as the leader: what an earlier term knew is void."""
+        """Start a term as the leader and discard what an earlier term knew."""
         self._progress.clear()
         self._next_check_s = 0.0
 
-    # ---- words of routers -------------------------------------------------
+    # ---- reports and grants -----------------------------------------------
 
-    def observe(self, session: DaemonSession, words: Iterable[control_pb2.RolloutReport]) -> None:
-        """Take what a router did since the order; a repeat or an older word changes nothing."""
-        for word in words:
-            progress = self._progress_for(word.service)
-            if progress is None or progress.ordered_revision != word.ordered_revision:
+    def observe(self, session: DaemonSession, reports: Iterable[control_pb2.RolloutReport]) -> None:
+        """Record a router's totals since the order; duplicate and older reports have no effect."""
+        for report in reports:
+            progress = self._progress_for(report.service)
+            if progress is None or progress.ordered_revision != report.ordered_revision:
                 continue
             incarnation = session.record.incarnation
             earlier = progress.reports.get(incarnation)
-            if earlier is None or word.age_ms >= earlier.age_ms:
-                progress.reports[incarnation] = word
+            if earlier is None or report.age_ms >= earlier.age_ms:
+                progress.reports[incarnation] = report
                 progress.reported_at_s[incarnation] = self._now_s()
-            # Routers learned of the order after it came: so much time has surely passed.
-            started_s = self._now_s() - word.age_ms / MILLISECONDS_PER_SECOND
+            # A router learns of an order after it was given, so its age is a lower bound.
+            started_s = self._now_s() - report.age_ms / MILLISECONDS_PER_SECOND
             progress.started_s = min(progress.started_s, started_s)
 
     def fill(self, session: DaemonSession, frame: control_pb2.ControlFrame) -> None:
-        """Grant a router what it may send."""
+        """Add to a frame the total number of requests that the router may send to the target."""
         for service, progress in self._progress.items():
             record = self._member.state.rollouts.get(service)
-            word = progress.reports.get(session.record.incarnation)
-            if record is None or word is None or not _uses_grants(record):
+            report = progress.reports.get(session.record.incarnation)
+            if record is None or report is None or not _uses_grants(record):
                 continue
             if progress.ordered_revision != record.ordered_revision:
                 continue
@@ -101,8 +118,8 @@
             ceiling = note.ceiling if note is not None else 0
             total = progress.ledger.grant(
                 session.record.incarnation,
-                held=word.granted,
-                sent=word.sent,
+                held=report.granted,
+                sent=report.sent,
                 allowance=min(ceiling, self._allowance(record, progress, progress.requests)),
                 routers=len(self._member.sessions),
             )
@@ -120,7 +137,7 @@
         return self._limits.trial_limit(requests, elapsed_s, duration_s)
 
     def _progress_for(self, service: str) -> _RolloutProgress | None:
-        """Return what is known of a service's order, from nothing if it is new."""
+        """Return the progress of a service's order, created if the order is new."""
         record = self._member.state.rollouts.get(service)
         if record is None or not (record.phase in RUNNING or record.newcomer):
             self._progress.pop(service, None)
@@ -140,14 +157,15 @@
         return known
 
     def _affinity_routes(self) -> frozenset[str]:
+        """Return the routes with affinity, whose prompts new replicas have not cached yet."""
         fleet = self._member.state.fleet.configuration()
         routes = fleet.routes if fleet is not None else ()
         return frozenset(route.name for route in routes if route.affinity)
 
-    # ---- chores -----------------------------------------------------------
+    # ---- periodic checks --------------------------------------------------
 
     async def tend(self) -> None:
-        """Look at all roll-outs, and write what has to be in the log."""
+        """Check all rollouts and propose due phases and ceilings."""
         services = self._member.state.rollouts.services()
         if not services or self._now_s() < self._next_check_s:
             return
@@ -168,13 +186,13 @@
         self, service: str, record: resources_pb2.Rollout, progress: _RolloutProgress
     ) -> RolloutView:
         evidence = Evidence()
-        for word in progress.reports.values():
-            evidence.add(Evidence.from_messages(word.answers))
+        for report in progress.reports.values():
+            evidence.add(Evidence.from_messages(report.answers))
         if record.phase in RUNNING and progress.verdict.decision is not Decision.GO_BACK:
             progress.verdict = progress.watch.judge(evidence, alone=record.phase == MOVING)
         elapsed_s = self._now_s() - progress.started_s
         progress.rate.note(self._now_s(), progress.requests)
-        sent = sum(word.sent for word in progress.reports.values())
+        sent = sum(report.sent for report in progress.reports.values())
         longest_ms = evidence.whole(of_target=False).longest_ms
         return RolloutView(
             phase=record.phase,
@@ -199,21 +217,25 @@
         )
 
     def _others_drained(self, service: str, progress: _RolloutProgress) -> bool:
-        """Whether the move is in force, and every router in touch has nothing elsewhere."""
+        """Whether the move is in force and no connected router has requests at other versions."""
         resource = self._member.state.resources.get(ROLLOUT_KIND, service)
         if resource is None or self._member.state.in_force_revision < resource.metadata.revision:
             return False
         known = self._member.state.daemons.daemons
         routers = [known[name] for name in self._member.in_force.awaited_daemons() if name in known]
         asked = [r.incarnation for r in routers if r.role == ROLE_ROUTER and not r.gone]
-        # None in touch: what they have elsewhere is not known.
+        # Without a connected router, requests in flight at other versions are not known.
         return bool(asked) and all(self._is_router_clear(progress, name) for name in asked)
 
     def _is_router_clear(self, progress: _RolloutProgress, incarnation: str) -> bool:
-        """Whether a router says so now: one that hears nothing goes back to old replicas."""
-        word = progress.reports.get(incarnation)
+        """Whether a router recently reported no requests at other versions.
+
+        A router that is disconnected from control goes back to the old replicas, so only a recent
+        report counts.
+        """
+        report = progress.reports.get(incarnation)
         silent_s = self._now_s() - progress.reported_at_s.get(incarnation, float("-inf"))
-        return word is not None and word.clear and silent_s <= _CLEAR_REPORT_VALID_S
+        return report is not None and report.clear and silent_s <= _CLEAR_REPORT_VALID_S
 
     async def _advance(
         self,
@@ -238,11 +260,11 @@
             to_phase=phase_name(step.phase),
             elapsed_s=self._now_s() - progress.started_s,
             requests=progress.requests,
-            sent=sum(word.sent for word in progress.reports.values()),
+            sent=sum(report.sent for report in progress.reports.values()),
             granted=progress.ledger.granted_total,
             routers=len(progress.reports),
-            # What single routers took it for, of few answers each: their sum decides.
-            stopped=sum(1 for word in progress.reports.values() if word.stopped),
+            # Routers whose own verdict, from few answers each, was bad; only the total decides.
+            stopped=sum(1 for report in progress.reports.values() if report.stopped),
             reason=step.reason,
         )
         await self._member.propose(command)
@@ -250,17 +272,19 @@
     async def _raise_ceiling(
         self, service: str, record: resources_pb2.Rollout, progress: _RolloutProgress
     ) -> None:
-        """Raise the ceiling in the log ahead of what will be granted."""
+        """Raise the replicated ceiling before grants reach it."""
         now_s = self._now_s()
         if now_s - progress.last_note_s < _NOTE_INTERVAL_S:
             return
         requests = progress.requests
-        grown = 0.0
+        requests_per_s = 0.0
         if progress.last_note_s > float("-inf"):
-            grown = (requests - progress.last_note_requests) / (now_s - progress.last_note_s)
+            requests_per_s = (requests - progress.last_note_requests) / (
+                now_s - progress.last_note_s
+            )
         progress.last_note_s = now_s
         progress.last_note_requests = requests
-        ahead = requests + int(max(0.0, grown) * _CEILING_LOOKAHEAD_S)
+        ahead = requests + int(max(0.0, requests_per_s) * _CEILING_LOOKAHEAD_S)
         ceiling = self._allowance(record, progress, ahead)
         note = self._member.state.rollouts.notes.get(service)
         if note is not None and ceiling <= note.ceiling:
--- a/packages/heronladder-control/src/heronladder_control/rollouts/exposure.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/exposure.py
@@ -1,28 +1,33 @@
-"""How many requests a version that is not trusted yet may get, as numbers that run out."""
+"""Limits on the requests that an unproven version may receive, and the grants that enforce them.
+
+Routers may send only as many requests to such a version as the leader has granted them.
+"""
 
 from dataclasses import dataclass
 
-# What a trial may use of the bound in any case. The rest is for the move, in which a version that
-# turns bad gets all requests until that is noticed.
+# Parts of the total limit that a trial may use in any case. The rest is kept for the move, in which
+# a version that turns bad receives all requests until the fault is detected.
 _TRIAL_FRACTION = 0.5
 _TRIAL_SLACK_FRACTION = 0.4
-# Of a service with few requests a trial may use more: all but what the service gets in so many
-# seconds, and but a tenth for what is under way.
+# For a service with few requests, a trial may use more than these parts: the total limit expected
+# at the end of the duration, less the requests that the service receives in _RESERVED_S, and at
+# most _USABLE_FRACTION of the present total limit, which leaves a tenth for requests in flight.
 _RESERVED_S = 1.0
 _USABLE_FRACTION = 0.9
-_INITIAL_FRACTION = 0.4  # of that, from the start; the rest evenly until the move
-_MIN_RATE_WINDOW_S = 1.0  # an estimate of the requests a second needs so long
-_NEWCOMER_FRACTION = 0.5  # of a trial's, for a version that no order has named
-_MAX_OUTSTANDING_SENDS = 8  # sends that one router holds beyond those it has made
+# Part of that which is available from the start; the rest is added evenly over the duration.
+_INITIAL_FRACTION = 0.4
+_MIN_RATE_WINDOW_S = 1.0  # the request rate is estimated over at least this time
+_NEWCOMER_FRACTION = 0.5  # of a trial's minimum, for a version that no order names
+_MAX_OUTSTANDING_SENDS = 8  # grants that one router holds and has not used
 
 
 @dataclass(frozen=True)
 class ExposureLimits:
-    """The bound of an operator.
+    """The operator's limits on requests to an unproven version.
 
     Attributes:
-        share: Of all requests that reach the service since the order.
-        slack: Requests besides.
+        share: Fraction of the service's requests since the order.
+        slack: Number of requests allowed in addition to the share.
     """
 
     share: float = 0.0
@@ -30,62 +35,80 @@
 
     @property
     def enabled(self) -> bool:
-        """Whether there are roll-outs at all."""
+        """Whether rollouts are enabled."""
         return self.share > 0 or self.slack > 0
 
     def total_limit(self, requests: int) -> int:
-        """Return the whole bound after so many requests."""
+        """Return the limit for the whole rollout.
+
+        Args:
+            requests: Requests of the service since the order.
+        """
         return int(self.share * requests + self.slack)
 
     def trial_limit(self, requests: int, elapsed_s: float, duration_s: float) -> int:
-        """Return what a trial may have been granted.
+        """Return the limit on all grants of a trial.
 
         Args:
             requests: Requests of the service since the order.
             elapsed_s: Time since the order, in seconds.
-            duration_s: Time within which it is to be completed.
+            duration_s: Time within which the rollout is to be completed, in seconds.
         """
-        least = _TRIAL_FRACTION * self.share * requests + _TRIAL_SLACK_FRACTION * self.slack
+        minimum = _TRIAL_FRACTION * self.share * requests + _TRIAL_SLACK_FRACTION * self.slack
         per_s = requests / max(elapsed_s, _MIN_RATE_WINDOW_S)
-        kept = self.share * per_s * duration_s + self.slack - per_s * _RESERVED_S
-        paced = min(
+        unreserved = self.share * per_s * duration_s + self.slack - per_s * _RESERVED_S
+        released_fraction = min(
             1.0,
             _INITIAL_FRACTION
             + (1.0 - _INITIAL_FRACTION) * elapsed_s / max(duration_s, _MIN_RATE_WINDOW_S),
         )
-        return int(max(least, min(_USABLE_FRACTION * self.total_limit(requests), kept) * paced))
+        return int(
+            max(
+                minimum,
+                min(_USABLE_FRACTION * self.total_limit(requests), unreserved) * released_fraction,
+            )
+        )
 
     def newcomer_limit(self, requests: int) -> int:
-        """Return what a version may have been granted that no order has named."""
-        least = _TRIAL_FRACTION * self.share * requests + _TRIAL_SLACK_FRACTION * self.slack
-        return int(_NEWCOMER_FRACTION * least)
+        """Return the limit on all grants of a version that no order names.
+
+        Args:
+            requests: Requests of the service since the version appeared.
+        """
+        minimum = _TRIAL_FRACTION * self.share * requests + _TRIAL_SLACK_FRACTION * self.slack
+        return int(_NEWCOMER_FRACTION * minimum)
 
 
 class GrantLedger:
     """Grants of one leader for one order.
 
     Args:
-        granted_before: What earlier leaders may have granted; all of it counts as used.
+        granted_before: Sends that earlier leaders may have granted; all of them count as used.
+
+    Attributes:
+        granted_total: Sends granted so far, including ``granted_before``.
     """
 
     def __init__(self, granted_before: int) -> None:
         self.granted_total = granted_before
-        self._totals: dict[str, int] = {}  # by incarnation of a router
+        self._totals: dict[str, int] = {}  # by router incarnation
 
     def grant(self, router: str, *, held: int, sent: int, allowance: int, routers: int) -> int:
-        """Return the total that a router may send from now on; it only rises.
+        """Grant a router more sends, and return its new total, which never falls.
 
         Args:
-            router: Its incarnation.
-            held: Total that it says it was granted last.
-            sent: What it says it has sent.
-            allowance: What all grants together may come to.
-            routers: How many share what is left.
+            router: Incarnation of the router.
+            held: Total granted so far, as the router reports it.
+            sent: Sends made so far, as the router reports them.
+            allowance: Limit on the sum of all grants.
+            routers: Number of routers that share the remaining allowance.
         """
         total = max(self._totals.get(router, 0), held)
-        free = allowance - self.granted_total
-        wanted = min(_MAX_OUTSTANDING_SENDS, free // (2 * max(1, routers)) + 1) - (total - sent)
-        more = max(0, min(free, wanted))
+        remaining = allowance - self.granted_total
+        wanted = min(_MAX_OUTSTANDING_SENDS, remaining // (2 * max(1, routers)) + 1) - (
+            total - sent
+        )
+        more = max(0, min(remaining, wanted))
         self.granted_total += more
         self._totals[router] = total + more
         return total + more
--- a/packages/heronladder-control/src/heronladder_control/rollouts/manifests.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/manifests.py
@@ -1,4 +1,4 @@
-"""Orders of roll-outs that come as manifests."""
+"""Conversion of rollout manifests into commands."""
 
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
@@ -8,11 +8,11 @@
 def command_from_manifest(
     wanted: resources_pb2.Resource, held: resources_pb2.Rollout | None
 ) -> control_pb2.Command:
-    """Return the command that a manifest of a roll-out stands for.
+    """Return the command that carries out a rollout manifest.
 
     Args:
-        wanted: The manifest: a target and a time, or the phase rolled back.
-        held: What is on record.
+        wanted: The manifest, which names a target and a duration, or the phase ROLLED_BACK.
+        held: The rollout on record; None if there is none.
     """
     command = control_pb2.Command()
     service = wanted.metadata.name
@@ -22,7 +22,7 @@
         step.ordered_revision = held.ordered_revision
         step.from_phase = held.phase
         step.to_phase = ROLLED_BACK
-        step.reason = "an operator ordered it"
+        step.reason = "rolled back by an operator"
         return command
     order = command.start_rollout
     order.service = service
--- a/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
@@ -1,4 +1,4 @@
-"""Orders of roll-outs as they come to the leader: repeats, late copies, new ones."""
+"""Classification of rollout orders that reach the leader: retries, late copies and new orders."""
 
 from __future__ import annotations
 
@@ -8,36 +8,38 @@
 from heronladder_control.member_context import MemberContext
 from heronladder_control.rollouts.table import RUNNING, phase_name
 
-# An operator repeats an order for 5 s at most; the same order later than this after its end is
-# a new one.
+# Operators' tools retry an order for at most 5 s. The same order is a new one if it comes this long
+# after the earlier one ended.
 _RETRY_WINDOW_S = 10.0
 
 
 class RolloutOrders:
-    """Judges orders at the leader.
+    """Classifies rollout orders at the leader.
 
     Args:
-        member: What the parts of the member share.
+        member: Context of this control member.
     """
 
     def __init__(self, member: MemberContext) -> None:
         self._member = member
         self._late = LateOrders(member.environment)
-        self._ended_s: dict[str, float] = {}  # by service, in this term
+        self._ended_s: dict[str, float] = {}  # by service, in this term; monotonic clock
         self._began_s = 0.0
 
     def begin(self) -> None:
-        """Begin as the leader: any order may have ended just now."""
+        """Start a term as the leader; any order may have ended immediately before."""
         self._late.begin(self._member.node.term)
         self._ended_s.clear()
         self._began_s = self._member.environment.monotonic()
 
     def is_superseded(self, order: control_pb2.StartRollout, age_s: float) -> bool:
-        """Whether another order for the service was taken after this one came; marks a new one.
+        """Whether another order for the service was accepted after this one was received.
+
+        Sets ``anew`` in the order if it is not a retry.
 
         Args:
             order: The order.
-            age_s: Time since a member got it, in seconds.
+            age_s: Time since a control member received it, in seconds.
         """
         held = self._member.state.rollouts.get(order.service)
         now_s = self._member.environment.monotonic()
@@ -59,13 +61,13 @@
         return late
 
     def applied(self, command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
-        """Note an order or a phase that was just applied."""
+        """Record and log an order or a phase change that was just applied."""
         if result.code != control_pb2.RESULT_CODE_OK:
             return
         is_order = command.WhichOneof("body") == "start_rollout"
         body = command.start_rollout if is_order else command.advance_rollout
         if result.resource.metadata.revision != self._member.state.applied_index:
-            return  # nothing changed
+            return  # the command changed nothing
         if is_order:
             self._late.changed(body.service)
         record = result.resource.rollout
--- a/packages/heronladder-control/src/heronladder_control/rollouts/plan.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/plan.py
@@ -1,4 +1,4 @@
-"""The leader's next step of a roll-out, from what it knows. No clock, no sockets."""
+"""Choice of the next phase of a rollout. Pure functions without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -15,40 +15,44 @@
     WAITING,
 )
 
-# From the order to move until all routers hold it, and from the last answer elsewhere until
-# `completed` is in the log: three heartbeats each way and a commit of a slow disk.
+# Time from the decision to move until all routers have it, plus the time from the last response
+# of another version until COMPLETED is committed: three heartbeats each way and a commit on a slow
+# disk.
 _PROPAGATION_S = 1.0
-_LONGEST_RESPONSE_FACTOR = 1.1  # the longest answer still to come, against the longest seen
-_MAX_MOVE_FRACTION = 0.4  # of an order's time, that is kept for the move at most
-# There is no way back from `completed`: it is written so long before the deadline, and what all
-# requests show at the target is watched until then: two heartbeats.
+_LONGEST_RESPONSE_FACTOR = 1.1  # longest response to expect, relative to the longest seen
+_MAX_MOVE_FRACTION = 0.4  # at most this part of the duration is reserved for the move
+# COMPLETED can't be reverted, so the target is observed under all requests until two heartbeats
+# before the deadline.
 _COMPLETION_LEAD_S = 0.6
-_PLANNED_FRACTION = 0.7  # of what is left, planned with: the load may rise
-# In a service's whole traffic, until a version that turns bad is noticed and left; see the table
-# in docs/measurements/rollouts.md.
+_PLANNED_FRACTION = 0.7  # part of the remaining limit that a move may need; the load may rise
+# Time until a version that turns bad under a service's whole traffic is detected and rolled back;
+# see the table in docs/measurements/rollouts.md.
 _DETECTION_S = 0.6
-_EXTENDED_DURATION_FACTOR = 1.5  # times an order's time, for a version that only lacks answers
-_MAX_MOVE_DURATION_FACTOR = (
-    3.0  # times an order's time, after which a move ends whose old answers do not
-)
-_ORDER_RETRY_WINDOW_S = 8.0  # operators repeat an order for 5 s; a newcomer is admitted after this
+# Multiple of the duration after which a move that is not proved sound is rolled back, if the only
+# doubt is that there are too few answers.
+_EXTENDED_DURATION_FACTOR = 1.5
+# Multiple of the duration after which a move is rolled back if old responses still run.
+_MAX_MOVE_DURATION_FACTOR = 3.0
+# Operators' tools retry an order for 5 s; a version without an order is admitted after this time.
+_ORDER_RETRY_WINDOW_S = 8.0
 
 
 @dataclass(frozen=True)
 class RolloutView:
-    """What is known of a roll-out.
+    """State of a rollout at one time.
 
     Attributes:
-        phase: Its phase.
-        newcomer: Whether a version is there that no order named.
-        elapsed_s: Time since the order, or since the newcomer's first word, at least.
-        duration_s: Time within which it is to be completed.
-        target_replicas: Replicas of the target that are not leaving.
-        verdict: On all that routers counted.
-        longest_s: Longest answer of the old version.
-        left: Requests that it may still get within the whole bound.
-        per_s: Requests of the service a second.
-        all_clear: Whether all routers in touch hold the move and have nothing elsewhere.
+        phase: Current phase.
+        newcomer: Whether replicas run a version that no order names.
+        elapsed_s: Least possible time since the order, or since the newcomer's first report.
+        duration_s: Time within which the rollout is to be completed, in seconds.
+        target_replicas: Number of replicas of the target that are not draining or evacuated.
+        verdict: Verdict on the answers that all routers counted.
+        longest_old_response_s: Longest response time of the old version, in seconds.
+        left: Requests that the target may still receive within the total limit.
+        per_s: Request rate of the service, per second.
+        others_drained: Whether all connected routers have applied the move and have no requests in
+            flight at other versions.
     """
 
     phase: resources_pb2.RolloutPhase.ValueType
@@ -64,11 +68,12 @@
 
     @property
     def can_move(self) -> bool:
-        """Whether what a bad version would still do fits into the bound.
+        """Whether the harm that a bad version could do in a move stays within the limit.
 
-        Of a service with few requests it fits whatever the version is, for the whole time of a
-        move; else only if the version is sound so far, until it is noticed that it no longer is,
-        or the deadline. By what is left until the deadline anything would fit just before it.
+        For a service with few requests, the requests of a whole move fit whatever the verdict is.
+        Otherwise the version must be sound so far, and the requests until a fault is detected, or
+        until the deadline, must fit. The time left until the deadline is no measure without a sound
+        verdict, since shortly before the deadline any number of requests fits.
         """
         move_s = self.duration_s - self.move_start_s
         if self.per_s * move_s <= self.left * _PLANNED_FRACTION:
@@ -79,10 +84,10 @@
 
     @property
     def is_move_overdue(self) -> bool:
-        """Whether what was moved to and is not proved by now goes back.
+        """Whether a moved version that is not proved sound by now is rolled back.
 
-        A version against which nothing speaks but that its answers are too few gets more time:
-        its replicas, or what routers tell of it, may have come late.
+        A version whose only fault is too few answers gets more time, since its replicas or the
+        routers' reports may have come late.
         """
         if self.verdict.lacks_answers:
             return self.elapsed_s >= _EXTENDED_DURATION_FACTOR * self.duration_s
@@ -90,9 +95,10 @@
 
     @property
     def move_start_s(self) -> float:
-        """When to move: as late as what runs elsewhere can end in time.
+        """Time from the order to the move, in seconds.
 
-        Until then a version that turns bad gets a trial's share only.
+        The move starts as late as the requests in flight at other versions can still end in time.
+        Until then a version that turns bad receives only a trial's share of the requests.
         """
         needed_s = _PROPAGATION_S + _LONGEST_RESPONSE_FACTOR * self.longest_old_response_s
         return self.duration_s - min(needed_s, _MAX_MOVE_FRACTION * self.duration_s)
@@ -100,14 +106,14 @@
 
 @dataclass(frozen=True)
 class Step:
-    """The next phase and why; the same phase again admits the newcomer."""
+    """A transition to another phase and its reason; an unchanged phase admits the newcomer."""
 
     phase: resources_pb2.RolloutPhase.ValueType
     reason: str
 
 
 def next_step(view: RolloutView) -> Step | None:
-    """Return the next step, or None to go on."""
+    """Return the next step, or None if the phase continues."""
     match view.phase:
         case resources_pb2.ROLLOUT_PHASE_WAITING | resources_pb2.ROLLOUT_PHASE_TRIAL:
             return _next_in_trial(view)
@@ -119,7 +125,7 @@
 
 def _next_for_newcomer(view: RolloutView) -> Step | None:
     if view.newcomer and view.elapsed_s >= _ORDER_RETRY_WINDOW_S:
-        return Step(view.phase, "no order came for it")
+        return Step(view.phase, "no order for this version came in time")
     return None
 
 
@@ -130,34 +136,35 @@
 
 
 def _next_in_trial(view: RolloutView) -> Step | None:
-    bad = _roll_back_if_bad(view)
-    if bad is not None:
-        return bad
+    rollback = _roll_back_if_bad(view)
+    if rollback is not None:
+        return rollback
     if view.elapsed_s >= view.duration_s:
-        return Step(ROLLED_BACK, f"not proved in its time: {view.verdict.reason}")
+        return Step(ROLLED_BACK, f"not proved sound in time: {view.verdict.reason}")
     if not view.target_replicas:
         return None
     if view.phase == WAITING:
-        return Step(TRIAL, "its replicas are there")
+        return Step(TRIAL, "replicas of the target are registered")
     if view.elapsed_s >= view.move_start_s and view.can_move:
         return Step(MOVING, view.verdict.reason)
     return None
 
 
 def _next_in_move(view: RolloutView) -> Step | None:
-    bad = _roll_back_if_bad(view)
-    if bad is not None:
-        return bad
+    rollback = _roll_back_if_bad(view)
+    if rollback is not None:
+        return rollback
     if not view.target_replicas:
-        return Step(ROLLED_BACK, "no replica of it is left")
+        return Step(ROLLED_BACK, "no replica of the target is left")
     if view.elapsed_s >= _MAX_MOVE_DURATION_FACTOR * view.duration_s:
         return Step(
-            ROLLED_BACK, f"old answers ran on for {_MAX_MOVE_DURATION_FACTOR:g} times its time"
+            ROLLED_BACK,
+            f"old responses still ran after {_MAX_MOVE_DURATION_FACTOR:g} times the duration",
         )
     is_sound = view.verdict.decision is Decision.SOUND
     if view.is_move_overdue and not is_sound:
-        return Step(ROLLED_BACK, f"not proved in its time: {view.verdict.reason}")
-    is_time = view.elapsed_s >= view.duration_s - _COMPLETION_LEAD_S
-    if is_time and view.others_drained and is_sound:
+        return Step(ROLLED_BACK, f"not proved sound in time: {view.verdict.reason}")
+    is_due = view.elapsed_s >= view.duration_s - _COMPLETION_LEAD_S
+    if is_due and view.others_drained and is_sound:
         return Step(COMPLETED, view.verdict.reason)
     return None
--- a/packages/heronladder-control/src/heronladder_control/rollouts/table.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/table.py
@@ -1,4 +1,4 @@
-"""Roll-outs, as the log carries them. Depends on nothing but the commands."""
+"""Replicated rollout records. Their state depends only on the commands applied."""
 
 from heronladder_runtime.configuration import FLEET_KIND, FLEET_NAME, REPLICA_KIND, ROLLOUT_KIND
 from heronladder_schema.v1 import control_pb2, resources_pb2
@@ -18,15 +18,18 @@
 
 
 def phase_name(phase: "resources_pb2.RolloutPhase.ValueType") -> str:
-    """Return a phase as logs and operators see it."""
+    """Return the name of a phase as it is shown in logs and to operators."""
     return resources_pb2.RolloutPhase.Name(phase).removeprefix("ROLLOUT_PHASE_").lower()
 
 
 class RolloutTable:
-    """Applies orders, phases and newcomers; keeps what only leaders need beside them.
+    """Applies orders, phase changes and newcomers to the rollout records.
 
     Args:
-        resources: Where the records are kept.
+        resources: Resources, which include the records.
+
+    Attributes:
+        notes: By service, the replicated state that only leaders use.
     """
 
     def __init__(self, resources: ResourceTable) -> None:
@@ -45,7 +48,7 @@
         return sorted(self._resources.resources[ROLLOUT_KIND])
 
     def versions(self, service: str) -> set[str]:
-        """Return the versions of a service's replicas that are not leaving."""
+        """Return the versions of a service's replicas that are not draining or gone."""
         return self._versions.live(service)
 
     def _is_known(self, service: str) -> bool:
@@ -57,12 +60,12 @@
     # ---- orders -----------------------------------------------------------
 
     def start(self, index: int, order: control_pb2.StartRollout) -> control_pb2.CommandResult:
-        """Take an order; the same order again changes nothing."""
+        """Apply an order; a retry of the same order changes nothing."""
         if not self._is_known(order.service):
-            message = f"there is no service {order.service!r}"
+            message = f"unknown service {order.service!r}"
             return failure(control_pb2.RESULT_CODE_NOT_FOUND, message)
         if not order.target or not order.duration_ms:
-            message = "name the version, and the time within which it is to take over"
+            message = "a rollout needs a target version and a duration"
             return failure(control_pb2.RESULT_CODE_INVALID, message)
         held = self.get(order.service)
         if held is not None and held.phase != UNORDERED:
@@ -70,7 +73,7 @@
             if is_same and (held.phase in RUNNING or not order.anew):
                 return self._result(order.service, held.ordered_revision)
             if held.phase in RUNNING:
-                message = f"the roll-out of {order.service} to {held.target!r} is under way"
+                message = f"a rollout of {order.service} to {held.target!r} is in progress"
                 return failure(control_pb2.RESULT_CODE_VERSION_CONFLICT, message)
         self._write(index, order.service, self._new_record(index, order, held))
         self.notes[order.service] = control_pb2.RolloutNote(
@@ -86,8 +89,8 @@
         refused = set(held.refused) if held is not None else set()
         admitted = set(held.admitted) if held is not None else set()
         if not admitted:
-            # With those whose replicas are all gone just now: they may come back in a moment,
-            # and a target beside which none is left would get all requests at once.
+            # Versions whose replicas are all gone are included, since these may soon be back. A
+            # target that is the only admitted version would receive all requests at once.
             admitted = self._versions.known(order.service) - refused - {""}
             admitted = admitted or live
         record = resources_pb2.Rollout(
@@ -100,6 +103,7 @@
             reason="ordered",
         )
         if live and not record.admitted:
+            # The reason is replicated state: all builds must write the same text.
             record.phase, record.reason = COMPLETED, "no other version is there"
             record.admitted.append(order.target)
         return record
@@ -107,11 +111,11 @@
     # ---- phases -----------------------------------------------------------
 
     def advance(self, index: int, order: control_pb2.AdvanceRollout) -> control_pb2.CommandResult:
-        """Take the next phase, or admit the newcomer; void if the record has gone on."""
+        """Change the phase, or admit the newcomer; stale if the record has changed since."""
         held = self.get(order.service)
         current = (held.ordered_revision, held.phase) if held is not None else None
         if held is None or current != (order.ordered_revision, order.from_phase):
-            return failure(control_pb2.RESULT_CODE_STALE, "the roll-out has gone on")
+            return failure(control_pb2.RESULT_CODE_STALE, "the rollout has changed since")
         record = resources_pb2.Rollout()
         record.CopyFrom(held)
         if order.to_phase == order.from_phase:
@@ -134,13 +138,13 @@
     # ---- newcomers --------------------------------------------------------
 
     def detect_newcomer(self, index: int, service: str, software: str, before: set[str]) -> None:
-        """Have a version that a service did not have go by grants, until it is ordered or old.
+        """Limit a new version of a service to granted requests until it is ordered or admitted.
 
         Args:
-            index: Log index of its replica's first word.
-            service: The service.
-            software: Its version.
-            before: Versions of the replicas that were there.
+            index: Log index of the first report of its replica.
+            service: Name of the service.
+            software: Version of the replica.
+            before: Versions of the replicas that were registered before.
         """
         held = self.get(service)
         if not software or (held is None and (not before or software in before)):
@@ -153,7 +157,7 @@
             self._write(index, service, record)
 
     def admit_after_departure(self, index: int, service: str) -> None:
-        """Admit another version if the last replica that may be sent to has left."""
+        """Admit another version if the last replica of the admitted versions has left."""
         held = self.get(service)
         if held is None:
             return
@@ -163,10 +167,13 @@
             self._write(index, service, record)
 
     def _admit_substitutes(self, service: str, record: resources_pb2.Rollout) -> bool:
-        """Admit versions that are neither ordered nor refused where no admitted one is left.
+        """Admit versions that are neither ordered nor refused if no admitted version has replicas.
+
+        Without them, an order that comes before any replica of the service, or a release during a
+        rollout, leaves no version that requests may be sent to.
 
-        An order before any replica of the service, or a release during one, left nothing that
-        could be sent to.
+        Returns:
+            Whether the record changed.
         """
         live = self.versions(service)
         if record.phase not in BEFORE_MOVE or live & set(record.admitted):
@@ -176,6 +183,7 @@
         return bool(unknown)
 
     def _record_newcomer(self, index: int, service: str, record: resources_pb2.Rollout) -> bool:
+        """Record the first unknown version as the newcomer; return whether the record changed."""
         if record.phase in RUNNING or record.newcomer:
             return False
         known = {*record.admitted, *record.refused, record.target, ""}
@@ -187,23 +195,23 @@
         self.notes[service] = control_pb2.RolloutNote(service=service, ordered_revision=index)
         return True
 
-    # ---- what only leaders need -------------------------------------------
+    # ---- notes, which only leaders use ------------------------------------
 
     def note(self, order: control_pb2.RolloutNote) -> control_pb2.CommandResult:
-        """Take a higher ceiling and a later time of the same order."""
+        """Raise the ceiling and the elapsed time of the same order."""
         held = self.notes.get(order.service)
         if held is None or held.ordered_revision != order.ordered_revision:
-            return failure(control_pb2.RESULT_CODE_STALE, "the roll-out has gone on")
+            return failure(control_pb2.RESULT_CODE_STALE, "the rollout has changed since")
         held.ceiling = max(held.ceiling, order.ceiling)
         held.elapsed_ms = max(held.elapsed_ms, order.elapsed_ms)
         return success()
 
     def save(self, snapshot: control_pb2.StateSnapshot) -> None:
-        """Write the notes into a snapshot; the records are with all resources."""
+        """Write the notes into a snapshot; the records are saved with all resources."""
         snapshot.rollout_notes.extend(self.notes[service] for service in sorted(self.notes))
 
     def load(self, snapshot: control_pb2.StateSnapshot) -> None:
-        """Take the notes from a snapshot."""
+        """Replace the notes by those of a snapshot."""
         self.notes = {}
         for note in snapshot.rollout_notes:
             self.notes[note.service] = control_pb2.RolloutNote()
--- a/packages/heronladder-control/src/heronladder_control/rollouts/version_index.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/version_index.py
@@ -1,4 +1,4 @@
-"""Versions of each service's replicas, kept beside the resources they are read from."""
+"""Index of the versions of each service's replicas, maintained as replica resources change."""
 
 from collections import Counter
 
@@ -6,10 +6,10 @@
 
 
 class VersionIndex:
-    """Counts replicas by service and version, as they are written.
+    """Counts replicas by service and version.
 
-    With a search through all replicas at each registration, 3,000 that register at once are
-    9,000,000 reads.
+    A search through all replicas at each registration would take 9,000,000 reads when 3,000
+    replicas register at once.
     """
 
     def __init__(self) -> None:
@@ -19,7 +19,12 @@
     def changed(
         self, before: resources_pb2.Resource | None, after: resources_pb2.Resource | None
     ) -> None:
-        """Take a replica's new state in place of its earlier one."""
+        """Replace a replica's earlier state by its new one.
+
+        Args:
+            before: Earlier state; None if the replica is new.
+            after: New state; None if the replica was removed.
+        """
         for resource, step in ((before, -1), (after, 1)):
             if resource is None:
                 continue
@@ -40,5 +45,5 @@
         return set(self._live.get(service, ()))
 
     def known(self, service: str) -> set[str]:
-        """Return the versions of all replicas on record, also of those that left."""
+        """Return the versions of all replicas on record, also of those that have left."""
         return set(self._known.get(service, ()))
