--- a/tests/decided_prepaid_table.py
+++ b/tests/decided_prepaid_table.py
@@ -1,4 +1,4 @@
-"""Prepaid accounts whose draws are decided as the leader decides them before they are applied."""
+"""Prepaid accounts whose draws are decided as by a leader before they are applied."""
 
 from heronladder_control import grant_rules
 from heronladder_control.draw_decisions import DrawDecisions
@@ -7,7 +7,7 @@
 
 
 class DecidedPrepaidTable(PrepaidTable):
-    """Accounts of a group of one member: each draw is decided, then applied."""
+    """Accounts of a group with one member, in which each draw is decided and then applied."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -24,10 +24,10 @@
 
     @staticmethod
     def charged(account: ledger_pb2.PrepaidAccount) -> int:
-        """Return the tokens that are used or that a holder may still use."""
+        """Return the number of tokens that are used or that a holder may still use."""
         return grant_rules.charged(account)
 
     @staticmethod
     def available(account: ledger_pb2.PrepaidAccount) -> int:
-        """Return the tokens that can be granted."""
+        """Return the number of tokens that can be granted."""
         return grant_rules.available(account)
--- a/tests/rollout_trials.py
+++ b/tests/rollout_trials.py
@@ -1,8 +1,10 @@
-"""Roll-outs of drawn versions in virtual time: the product's grants, verdicts and steps.
+"""Trials of rollouts of random versions in virtual time.
+
+They run the grants, verdicts and phase changes of the control plane.
 
 Usage: ``python tests/rollout_trials.py [DRAWS [stalls]|rates]`` prints a table of
 docs/measurements/rollouts.md.
-Requests, replicas and gateways are drawn numbers here; nothing is sent.
+Requests, replicas and gateways are random numbers here; nothing is sent.
 """
 
 import heapq
@@ -22,9 +24,11 @@
 LIMITS = ExposureLimits(0.1, 50)
 _TICK_S = 0.1
 _STALL_EVERY_S = 1.5
-_REPORT_DELAY_S = 0.4  # from an answer's end until the leader counts it, with its look (chosen)
+_REPORT_DELAY_S = (
+    0.4  # from an answer's end until the leader counts it, including its check interval
+)
 _RARE_ROUTE_WAIT_S = 0.5  # as in a gateway
-_IN_FORCE_S = 0.3  # from a phase's entry until gateways keep to it (chosen)
+_IN_FORCE_S = 0.3  # from the commit of a phase until gateways apply it
 
 
 @dataclass
@@ -33,26 +37,26 @@
 
     Attributes:
         name: Kind of version.
-        per_s: Requests a second.
-        duration_s: Time of the order.
-        routes: Share of the requests of each route.
-        work_s: Mean time of an answer.
-        spread: Of the logarithm of the times.
-        usual: Share of answers that fail when all is well.
-        slow: How many times slower the version is.
-        fails: Share of its answers that fail.
-        after_s: Bad only from this time on.
-        route: Bad on this route only; -1: on all.
-        under_load: Bad only once all requests go to it.
+        per_s: Requests per second.
+        duration_s: Duration of the order, in seconds.
+        routes: Fraction of the requests of each route.
+        median_response_s: Median response time, in seconds.
+        spread: Standard deviation of the logarithm of the response times.
+        base_failure_fraction: Fraction of answers that fail without a fault.
+        slow: Factor by which the version is slower.
+        fails: Additional fraction of its answers that fail.
+        after_s: The version is bad only from this time on, in seconds.
+        route: The version is bad on this route only; -1 for all routes.
+        under_load: Whether the version is bad only once all requests go to it.
     """
 
     name: str
     per_s: float
     duration_s: float
     routes: list[float]
-    work_s: float
+    median_response_s: float
     spread: float
-    usual: float
+    base_failure_fraction: float
     slow: float = 1.0
     fails: float = 0.0
     after_s: float = 0.0
@@ -69,7 +73,7 @@
 
 
 def sample_scenario(source: Random) -> Scenario:
-    """Draw a service and a version; about one in four is good."""
+    """Return a random service and version; about one in four is good."""
     count = source.choice((1, 2, 3, 5))
     weights = [source.uniform(0.05, 1.0) for _ in range(count)]
     scenario = Scenario(
@@ -77,13 +81,13 @@
         per_s=source.choice((6.0, 20.0, 60.0, 150.0, 400.0)),
         duration_s=source.choice((8.0, 12.0, 20.0, 40.0)),
         routes=[weight / sum(weights) for weight in weights],
-        work_s=source.choice((0.02, 0.09, 0.3)),
+        median_response_s=source.choice((0.02, 0.09, 0.3)),
         spread=source.uniform(0.1, 0.6),
-        usual=source.choice((0.0, 0.0, 0.01, 0.14)),
+        base_failure_fraction=source.choice((0.0, 0.0, 0.01, 0.14)),
     )
     kind = source.choice(("good", "fails", "slow", "fails", "slow", "both"))
     if kind == "good":
-        scenario.name = f"good, fails {scenario.usual:.0%} when well"
+        scenario.name = f"good, fails {scenario.base_failure_fraction:.0%} when well"
         return scenario
     if kind in ("slow", "both"):
         scenario.slow = source.choice((1.5, 2.0, 3.0, 5.0, 8.0))
@@ -102,14 +106,14 @@
 
 @dataclass
 class Outcome:
-    """How a roll-out ended.
+    """Outcome of a rollout.
 
     Attributes:
-        phase: Its last phase.
-        exposed: Requests that the version got until the deadline.
-        bound: Requests that it may get.
-        ended_s: When the last phase was written.
-        reason: Why.
+        phase: Last phase.
+        exposed: Requests that the version received until the deadline.
+        bound: Limit on these requests.
+        ended_s: Time at which the last phase was committed, in seconds.
+        reason: Reason of the last phase.
     """
 
     phase: int
@@ -119,19 +123,19 @@
     reason: str
 
     @property
-    def kept(self) -> bool:
+    def is_within_limit(self) -> bool:
         return self.exposed <= self.bound
 
 
 class Judge(Protocol):
-    """A way to judge."""
+    """A method to judge a version."""
 
     def __call__(self, evidence: Evidence, *, alone: bool = False) -> Verdict:
-        """Judge all that was counted."""
+        """Return a verdict on all answers so far."""
 
 
 class FixedSample:
-    """The other way: one comparison of shares over all answers so far, by route and in all."""
+    """Alternative method: one comparison of fractions over all answers, by route and in total."""
 
     _ENOUGH = 40
     _LIMIT = 3.3  # standard errors
@@ -142,32 +146,32 @@
         for route in evidence.routes():
             sides = [evidence.side(route, of_target=side) for side in (False, True)]
             pairs.append((sides[0], sides[1]))
-        if any(self._worse(*pair) for pair in pairs):
+        if any(self._is_worse(*pair) for pair in pairs):
             return Verdict(Decision.GO_BACK, "worse by a fixed sample")
         if new.answers < self._ENOUGH:
             return Verdict(Decision.GO_ON, "too few answers")
         return Verdict(Decision.SOUND, "as good")
 
-    def _worse(self, old: Answers, new: Answers) -> bool:
+    def _is_worse(self, old: Answers, new: Answers) -> bool:
         if new.answers < self._ENOUGH or old.answers < self._ENOUGH:
             return False
         limit = sorted(old.first.elements())[int(0.9 * old.first.total())] if old.first else 0
         slow = [sum(n for step, n in side.first.items() if step > limit) for side in (old, new)]
-        return self._apart(old.failed, old.answers, new.failed, new.answers) or self._apart(
+        return self._differs(old.failed, old.answers, new.failed, new.answers) or self._differs(
             slow[0], old.answers, slow[1], new.answers
         )
 
-    def _apart(self, old: int, old_count: int, new: int, new_count: int) -> bool:
+    def _differs(self, old: int, old_count: int, new: int, new_count: int) -> bool:
         share = (old + new + 1) / (old_count + new_count + 2)
         error = math.sqrt(share * (1 - share) * (1 / old_count + 1 / new_count))
         return new / new_count - old / old_count > self._LIMIT * error
 
 
-Stall = tuple[float, float]  # when all answers stand still, and until when
+Stall = tuple[float, float]  # start and end of a time in which no answer progresses
 
 
 def sample_stalls(until_s: float, source: Random) -> list[Stall]:
-    """Draw moments at which a machine that has too much to do delays answers of both versions."""
+    """Return random times in which an overloaded machine delays the answers of both versions."""
     stalls = []
     now_s = 0.0
     while now_s < until_s:
@@ -178,7 +182,7 @@
 
 
 def _with_stalls(now_s: float, took_s: float, stalls: Sequence[Stall]) -> float:
-    """Return how long an answer takes that stands still during stalls."""
+    """Return the response time of an answer that is suspended during stalls, in seconds."""
     for began_s, end_s in stalls:
         if began_s < now_s + took_s and end_s > now_s:
             took_s += end_s - max(began_s, now_s)
@@ -188,16 +192,18 @@
 def run_rollout(
     scenario: Scenario, judge: Judge, source: Random, stalls: Sequence[Stall] = ()
 ) -> Outcome:
-    """Roll a version out; return how it ended."""
+    """Simulate the rollout of a version, and return its outcome."""
     phase, in_force, ended_s, reason = TRIAL, TRIAL, 0.0, ""
-    changes: list[tuple[float, int]] = []  # when a phase is in force
-    coming: list[tuple[float, int, int, bool, bool, float]] = []  # answers under way
+    changes: list[tuple[float, int]] = []  # time in force, phase
+    coming: list[
+        tuple[float, int, int, bool, bool, float]
+    ] = []  # answers in flight: time, serial, route, is_new, failed, response time
     evidence = Evidence()
     verdict = Verdict(Decision.GO_ON, "")
     requests = sent = exposed = serial = 0
     now_s = tried_s = 0.0
-    tried = [0] * len(scenario.routes)  # sends of the trial by route
-    # A tick beyond the latest end, so that none is left running.
+    tried = [0] * len(scenario.routes)  # requests of the trial, by route
+    # One second beyond the latest end, so that every rollout ends.
     while now_s < 3.0 * scenario.duration_s + 1.0 and phase in (TRIAL, MOVING):
         now_s += _TICK_S
         while changes and changes[0][0] <= now_s:
@@ -209,7 +215,7 @@
             if in_force == TRIAL and sent < LIMITS.trial_limit(
                 requests, now_s, scenario.duration_s
             ):
-                # As a gateway chooses: the route that the trial has seen least, or after a wait.
+                # As in a gateway: the route with fewest trial requests, or any route after a wait.
                 is_due = tried[route] <= min(tried) or now_s - tried_s >= _RARE_ROUTE_WAIT_S
                 is_new = is_due and source.random() < 0.5
             if is_new and in_force == TRIAL:
@@ -218,10 +224,12 @@
             sent += is_new
             exposed += is_new and now_s <= scenario.duration_s
             bad = is_new and now_s >= scenario.after_s and scenario.route in (-1, route)
-            took_s = scenario.work_s * math.exp(source.gauss(0, scenario.spread))
+            took_s = scenario.median_response_s * math.exp(source.gauss(0, scenario.spread))
             took_s *= scenario.slow if bad else 1.0
             took_s = _with_stalls(now_s, took_s, stalls)
-            failed = source.random() < (scenario.usual + (scenario.fails if bad else 0.0))
+            failed = source.random() < (
+                scenario.base_failure_fraction + (scenario.fails if bad else 0.0)
+            )
             serial += 1
             at_s = now_s + took_s + _REPORT_DELAY_S
             heapq.heappush(coming, (at_s, serial, route, is_new, failed, took_s))
@@ -253,15 +261,15 @@
         if step is not None:
             phase, ended_s, reason = step.phase, now_s, step.reason
             changes.append((now_s + _IN_FORCE_S, phase))
-    exposed += _after_the_end(scenario, phase, in_force, ended_s, source)
+    exposed += _requests_after_end(scenario, phase, in_force, ended_s, source)
     bound = 0.1 * scenario.per_s * max(scenario.duration_s, 0.0) + 50
     return Outcome(phase, exposed, bound, ended_s, reason)
 
 
-def _after_the_end(
+def _requests_after_end(
     scenario: Scenario, phase: int, in_force: int, ended_s: float, source: Random
 ) -> int:
-    """Return what the version gets from its end until the deadline."""
+    """Return the requests that the version receives from the rollout's end to the deadline."""
     rest_s = max(0.0, scenario.duration_s - ended_s)
     if phase == ROLLED_BACK:
         rest_s = min(rest_s, _IN_FORCE_S) if in_force == MOVING else 0.0
@@ -285,8 +293,8 @@
 
 
 def table(draws: int, *, has_stalls: bool = False) -> None:
-    """Print how each way does on the same draws."""
-    for way, make in JUDGES.items():
+    """Print the results of each method on the same scenarios."""
+    for method, make in JUDGES.items():
         outcomes = []
         for seed in range(draws):
             source = Random(seed)
@@ -297,43 +305,48 @@
         bad = [(s, d, o) for s, d, o in outcomes if d.is_bad]
         good = [(s, d, o) for s, d, o in outcomes if not d.is_bad]
         through = [(s, d, o) for s, d, o in bad if o.phase != ROLLED_BACK]
-        over = [(s, d, o) for s, d, o in bad if not o.kept]
+        over = [(s, d, o) for s, d, o in bad if not o.is_within_limit]
         back = [(s, d, o) for s, d, o in good if o.phase != COMPLETED]
         late = [o for _, d, o in good if o.phase == COMPLETED and o.ended_s > d.duration_s]
         times = sorted(o.ended_s - d.after_s for _, d, o in bad if o.phase == ROLLED_BACK)
         used = sorted(o.exposed / o.bound for _, _, o in bad)
-        print(f"{way}: {len(bad)} bad, {len(good)} good")
-        print(f"  bad: let through {len(through)}, over the bound {len(over)}")
+        print(f"{method}: {len(bad)} bad, {len(good)} good")
+        print(f"  bad: not rolled back {len(through)}, over the limit {len(over)}")
         serious = [(s, d, o) for s, d, o in bad if d.is_serious]
         print(
             f"  of {len(serious)} that fail 20% or are 3 times slower:"
-            f" let through {sum(o.phase != ROLLED_BACK for _, _, o in serious)},"
-            f" over the bound {sum(not o.kept for _, _, o in serious)}"
+            f" not rolled back {sum(o.phase != ROLLED_BACK for _, _, o in serious)},"
+            f" over the limit {sum(not o.is_within_limit for _, _, o in serious)}"
         )
-        print(f"  good: sent back {len(back)}, completed late {len(late)}")
+        print(f"  good: rolled back {len(back)}, completed late {len(late)}")
         if times:
             print(
                 f"  s to verdict: median {times[len(times) // 2]:.1f},"
                 f" p90 {times[int(0.9 * len(times))]:.1f}"
             )
             print(
-                f"  bound used: median {used[len(used) // 2]:.2f},"
+                f"  limit used: median {used[len(used) // 2]:.2f},"
                 f" p90 {used[int(0.9 * len(used))]:.2f}, most {used[-1]:.2f}"
             )
-        for word, cases in (("through", through), ("over", over), ("good back", back)):
+        for label, cases in (
+            ("not rolled back", through),
+            ("over the limit", over),
+            ("good, rolled back", back),
+        ):
             for seed, scenario, outcome in cases:
                 if scenario.is_bad and not scenario.is_serious:
                     continue
                 print(
-                    f"    {word}: seed {seed} {scenario.name} {scenario.per_s:g}/s"
+                    f"    {label}: seed {seed} {scenario.name} {scenario.per_s:g}/s"
                     f" {scenario.duration_s:g} s"
-                    f" usual {scenario.usual} spread {scenario.spread:.2f} work {scenario.work_s}"
+                    f" base failures {scenario.base_failure_fraction} spread {scenario.spread:.2f}"
+                    f" response {scenario.median_response_s}"
                     f" routes {[round(r, 2) for r in scenario.routes]}: {outcome}"
                 )
 
 
 def rate_table(seeds: int) -> None:
-    """Print how versions of services with few and many requests end, by rate and routes."""
+    """Print the outcomes for services with few and many requests, by rate and routes."""
     for per_s in (0.0, 2.0, 6.0, 10.0, 20.0, 60.0, 150.0):
         for duration_s in (6.0, 12.0, 30.0):
             cells = []
@@ -349,7 +362,7 @@
                     ]
                     in_time = sum(o.phase == COMPLETED and o.ended_s <= duration_s for o in ends)
                     back = sum(o.phase == ROLLED_BACK for o in ends)
-                    over = sum(not o.kept for o in ends)
+                    over = sum(not o.is_within_limit for o in ends)
                     cells.append(f"{in_time}/{back}/{over}")
             print(f"| {per_s:g} | {duration_s:g} | {' | '.join(cells)} |")
 
--- a/tests/test_cluster_version.py
+++ b/tests/test_cluster_version.py
@@ -1,4 +1,4 @@
-"""The cluster version: when it is raised, what it holds back, and what can't go back after it."""
+"""The cluster version: when it is raised, what it prevents before, and what it refuses after."""
 
 import asyncio
 import random
@@ -29,18 +29,18 @@
 
 
 class StateTest(unittest.TestCase):
-    def test_a_build_before_the_version_in_force_ends_with_a_line_that_says_so(self) -> None:
+    def test_an_earlier_build_fails_with_a_clear_error(self) -> None:
         with self.assertRaisesRegex(ClusterVersionError, "start a newer build"):
             ControlState("r").apply(1, _versioned(LATEST_VERSION + 1))
 
-    def test_a_snapshot_of_a_later_version_is_not_taken_for_one_without(self) -> None:
+    def test_a_versioned_snapshot_is_not_read_as_an_unversioned_one(self) -> None:
         state = ControlState("r")
         state.apply(1, _versioned())
         restored = ControlState("r")
         restored.restore(state.snapshot())
         self.assertEqual(restored.cluster_version, LATEST_VERSION)
         self.assertEqual(restored.snapshot(), state.snapshot())
-        with self.assertRaises(DecodeError):  # as a build without versions reads it
+        with self.assertRaises(DecodeError):  # as a build without cluster versions reads it
             control_pb2.StateSnapshot.FromString(state.snapshot())
 
     def test_the_version_never_falls(self) -> None:
@@ -49,8 +49,8 @@
         state.apply(2, _versioned(0))
         self.assertEqual(state.cluster_version, LATEST_VERSION)
 
-    def test_an_entry_that_cannot_be_read_is_told_by_its_fields(self) -> None:
-        self.addCleanup(BOOK.clear)  # other tests of the process ask whether all invariants held
+    def test_an_unreadable_entry_is_described_by_its_fields(self) -> None:
+        self.addCleanup(BOOK.clear)  # other tests of this process check that all invariants held
         unknown = bytes([0xFA, 0x7F, 0])  # field 2047, empty
         state = ControlState("r")
         self.assertEqual(state.describe(unknown), "fields [2047]")
@@ -59,7 +59,7 @@
         with self.assertRaisesRegex(InvariantViolationError, "2047"):
             state.apply(1, unknown)
 
-    def test_a_first_report_of_a_replica_that_is_gone_ends_no_member(self) -> None:
+    def test_a_first_report_of_a_gone_replica_is_applied(self) -> None:
         command = control_pb2.Command()
         command.register_replica.replica.id = "a"
         command.register_replica.replica.service = "s"
@@ -77,22 +77,22 @@
         assert member is not None
         self.leader: ControlMember = member
 
-    async def test_a_new_group_begins_with_the_latest_version(self) -> None:
+    async def test_a_new_group_starts_with_the_latest_version(self) -> None:
         self.assertEqual(self.leader.state.cluster_version, LATEST_VERSION)
         self.assertEqual(find_blockers(self.leader), [])
 
-    async def test_a_new_group_whose_first_leader_is_lost_at_once_waits_for_nothing_more(
+    async def test_the_second_leader_of_a_new_group_raises_the_version_at_once(
         self,
     ) -> None:
-        """Its next leader held the version for 5 s, and again after each process that restarted."""
+        """A hold of 5 s must not apply to a new group, or apply again after each restart."""
         self.assertEqual(self.leader.node.hard_state.formed_version, LATEST_VERSION)
         self.leader.state._cluster_version = 0
-        self.leader.cluster_versions.begin()  # of a later term, with entries applied
+        self.leader.cluster_versions.begin()  # a later term, with entries applied
         await self.leader.cluster_versions.tend()
         self.assertEqual(self.leader.state.cluster_version, LATEST_VERSION)
 
-    async def test_a_gateway_that_is_cut_off_is_waited_for_until_it_is_gone(self) -> None:
-        """It would be refused once it is back, and its callers with it."""
+    async def test_a_disconnected_gateway_blocks_the_version_until_it_is_gone(self) -> None:
+        """Otherwise it would be refused when it reconnects, and could not serve its callers."""
         command = control_pb2.Command()
         command.register_daemon.daemon.name = "front"
         command.register_daemon.daemon.role = ROLE_ROUTER
@@ -103,29 +103,34 @@
         await self.leader.declare_gone(self.leader.state.daemons.daemons["front"])
         self.assertEqual(find_blockers(self.leader), [])
 
-    async def test_heartbeats_that_tell_a_start_write_nothing_more_below_its_version(self) -> None:
-        """Each was news, as the log could not hold the start: an entry a heartbeat and replica."""
+    async def test_repeated_start_times_write_no_entries_below_their_version(self) -> None:
+        """Heartbeats with a start time, which an earlier version can't record, are no updates.
+
+        Otherwise each heartbeat of each replica would append an entry.
+        """
         replica = resources_pb2.Replica(
             id="a", service="s", address="10.0.0.1:80", start_ms=5, sequence=1
         )
         self.leader.state._cluster_version = 0
-        held_up = [Blocker("member", "other", 0)]
-        with mock.patch("heronladder_control.cluster_version.find_blockers", lambda _: held_up):
+        blockers = [Blocker("member", "other", 0)]
+        with mock.patch("heronladder_control.cluster_version.find_blockers", lambda _: blockers):
             await self.leader.fleet_service.register(replica)
             index = self.leader.node.log.last_index
             for sequence in range(2, 12):
                 replica.sequence = sequence
                 outcome = await self.leader.fleet_service.register(replica)
                 self.assertEqual(outcome.standing, Standing.DONE)
-        self.assertLessEqual(self.leader.node.log.last_index - index, 1)  # what is in force
+        self.assertLessEqual(
+            self.leader.node.log.last_index - index, 1
+        )  # the entry for the revision in force
 
-    async def test_an_unsupported_command_is_refused_and_nothing_appended(self) -> None:
+    async def test_an_unsupported_command_is_refused_and_not_appended(self) -> None:
         index = self.leader.node.log.last_index
         result = await self.leader.propose(control_pb2.Command())
         self.assertEqual(result.code, control_pb2.RESULT_CODE_VERSION_TOO_LOW)
         self.assertEqual(self.leader.node.log.last_index, index)
 
-    async def test_a_machine_of_an_earlier_build_does_not_join(self) -> None:
+    async def test_a_member_of_an_earlier_build_does_not_join(self) -> None:
         newcomer = consensus_pb2.Member(name="old", address="127.0.0.1:1")
         reply = await self.leader.node.joiner.answer(consensus_pb2.JoinRequest(member=newcomer))
         self.assertFalse(reply.accepted)
@@ -138,8 +143,8 @@
         self.assertIn("start a newer build", frame.rejected)
 
 
-class HoldupTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_silent_member_keeps_the_version_from_rising(self) -> None:
+class BlockerTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_silent_member_blocks_the_version(self) -> None:
         group = ControlGroup(3)
         await group.start()
         self.addAsyncCleanup(group.stop)
--- a/tests/test_crash_evidence.py
+++ b/tests/test_crash_evidence.py
@@ -1,4 +1,4 @@
-"""Which request is to blame for crashes, and who hears of it when."""
+"""Identification of the request that causes crashes, its publication and its refusal."""
 
 import unittest
 from collections.abc import Iterable
@@ -40,15 +40,15 @@
     def _is_enough(self, fingerprint: str) -> bool:
         return self.evidence.is_sufficient(fingerprint, refused_before=False)
 
-    def test_the_one_that_was_there_each_time_is_to_blame_and_no_other(self) -> None:
+    def test_only_the_request_at_every_crash_is_refused(self) -> None:
         for number in range(REFUSE_AFTER_CRASHES):
             others = [f"beside-{number}-{other}" for other in range(20)]
             self.evidence.add(_crash(f"r{number}", _CULPRIT, *others))
         self.assertTrue(self._is_enough(_CULPRIT))
         self.assertFalse(any(self._is_enough(f"beside-{number}-3") for number in range(3)))
 
-    def test_who_was_beside_it_each_time_is_not_told_apart(self) -> None:
-        """A caller's own repeats can meet it again and again."""
+    def test_two_requests_at_every_crash_are_not_isolated(self) -> None:
+        """A caller's retries can be in flight beside the causing request at each crash."""
         for number in range(REFUSE_AFTER_CRASHES):
             self.evidence.add(_crash(f"r{number}", _CULPRIT, "unlucky"))
         self.assertFalse(self._is_enough(_CULPRIT) or self._is_enough("unlucky"))
@@ -56,30 +56,30 @@
         self.assertTrue(self._is_enough(_CULPRIT))
         self.assertFalse(self._is_enough("unlucky"))
 
-    def test_two_that_always_come_together_are_refused_after_more_crashes(self) -> None:
+    def test_inseparable_requests_are_refused_after_more_crashes(self) -> None:
         for number in range(REFUSE_UNISOLATED_AFTER_CRASHES):
             self.assertFalse(self._is_enough(_CULPRIT))
             self.evidence.add(_crash(f"r{number}", _CULPRIT, "twin"))
         self.assertTrue(self._is_enough(_CULPRIT))
 
-    def test_several_gateways_tell_of_one_crash(self) -> None:
+    def test_reports_of_several_gateways_count_as_one_crash(self) -> None:
         for _ in range(REFUSE_AFTER_CRASHES):
             self.evidence.add(_crash("r1", _CULPRIT))
         self.assertEqual(self.evidence.count(_CULPRIT), 1)
 
-    def test_starts_of_one_replica_are_crashes_of_their_own(self) -> None:
+    def test_crashes_of_each_incarnation_are_counted(self) -> None:
         for start_ms in (1, 2, 3):
             self.evidence.add(_crash("r1", _CULPRIT, start_ms=start_ms))
         self.assertEqual(self.evidence.count(_CULPRIT), 3)
 
-    def test_a_crash_that_is_explained_is_held_against_no_other(self) -> None:
+    def test_an_explained_crash_counts_against_no_other_request(self) -> None:
         for number in range(REFUSE_AFTER_CRASHES):
             self.evidence.add(_crash(f"r{number}", _CULPRIT, "beside"))
         self.assertEqual(self.evidence.explain(_CULPRIT), ["beside"])
-        self.assertEqual(self.evidence.add(_crash("r0", "told late")), [])
-        self.assertEqual(self.evidence.count("beside") + self.evidence.count("told late"), 0)
+        self.assertEqual(self.evidence.add(_crash("r0", "reported late")), [])
+        self.assertEqual(self.evidence.count("beside") + self.evidence.count("reported late"), 0)
 
-    def test_what_is_kept_is_bounded_and_the_oldest_goes_first(self) -> None:
+    def test_evidence_is_bounded_and_the_oldest_is_dropped_first(self) -> None:
         for number in range(400):
             self.evidence.add(_crash(f"r{number}", *(f"{number}-{run}" for run in range(50))))
         kept = list(self.evidence.all())
@@ -89,7 +89,7 @@
 
 
 class _TableCase(unittest.TestCase):
-    """Has a state of control, and applies commands to it."""
+    """Base of tests that apply commands to a control state."""
 
     def setUp(self) -> None:
         self.state = ControlState("g")
@@ -116,7 +116,7 @@
 
 
 class TableTest(_TableCase):
-    def test_a_suspect_is_told_after_two_crashes_and_forgotten_once_served(self) -> None:
+    def test_a_suspect_is_published_after_two_crashes_and_cleared_once_served(self) -> None:
         self.report([_crash("r1", _CULPRIT, "b1"), _crash("r2", _CULPRIT, "b2")])
         entry = self.table.entry(_CULPRIT)
         assert entry is not None
@@ -125,20 +125,20 @@
         self.report(served=[_CULPRIT])
         self.assertIsNone(self.table.entry(_CULPRIT))
         self.report([_crash("r3", _CULPRIT)])
-        self.assertIsNone(self.table.entry(_CULPRIT), "what was held against it is gone")
+        self.assertIsNone(self.table.entry(_CULPRIT), "evidence against it was removed")
 
-    def test_refusing_one_frees_the_suspects_beside_it(self) -> None:
+    def test_a_refusal_clears_the_other_suspects_of_its_crashes(self) -> None:
         self.report([_crash("r1", _CULPRIT, "b"), _crash("r2", _CULPRIT, "b")])
         self.report([_crash("r3", _CULPRIT)])
         self.assertEqual(self.table.to_refuse(), [_CULPRIT])
         self.refuse(_CULPRIT)
         self.assertEqual(self.table.refused(), {_CULPRIT: 1})
         self.assertIsNone(self.table.entry("b"))
-        self.report([_crash("r4", _CULPRIT, "c")])  # sent before its gateway knew
+        self.report([_crash("r4", _CULPRIT, "c")])  # sent before its gateway learned of the refusal
         self.report([_crash("r4", "c")])
         self.assertEqual(self.table.to_refuse(), [])
 
-    def test_one_let_through_is_refused_again_at_its_next_crash(self) -> None:
+    def test_a_request_is_refused_again_at_its_next_crash(self) -> None:
         self.report([_crash(f"r{number}", _CULPRIT) for number in range(3)])
         self.refuse(_CULPRIT)
         self.refuse(_CULPRIT, ended=True)
@@ -148,7 +148,7 @@
         self.refuse(_CULPRIT)
         self.assertEqual(self.table.refused(), {_CULPRIT: 2})
 
-    def test_what_is_known_outlives_a_snapshot(self) -> None:
+    def test_evidence_survives_a_snapshot(self) -> None:
         self.report([_crash(f"r{number}", _CULPRIT, "b") for number in range(3)])
         self.report([_crash("r8", "other"), _crash("r9", "other")])
         self.report([_crash("r7", _CULPRIT)])
@@ -161,7 +161,7 @@
             state.crashes.report(99, control_pb2.ReportCrashes(replicas=[_crash("r10", "other")]))
             self.assertEqual(state.crashes.to_refuse(), ["other"])
 
-    def test_what_routers_hold_is_bounded_and_refused_ones_stay(self) -> None:
+    def test_published_entries_are_bounded_and_refused_ones_stay(self) -> None:
         self.report([_crash(f"r{number}", _CULPRIT) for number in range(3)])
         self.refuse(_CULPRIT)
         for number in range(300):
@@ -185,8 +185,8 @@
             self.refusals.applied(order, is_leader=True)
         return len(orders)
 
-    def test_routers_have_a_moment_to_say_that_they_served_it(self) -> None:
-        """A page that all ask for is at every replica of a zone when that is lost."""
+    def test_routers_have_time_to_report_that_a_suspect_was_served(self) -> None:
+        """A frequently requested page is in flight at every replica of a zone that is lost."""
         self.report([_crash(f"r{number}", "page") for number in range(4)])
         self.assertEqual(self._decide(), 0)
         self.clock.now_s += 0.2
@@ -195,7 +195,7 @@
         self.assertEqual(self._decide(), 0)
         self.assertEqual(self.table.refused(), {})
 
-    def test_a_suspect_is_refused_then_and_let_through_after_an_hour(self) -> None:
+    def test_a_suspect_is_refused_for_an_hour(self) -> None:
         self.report([_crash(f"r{number}", _CULPRIT) for number in range(3)])
         self._decide()
         self.clock.now_s += 0.5
--- a/tests/test_in_force.py
+++ b/tests/test_in_force.py
@@ -1,4 +1,4 @@
-"""Who is waited for before a change counts as in force, and who may act meanwhile."""
+"""Which daemons are awaited before a change is in force, and which may act meanwhile."""
 
 import asyncio
 import random
@@ -16,12 +16,12 @@
 
 _FRESHNESS_S = 1.0
 _HEARTBEAT_S = 0.3
-_CHECK_INTERVAL_S = 0.1  # between two looks of the leader
+_CHECK_INTERVAL_S = 0.1  # of the leader
 _HELD, _CHANGE, _LATER = 1, 5, 9  # revisions
 
 
 def _tracker(*others: str) -> InForceTracker:
-    """Return a leader's tracker of the gateway and of others that have all there is."""
+    """Return a leader's tracker of a gateway and others that have the newest configuration."""
     environment = Environment(random.Random(1), virtual=True)
     tracker = InForceTracker(environment, _FRESHNESS_S)
     tracker.begin([], 0.0)
@@ -32,7 +32,7 @@
 
 
 async def _run_checks(tracker: InForceTracker, for_s: float, committed: int = _CHANGE) -> int:
-    """Let time pass in which the leader does its chores; return what is in force after it."""
+    """Run the leader's checks for some time, and return the revision in force after it."""
     for _ in range(round(for_s / _CHECK_INTERVAL_S)):
         tracker.reached(committed, _HELD)
         await asyncio.sleep(_CHECK_INTERVAL_S)
@@ -42,7 +42,10 @@
 async def _lag(
     tracker: InForceTracker, for_s: float, committed: int = _CHANGE, *, deaf: bool = False
 ) -> int:
-    """Have the gateway be heard, and lag; return what is in force after it."""
+    """Send heartbeats of a lagging gateway for some time; return the revision in force after it.
+
+    With ``deaf``, the gateway acknowledges no messages of the leader.
+    """
     for _ in range(round(for_s / _HEARTBEAT_S)):
         await _run_checks(tracker, _HEARTBEAT_S, committed)
         last_received_s = 0.0 if deaf else asyncio.get_running_loop().time()
@@ -50,23 +53,23 @@
     return tracker.reached(committed, _HELD)
 
 
-class WaitedForTest(unittest.TestCase):
-    """A gateway goes on past its lease: it is left out only if it is out of touch."""
+class AwaitedDaemonsTest(unittest.TestCase):
+    """A gateway goes on past its lease; it is left out only if it is disconnected from control."""
 
     def _run(self, scenario: Coroutine[Any, Any, None]) -> None:
         run_virtual(scenario)
 
-    def test_a_gateway_that_lags_is_waited_for_as_long_as_it_is_in_touch(self) -> None:
+    def test_a_lagging_gateway_is_awaited_while_connected(self) -> None:
         async def scenario() -> None:
             tracker = _tracker()
-            self.assertEqual(await _lag(tracker, for_s=9.0), _HELD)  # no lease for 8 s
+            self.assertEqual(await _lag(tracker, for_s=9.0), _HELD)  # it has had no lease for 8 s
             self.assertEqual(tracker.blocking_daemons(_CHANGE), ["gateway"])
             tracker.heartbeat("gateway", _CHANGE, _CHANGE, _HELD)
             self.assertEqual(tracker.reached(_CHANGE, _HELD), _CHANGE)
 
         self._run(scenario())
 
-    def test_a_gateway_that_is_not_heard_of_is_left_out(self) -> None:
+    def test_a_silent_gateway_is_left_out(self) -> None:
         async def scenario() -> None:
             tracker = _tracker()
             self.assertEqual(await _run_checks(tracker, for_s=_FRESHNESS_S), _HELD)
@@ -74,8 +77,8 @@
 
         self._run(scenario())
 
-    def test_one_that_is_heard_and_hears_nothing_holds_changes_up_for_a_while_only(self) -> None:
-        """Streams opened again and again, on which nothing comes, say that one is there."""
+    def test_a_gateway_that_acknowledges_nothing_blocks_changes_for_a_limited_time(self) -> None:
+        """A gateway that opens streams repeatedly counts as connected, even if nothing arrives."""
 
         async def scenario() -> None:
             tracker = _tracker()
@@ -89,7 +92,7 @@
 
         self._run(scenario())
 
-    def test_one_that_lags_for_long_is_told_to_hold_and_counts_by_its_word(self) -> None:
+    def test_a_gateway_that_lags_for_long_is_told_to_hold_and_counts_once_it_promises(self) -> None:
         async def scenario() -> None:
             tracker = _tracker("other")
             tracker.heartbeat("other", _CHANGE, _CHANGE, _HELD)
@@ -101,15 +104,15 @@
             tracker.heartbeat("gateway", _HELD, _CHANGE, _HELD, held_below=_CHANGE)
             self.assertEqual(tracker.reached(_CHANGE, _HELD), _CHANGE)
             self.assertEqual(tracker.daemons_to_hold(_CHANGE), [])
-            # It serves nothing already: a further change asks for its word at once.
+            # It serves nothing already, so it is asked to hold for a further change at once.
             tracker.heartbeat("other", _LATER, _LATER, _CHANGE)
             self.assertEqual(tracker.reached(_LATER, _CHANGE), _CHANGE)
             self.assertEqual(tracker.daemons_to_hold(_LATER), ["gateway"])
 
         self._run(scenario())
 
-    def test_each_change_is_waited_for_by_its_own_age(self) -> None:
-        """A gateway that is always one update late held each change up for longer."""
+    def test_waiting_time_is_counted_for_each_change(self) -> None:
+        """Otherwise a gateway that is always one update late blocks each change for longer."""
 
         async def scenario() -> None:
             tracker = _tracker("other")
@@ -126,7 +129,7 @@
 
         self._run(scenario())
 
-    def test_where_most_lag_they_go_on_serving_and_the_change_waits(self) -> None:
+    def test_no_gateway_holds_while_most_of_them_lag(self) -> None:
         async def scenario() -> None:
             tracker = _tracker("other")
             for _ in range(20):
@@ -138,18 +141,18 @@
 
         self._run(scenario())
 
-    def test_time_in_which_the_leader_did_not_look_is_no_silence(self) -> None:
-        """A leader held for longer than a lease took all gateways for silent."""
+    def test_a_stall_of_the_leader_does_not_count_as_silence(self) -> None:
+        """A leader that stalls for longer than a lease must not take all gateways for silent."""
 
         async def scenario() -> None:
             tracker = _tracker()
             await _run_checks(tracker, for_s=0.2)
-            await asyncio.sleep(3.0)  # the leader's process is held; heartbeats wait unread
+            await asyncio.sleep(3.0)  # the leader's process stalls; heartbeats wait unread
             self.assertEqual(tracker.reached(_CHANGE, _HELD), _HELD)
 
         self._run(scenario())
 
-    def test_one_that_comes_back_with_an_older_state_is_waited_for_at_once(self) -> None:
+    def test_a_gateway_that_reconnects_with_an_older_state_is_awaited_at_once(self) -> None:
         async def scenario() -> None:
             tracker = _tracker()
             tracker.heartbeat("gateway", _HELD, _HELD, _HELD, 0, last_received_s=0.001)
@@ -160,7 +163,7 @@
 
         self._run(scenario())
 
-    def test_a_restarted_daemon_does_not_count_by_what_its_predecessor_applied(self) -> None:
+    def test_a_restarted_daemon_does_not_count_by_its_previous_process(self) -> None:
         async def scenario() -> None:
             tracker = _tracker()
             tracker.heartbeat("gateway", _CHANGE, _CHANGE, _HELD)
@@ -169,13 +172,13 @@
 
         self._run(scenario())
 
-    def test_a_new_term_does_not_count_waiting_of_an_earlier_one(self) -> None:
-        """A daemon one change behind was refused its lease at its first heartbeat."""
+    def test_waiting_time_of_an_earlier_term_does_not_count(self) -> None:
+        """A daemon that is one change behind gets its lease at its first heartbeat."""
 
         async def scenario() -> None:
             tracker = _tracker()
             tracker.reached(_CHANGE, _HELD)
-            await asyncio.sleep(30.0)  # another member led meanwhile
+            await asyncio.sleep(30.0)  # another member is the leader meanwhile
             tracker.begin(["gateway"], 0.0)
             tracker.connected("gateway", _CHANGE, acts_past_lease=True)
             tracker.reached(_LATER, _CHANGE)
@@ -183,18 +186,18 @@
 
         self._run(scenario())
 
-    def test_no_lease_is_renewed_below_a_change_that_is_being_put_in_force(self) -> None:
+    def test_no_lease_is_renewed_below_a_change_about_to_be_in_force(self) -> None:
         async def scenario() -> None:
             tracker = _tracker()
             self.assertEqual(await _run_checks(tracker, for_s=2.0), _CHANGE)
-            # The group has not committed yet that it is in force.
+            # The group has not yet committed that the change is in force.
             self.assertFalse(tracker.heartbeat("gateway", _HELD, _CHANGE, _HELD))
 
         self._run(scenario())
 
 
 class StandingTest(unittest.TestCase):
-    """What a gateway does that knows what is in force."""
+    """Behaviour of a gateway by the revision in force that it knows."""
 
     def _standing(self) -> tuple[ConfigurationStanding, ConfigurationStore]:
         store = ConfigurationStore("gateway")
@@ -203,7 +206,7 @@
         store.apply(control_pb2.ConfigUpdate(revision=_HELD))
         return standing, store
 
-    def test_it_holds_a_second_after_something_newer_came_into_force(self) -> None:
+    def test_a_gateway_holds_one_second_after_a_newer_revision_is_in_force(self) -> None:
         async def scenario() -> None:
             standing, store = self._standing()
             await self._stay_connected(standing)
@@ -219,8 +222,8 @@
 
         run_virtual(scenario())
 
-    def test_one_that_learned_late_does_not_act_for_longer(self) -> None:
-        """The time for which it may act by an older state ran from its learning of it."""
+    def test_learning_late_does_not_extend_the_grace_period(self) -> None:
+        """The grace period runs from when the change came into force, not from learning of it."""
 
         async def scenario() -> None:
             standing, _ = self._standing()
@@ -228,13 +231,15 @@
             standing.note_in_force(_CHANGE, 0, in_force_age_s=0.7)
             self.assertFalse(standing.must_hold)
             await asyncio.sleep(0.2)
-            standing.note_in_force(_LATER, 0, in_force_age_s=0.0)  # gives no further grace
+            standing.note_in_force(
+                _LATER, 0, in_force_age_s=0.0
+            )  # does not extend the grace period
             await asyncio.sleep(0.1)
             self.assertTrue(standing.must_hold)
 
         run_virtual(scenario())
 
-    def test_one_that_was_out_of_touch_has_a_second_from_being_back(self) -> None:
+    def test_a_reconnected_gateway_has_one_second_of_grace(self) -> None:
         async def scenario() -> None:
             standing, _ = self._standing()
             standing.note_contact()
@@ -249,13 +254,13 @@
 
     @staticmethod
     async def _stay_connected(standing: ConfigurationStanding) -> None:
-        """Have it be in touch for long."""
+        """Keep the gateway connected to control for 4 s."""
         standing.note_contact()
         for _ in range(4):
             await asyncio.sleep(1.0)
             standing.note_contact()
 
-    def test_what_it_promised_holds_at_once_and_through_any_silence(self) -> None:
+    def test_a_promise_takes_effect_at_once_and_lasts_through_silence(self) -> None:
         async def scenario() -> None:
             standing, store = self._standing()
             standing.note_in_force(0, _CHANGE)
@@ -267,7 +272,7 @@
 
         run_virtual(scenario())
 
-    def test_one_that_is_cut_off_while_behind_goes_on_by_what_it_holds(self) -> None:
+    def test_a_disconnected_gateway_that_lags_goes_on_serving(self) -> None:
         async def scenario() -> None:
             standing, _ = self._standing()
             await self._stay_connected(standing)
@@ -276,7 +281,7 @@
             self.assertTrue(standing.must_hold)
             await asyncio.sleep(2.0)
             self.assertFalse(standing.must_hold)
-            self.assertTrue(standing.behind)  # so it claims nothing of what is in force
+            self.assertTrue(standing.behind)  # it does not claim to serve the revision in force
 
         run_virtual(scenario())
 
--- a/tests/test_load_reports_to_idle_gateways.py
+++ b/tests/test_load_reports_to_idle_gateways.py
@@ -1,9 +1,9 @@
-"""A gateway's first burst was sent as if all replicas were idle.
+"""A gateway without requests in flight receives the load of the other gateways.
 
-Control told the load of other gateways only to those that had told some of their own, and a gateway
-that has nothing under way at a heartbeat tells none. 40 requests that came together, the first ones
-after three that fell between heartbeats, all went to a replica with one place: «0 not greater than
-10» refused.
+A gateway that has nothing in flight at a heartbeat reports no load. If control sent the load of the
+others only to gateways that report some, a gateway's first burst would be sent as if all replicas
+were idle: 40 requests that arrive together, after three between two heartbeats, would all go to a
+replica with one slot.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 _POLL_S = 0.02
 
 
-class LoadsToldTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_gateway_that_sent_nothing_yet_knows_what_others_have_under_way(self) -> None:
+class LoadReportTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_gateway_without_requests_receives_the_load_of_others(self) -> None:
         fleet = await start_fleet(configuration(1, route("/once/", kind="unsafe")))
         self.addAsyncCleanup(fleet.stop)
         gateway = fleet.gateway.gateway
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -1,4 +1,4 @@
-"""Members of two versions in virtual time: no entry reaches one that can't read it."""
+"""Members of two versions in virtual time: no member receives an entry that it can't read."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class MixedVersionsTest(unittest.TestCase):
-    def test_members_of_an_earlier_version_read_all_that_their_log_holds(self) -> None:
+    def test_members_of_an_earlier_version_can_read_their_whole_log(self) -> None:
         for seed in _SEEDS:
             with self.subTest(seed=seed):
                 run_virtual(self._run(seed))
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -1,4 +1,4 @@
-"""Records, grants, steps and verdicts of roll-outs: pure decisions, in virtual time."""
+"""Records, grants, phase changes and verdicts of rollouts."""
 
 import random
 import unittest
@@ -66,16 +66,18 @@
         order.to_phase = to_phase  # type: ignore[assignment]
         return self.table.advance(self._index, order)
 
-    def test_the_same_order_again_changes_nothing(self) -> None:
+    def test_a_retried_order_changes_nothing(self) -> None:
         first = self._start()
         self.assertEqual(self._start().revision, first.revision)
         self._advance(ROLLED_BACK)
         self.assertEqual(self._start().revision, first.revision)
         self.assertEqual(self._record().phase, ROLLED_BACK)
 
-    def test_after_its_end_it_is_a_new_one_once_it_can_be_no_repeat(self) -> None:
+    def test_an_ended_order_starts_anew_only_after_the_retry_window(self) -> None:
         first = self._start()
-        self.assertEqual(self._start(anew=True).revision, first.revision)  # it runs
+        self.assertEqual(
+            self._start(anew=True).revision, first.revision
+        )  # the order is still running
         self._advance(ROLLED_BACK)
         again = self._start(anew=True)
         self.assertGreater(again.revision, first.revision)
@@ -87,7 +89,7 @@
         self.assertEqual(result.code, control_pb2.RESULT_CODE_VERSION_CONFLICT)
         self.assertEqual(self._record().target, "v2")
 
-    def test_a_step_of_an_older_order_is_void(self) -> None:
+    def test_a_phase_change_of_an_older_order_is_stale(self) -> None:
         self._start()
         step = control_pb2.AdvanceRollout(
             service=_SERVICE, ordered_revision=1, from_phase=TRIAL, to_phase=MOVING
@@ -95,7 +97,7 @@
         result = self.table.advance(99, step)
         self.assertEqual(result.code, control_pb2.RESULT_CODE_STALE)
 
-    def test_ends_say_what_is_refused(self) -> None:
+    def test_the_final_phase_sets_admitted_and_refused_versions(self) -> None:
         self._add("b", "v2")
         self._start()
         self._advance(MOVING)
@@ -107,7 +109,7 @@
         self.assertEqual(list(self._record().admitted), ["v2"])
         self.assertEqual(list(self._record().refused), ["v1", "v3"])
 
-    def test_a_start_that_beats_its_order_is_a_newcomer_until_then(self) -> None:
+    def test_a_replica_before_its_order_is_a_newcomer(self) -> None:
         self._add("b", "v2")
         self.assertEqual((self._record().phase, self._record().newcomer), (UNORDERED, "v2"))
         self._start()
@@ -135,8 +137,8 @@
         self.resources.write(self._index, "replica", name, resource)
         self.table.admit_after_departure(self._index, _SERVICE)
 
-    def test_an_order_before_any_replica_admits_the_old_ones_that_come_later(self) -> None:
-        """Nothing was admitted then, and all requests were refused."""
+    def test_an_order_before_any_replica_admits_later_old_replicas(self) -> None:
+        """Without an admitted version, all requests are refused."""
         self.resources.erase(9, "replica", "a")
         fleet = resources_pb2.Resource()
         fleet.fleet_configuration.services.add(name=_SERVICE)
@@ -146,10 +148,10 @@
         self._add("b", "v2")
         self._add("c", "v1")
         self.assertEqual(list(self._record().admitted), ["v1"])
-        self._add("d", "v3")  # the old one is there: a third one has to wait
+        self._add("d", "v3")  # the old version has replicas, so a third one must wait
         self.assertEqual(list(self._record().admitted), ["v1"])
 
-    def test_a_third_version_takes_over_when_the_old_one_leaves_during_an_order(self) -> None:
+    def test_a_third_version_is_admitted_when_the_old_one_leaves(self) -> None:
         self._add("b", "v2")
         self._start()
         self._add("c", "v3")
@@ -158,19 +160,19 @@
         self.assertEqual(list(self._record().admitted), ["v1", "v3"])
         self.assertEqual(self._record().phase, TRIAL)
 
-    def test_old_replicas_that_are_gone_for_a_moment_complete_nothing(self) -> None:
-        """The target had been admitted by nobody, and got all requests at once."""
+    def test_a_target_is_not_completed_while_old_replicas_are_briefly_gone(self) -> None:
+        """Otherwise the unproven target receives all requests at once."""
         self._drain("a")
         self._add("b", "v2")
         self._start()
         self.assertEqual((self._record().phase, list(self._record().admitted)), (TRIAL, ["v1"]))
 
-    def test_a_target_that_is_admitted_already_is_completed(self) -> None:
+    def test_an_admitted_target_is_completed_at_once(self) -> None:
         self._start(target="v1")
         self.assertEqual(self._record().phase, COMPLETED)
 
-    def test_versions_are_known_without_reading_all_replicas(self) -> None:
-        """At 3,000 replicas each registration read all of them."""
+    def test_versions_are_indexed_without_reading_all_replicas(self) -> None:
+        """A read of all replicas at each registration is quadratic: 9,000,000 reads for 3,000."""
 
         class Counted(dict[str, resources_pb2.Resource]):
             reads = 0
@@ -191,7 +193,7 @@
         self.resources.load(control_pb2.StateSnapshot())
         self.assertEqual(self.table.versions(_SERVICE), set())
 
-    def test_a_snapshot_carries_record_and_note(self) -> None:
+    def test_a_snapshot_contains_record_and_note(self) -> None:
         state = ControlState("r")
         command = control_pb2.Command()
         command.register_replica.replica.id = "a"
@@ -216,8 +218,8 @@
 
 
 class GrantTest(unittest.TestCase):
-    def test_all_grants_stay_under_the_allowance_over_changes_of_leader(self) -> None:
-        """Routers restart and leaders change; what was granted is never granted twice."""
+    def test_grants_stay_within_the_allowance_across_leader_changes(self) -> None:
+        """Routers restart and leaders change; nothing is granted twice."""
         source = random.Random(3)
         for _ in range(200):
             held: dict[str, int] = {}
@@ -246,7 +248,7 @@
                 held[name] = granted
                 self.assertLessEqual(sum(held.values()), allowance)
 
-    def test_a_trial_never_gets_the_whole_bound(self) -> None:
+    def test_a_trial_never_gets_the_total_limit(self) -> None:
         limits = ExposureLimits(0.1, 50)
         for per_s in (1, 6, 60, 150, 400):
             for elapsed_s in range(1, 20):
@@ -255,17 +257,17 @@
                 self.assertLess(trial, limits.total_limit(requests))
 
 
-class PaceTest(unittest.TestCase):
-    def test_a_jump_counts_after_a_second(self) -> None:
+class RequestRateTest(unittest.TestCase):
+    def test_a_traffic_jump_counts_after_a_second(self) -> None:
         pace = RequestRate()
-        for look in range(51):
-            pace.note(look * 0.2, look * 2)  # 10 a second
+        for check in range(51):
+            pace.note(check * 0.2, check * 2)  # 10 per second
         self.assertAlmostEqual(pace.per_s(10.0), 10.0)
-        for look in range(1, 6):
-            pace.note(10.0 + look * 0.2, 100 + look * 40)  # 200 a second
+        for check in range(1, 6):
+            pace.note(10.0 + check * 0.2, 100 + check * 40)  # 200 per second
         self.assertAlmostEqual(pace.per_s(11.0), 200.0)
 
-    def test_a_lull_is_no_reason_to_plan_with_less(self) -> None:
+    def test_a_lull_does_not_lower_the_rate(self) -> None:
         pace = RequestRate()
         pace.note(0.0, 0)
         pace.note(5.0, 500)
@@ -273,7 +275,7 @@
         self.assertAlmostEqual(pace.per_s(7.0), 500 / 7)
 
 
-class StepTest(unittest.TestCase):
+class NextStepTest(unittest.TestCase):
     @staticmethod
     def _view(**changes: object) -> RolloutView:
         known: dict[str, object] = {
@@ -294,18 +296,21 @@
         step = next_step(self._view(**changes))
         return None if step is None else step.phase
 
-    def test_the_move_comes_as_late_as_it_can(self) -> None:
+    def test_the_move_starts_as_late_as_possible(self) -> None:
         self.assertIsNone(self._phase())
         self.assertIsNone(self._phase(elapsed_s=8.4))
         self.assertEqual(self._phase(elapsed_s=8.5), MOVING)
 
-    def test_what_is_not_proved_is_not_moved_to(self) -> None:
+    def test_an_unproved_version_is_not_moved_to(self) -> None:
         doubt = Verdict(Decision.GO_ON, "in doubt")
         self.assertIsNone(self._phase(elapsed_s=9.9, verdict=doubt, per_s=2000.0))
         self.assertEqual(self._phase(elapsed_s=10.0, verdict=doubt), ROLLED_BACK)
 
-    def test_what_is_in_doubt_is_not_moved_to_at_the_last_moment_either(self) -> None:
-        """What is left of the time goes to nothing, and so did what was asked of the bound."""
+    def test_a_doubtful_version_is_not_moved_to_just_before_the_deadline(self) -> None:
+        """The requests until the deadline approach 0, so they fit shortly before it.
+
+        A doubtful version must not be moved to on that account.
+        """
         doubt = Verdict(Decision.GO_ON, "in doubt: failures of all 4.4")
         for per_s, duration_s, elapsed_s, left in (
             (148.0, 12.0, 11.75, 100),
@@ -317,40 +322,43 @@
             self.assertIsNone(self._phase(**known, left=left, verdict=doubt))
             self.assertEqual(self._phase(**known, left=left), MOVING)
 
-    def test_of_a_sound_one_the_deadline_bounds_what_it_may_still_do(self) -> None:
-        """A good version of 90 requests a second was sent back: its trial had used too much."""
+    def test_a_sound_version_is_moved_to_once_the_requests_until_the_deadline_fit(self) -> None:
+        """A trial may use so much of the limit that only a late move of a good version fits.
+
+        Without it, a good version of a service with 91 requests per second is rolled back.
+        """
         known = {"per_s": 91.0, "duration_s": 4.0, "left": 46, "longest_old_response_s": 0.035}
         self.assertIsNone(self._phase(**known, elapsed_s=3.3))
         self.assertEqual(self._phase(**known, elapsed_s=3.58), MOVING)
         doubt = Verdict(Decision.GO_ON, "in doubt")
         self.assertIsNone(self._phase(**known, elapsed_s=3.58, verdict=doubt))
 
-    def test_after_the_deadline_only_what_is_sound_stays_moved_to(self) -> None:
+    def test_after_the_deadline_only_a_sound_version_continues_its_move(self) -> None:
         doubt = Verdict(Decision.GO_ON, "in doubt")
         late = {"phase": MOVING, "elapsed_s": 10.0}
         self.assertEqual(self._phase(**late, verdict=doubt), ROLLED_BACK)
-        self.assertIsNone(self._phase(**late))  # it waits for what runs elsewhere
+        self.assertIsNone(self._phase(**late))  # it waits for requests in flight at other versions
 
-    def test_a_move_that_only_lacks_answers_gets_more_time(self) -> None:
-        """A good one was sent back at the deadline: «not proved in its time: 9 answers of 16»."""
+    def test_a_move_with_too_few_answers_gets_more_time(self) -> None:
+        """A good version with 9 of 16 necessary answers is not rolled back at the deadline."""
         few = Verdict(Decision.GO_ON, "9 answers of 16", lacks_answers=True)
         self.assertIsNone(self._phase(phase=MOVING, elapsed_s=10.0, verdict=few))
         self.assertIsNone(self._phase(phase=MOVING, elapsed_s=14.9, verdict=few))
         self.assertEqual(self._phase(phase=MOVING, elapsed_s=15.0, verdict=few), ROLLED_BACK)
         self.assertEqual(self._phase(phase=TRIAL, elapsed_s=10.0, verdict=few), ROLLED_BACK)
 
-    def test_what_does_not_fit_into_the_bound_is_not_moved_to(self) -> None:
+    def test_no_move_whose_requests_exceed_the_limit(self) -> None:
         self.assertIsNone(self._phase(elapsed_s=9.0, left=20))
 
-    def test_it_goes_back_in_each_phase(self) -> None:
+    def test_a_bad_version_is_rolled_back_in_each_phase(self) -> None:
         bad = Verdict(Decision.GO_BACK, "bad")
         for phase in (TRIAL, MOVING):
             self.assertEqual(self._phase(phase=phase, verdict=bad), ROLLED_BACK)
         self.assertEqual(self._phase(phase=MOVING, target_replicas=0), ROLLED_BACK)
 
-    def test_completed_only_when_all_are_clear_and_it_is_sound(self) -> None:
+    def test_completed_only_when_others_are_drained_and_the_version_is_sound(self) -> None:
         self.assertIsNone(self._phase(phase=MOVING))
-        self.assertIsNone(self._phase(phase=MOVING, others_drained=True))  # it is still watched
+        self.assertIsNone(self._phase(phase=MOVING, others_drained=True))  # it is still observed
         late = {"phase": MOVING, "elapsed_s": 9.5}
         self.assertEqual(self._phase(**late, others_drained=True), COMPLETED)
         self.assertIsNone(self._phase(**late))
@@ -359,8 +367,8 @@
 
 
 class VerdictTest(unittest.TestCase):
-    def test_an_old_version_that_is_not_known_yet_loses_no_answer_of_the_new(self) -> None:
-        """What the target answered first was dropped, so one that fails at once was let in."""
+    def test_target_answers_before_the_old_version_is_known_are_counted(self) -> None:
+        """Without the target's first answers, a version that fails at once is not detected."""
         watch = Watch()
         evidence = Evidence()
         evidence.sides[("r", True)] = Answers(answers=20, failed=12)
@@ -369,7 +377,7 @@
         evidence.sides[("r", False)] = Answers(answers=60)
         self.assertIs(watch.judge(evidence).decision, Decision.GO_BACK)
 
-    def test_a_good_start_does_not_cover_what_turns_bad(self) -> None:
+    def test_a_good_start_does_not_hide_later_failures(self) -> None:
         watch = Watch()
         evidence = Evidence()
         evidence.sides[("r", False)] = Answers(answers=2000)
@@ -378,7 +386,7 @@
         evidence.sides[("r", True)] = Answers(answers=312, failed=6)
         self.assertIs(watch.judge(evidence).decision, Decision.GO_BACK)
 
-    def test_a_burst_that_hits_both_is_no_fault_of_the_new(self) -> None:
+    def test_failures_of_both_versions_do_not_count_against_the_target(self) -> None:
         watch = Watch()
         evidence = Evidence()
         evidence.sides[("r", False)] = Answers(answers=500)
@@ -388,9 +396,9 @@
         evidence.sides[("r", True)] = Answers(answers=60, failed=5)
         self.assertIsNot(watch.judge(evidence).decision, Decision.GO_BACK)
 
-    def test_drawn_versions_that_are_clearly_bad_keep_to_the_bound(self) -> None:
-        """A seed that once went over the bound: 69, whose first old answers failed often."""
-        over = []
+    def test_sampled_bad_versions_stay_within_the_limit(self) -> None:
+        """In seed 69, which is prone to exceed the limit, the first old answers fail often."""
+        exceeded = []
         ran = 0
         for seed in (69, 3, 17, 42, 63, 97, 101, 188, 250, 320):
             source = random.Random(seed)
@@ -399,10 +407,10 @@
                 continue
             ran += 1
             outcome = run_rollout(scenario, Watch().judge, source)
-            if not outcome.kept:
-                over.append((seed, scenario, outcome))
+            if not outcome.is_within_limit:
+                exceeded.append((seed, scenario, outcome))
         self.assertGreater(ran, 3)
-        self.assertEqual(over, [])
+        self.assertEqual(exceeded, [])
 
 
 if __name__ == "__main__":
--- a/tests/test_rollout_low_traffic.py
+++ b/tests/test_rollout_low_traffic.py
@@ -1,4 +1,4 @@
-"""Roll-outs of services with few requests or none, in virtual time."""
+"""Rollouts of services with few requests or none, in virtual time."""
 
 import unittest
 from random import Random
@@ -12,16 +12,16 @@
 
 
 def _scenario(per_s: float, duration_s: float, routes: list[float], fails: float = 0.0) -> Scenario:
-    return Scenario("drawn", per_s, duration_s, routes, 0.09, 0.3, 0.0, fails=fails)
+    return Scenario("sampled", per_s, duration_s, routes, 0.09, 0.3, 0.0, fails=fails)
 
 
-class QuietTest(unittest.TestCase):
+class LowTrafficTest(unittest.TestCase):
     def _completed_in_time(self, scenario: Scenario) -> int:
         outcomes = [run_rollout(scenario, Watch().judge, Random(seed)) for seed in range(_SEEDS)]
         return sum(o.phase == COMPLETED and o.ended_s <= scenario.duration_s for o in outcomes)
 
-    def test_a_good_version_of_a_quiet_service_is_completed_in_time(self) -> None:
-        """Verdicts asked for answers of the old version that no longer came once all had moved."""
+    def test_a_good_version_is_completed_in_time(self) -> None:
+        """Once all requests have moved, a verdict must not need further old answers."""
         for per_s, duration_s, routes in (
             (6.0, 6.0, [1.0]),
             (10.0, 12.0, [1.0]),
@@ -34,10 +34,10 @@
                 completed = self._completed_in_time(_scenario(per_s, duration_s, routes))
                 self.assertGreaterEqual(completed, 0.8 * _SEEDS)
 
-    def test_a_service_without_requests_completes(self) -> None:
+    def test_a_rollout_without_requests_is_completed(self) -> None:
         self.assertEqual(self._completed_in_time(_scenario(0.0, 6.0, [1.0])), _SEEDS)
 
-    def test_a_version_that_fails_half_is_not_completed(self) -> None:
+    def test_a_version_that_fails_half_its_requests_is_rolled_back(self) -> None:
         for per_s, duration_s in ((6.0, 6.0), (2.0, 30.0), (10.0, 12.0)):
             scenario = _scenario(per_s, duration_s, [1.0], fails=0.5)
             outcomes = [
@@ -46,7 +46,7 @@
             back = sum(outcome.phase == ROLLED_BACK for outcome in outcomes)
             self.assertEqual(back, _SEEDS, (per_s, duration_s))
 
-    def test_a_version_that_fails_everything_goes_back_though_the_old_is_hardly_known(
+    def test_a_version_that_fails_all_requests_is_rolled_back_with_few_old_answers(
         self,
     ) -> None:
         for old in (0, 3, 9):
@@ -59,7 +59,7 @@
                     verdict = watch.judge(evidence, alone=alone)
                 self.assertIs(verdict.decision, Decision.GO_BACK, (old, alone))
 
-    def test_one_look_at_many_failures_is_enough(self) -> None:
+    def test_one_check_of_many_failures_suffices(self) -> None:
         evidence = Evidence()
         evidence.sides[("r", False)] = Answers(answers=9)
         evidence.sides[("r", True)] = Answers(answers=500, failed=500)
--- a/tests/test_rollout_stalls.py
+++ b/tests/test_rollout_stalls.py
@@ -1,8 +1,8 @@
-"""A good version was sent back after a machine had had too much to do for 0.2 s.
+"""A good version must not be rolled back after a machine stall of 0.2 s.
 
-All requests of that moment had gone to the version on trial, so its answers were late together
-and counted as so many proofs: «rollout_decided phase=trial to_phase=rolled_back sent=6
-reason="first_byte of safe: 4.7; failed 0/6 against 0/32"».
+All requests of that time may have gone to the version on trial. Their answers are late together,
+and must not count as independent evidence. Otherwise a trial with 6 answers of the target is rolled
+back with the reason "first_byte of safe: 4.7; failed 0/6 against 0/32".
 """
 
 import unittest
@@ -11,19 +11,19 @@
 from heronladder_runtime.rollouts.verdict import Decision, Watch
 
 _ROUTE = "safe"
-_USUAL_S = (0.039, 0.045, 0.049, 0.054)
+_NORMAL_S = (0.039, 0.045, 0.049, 0.054)
 _LATE_S = 0.095
 
 
-class MomentTest(unittest.TestCase):
+class StalledAnswersTest(unittest.TestCase):
     def setUp(self) -> None:
         self.evidence = Evidence()
         self.watch = Watch()
         for _ in range(8):
-            self._answered(False, _USUAL_S)
+            self._add_answers(False, _NORMAL_S)
         self.watch.judge(self.evidence)
 
-    def _answered(self, of_target: bool, times_s: tuple[float, ...]) -> Answers:
+    def _add_answers(self, of_target: bool, times_s: tuple[float, ...]) -> Answers:
         side = self.evidence.side(_ROUTE, of_target=of_target)
         for time_s in times_s:
             side.answers += 1
@@ -33,26 +33,26 @@
     def _decision(self) -> Decision:
         return self.watch.judge(self.evidence).decision
 
-    def test_answers_of_one_moment_do_not_end_a_good_version(self) -> None:
-        self._answered(True, (_LATE_S,) * 4)
+    def test_one_stall_does_not_roll_back_a_good_version(self) -> None:
+        self._add_answers(True, (_LATE_S,) * 4)
         self.assertIs(self._decision(), Decision.GO_ON)
-        self._answered(True, (*_USUAL_S[:3], _LATE_S))
+        self._add_answers(True, (*_NORMAL_S[:3], _LATE_S))
         self.assertIs(self._decision(), Decision.GO_ON)
         for _ in range(6):
-            self._answered(True, _USUAL_S)
-            self._answered(False, _USUAL_S)
+            self._add_answers(True, _NORMAL_S)
+            self._add_answers(False, _NORMAL_S)
             self.assertIsNot(self._decision(), Decision.GO_BACK)
 
-    def test_a_version_that_stays_slow_is_found_in_three_looks(self) -> None:
+    def test_a_slow_version_is_detected_in_three_checks(self) -> None:
         decisions = []
         for _ in range(3):
-            self._answered(True, (_LATE_S,) * 4)
+            self._add_answers(True, (_LATE_S,) * 4)
             decisions.append(self._decision())
         self.assertIs(decisions[-1], Decision.GO_BACK)
 
-    def test_one_look_is_enough_beside_many_answers_of_the_old_version(self) -> None:
-        self._answered(True, (_LATE_S,) * 4)
-        self._answered(False, _USUAL_S * 2)
+    def test_one_check_suffices_with_many_answers_of_the_old_version(self) -> None:
+        self._add_answers(True, (_LATE_S,) * 4)
+        self._add_answers(False, _NORMAL_S * 2)
         self.assertIs(self._decision(), Decision.GO_BACK)
 
 
