--- a/packages/heronladder-control/src/heronladder_control/cluster_version.py
+++ b/packages/heronladder-control/src/heronladder_control/cluster_version.py
@@ -86,7 +86,7 @@
         self._ready_since_s: float | None = None
         self._reported: tuple[str, ...] = ()
 
-    def begin(self) -> None:
+    def start_term(self) -> None:
         """Start a term as the leader."""
         self._ready_since_s = None
         self._reported = ()
@@ -103,7 +103,7 @@
         is_below = self._member.state.cluster_version < target_version(self._member)
         return _NEW_GROUP_CHECK_INTERVAL_S if self._is_formed_at_target and is_below else 0.0
 
-    async def tend(self) -> None:
+    async def run_check(self) -> None:
         """Raise the version if nothing has blocked it for the configured time."""
         version = self._member.state.cluster_version
         if version >= target_version(self._member):
--- a/packages/heronladder-control/src/heronladder_control/crashes/refusals.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/refusals.py
@@ -61,7 +61,7 @@
         """Time until the next check if no report comes earlier, in seconds."""
         return _CHECK_INTERVAL_S if self._sufficient_since_s else _IDLE_CHECK_INTERVAL_S
 
-    def begin(self) -> None:
+    def start_term(self) -> None:
         """Start a term as the leader."""
         self._sufficient_since_s.clear()
         self._refused_since_s.clear()
--- a/packages/heronladder-control/src/heronladder_control/draw_decisions.py
+++ b/packages/heronladder-control/src/heronladder_control/draw_decisions.py
@@ -84,7 +84,7 @@
         copy.CopyFrom(account)
         return self._projections.setdefault(tenant, _Projection(copy))
 
-    def ended(self, order: control_pb2.DrawTokens) -> None:
+    def finish(self, order: control_pb2.DrawTokens) -> None:
         """Record that a draw was applied, or that its outcome is unknown."""
         projection = self._projections.get(order.tenant)
         if projection is None:
--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -292,7 +292,7 @@
     def begin_term(self) -> None:
         """Begin as the leader."""
         self._late_orders.begin(self._member.node.term)
-        self._rollout_orders.begin()
+        self._rollout_orders.start_term()
 
     def applied(self, command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
         """Note a command that was just applied, at any member."""
--- a/packages/heronladder-control/src/heronladder_control/in_force.py
+++ b/packages/heronladder-control/src/heronladder_control/in_force.py
@@ -103,7 +103,7 @@
         self._commits: deque[tuple[int, float]] = deque()  # revision, time first seen
         self._last_check_s = 0.0
 
-    def begin(self, names: list[str], earlier_leader_s: float) -> None:
+    def start_term(self, names: list[str], earlier_leader_s: float) -> None:
         """Start a term as the leader; any daemon may hold a lease of the previous leader.
 
         Args:
@@ -199,7 +199,7 @@
         )
         return True
 
-    def reached(self, committed_revision: int, in_force_revision: int) -> int:
+    def reached_revision(self, committed_revision: int, in_force_revision: int) -> int:
         """Return the newest revision below which no awaited daemon acts."""
         self._discount_own_stall()
         self._note_commits(committed_revision, in_force_revision)
@@ -289,7 +289,7 @@
     def left_out(self, revision: int) -> Iterator[LeftOut]:
         """Yield the daemons that may act on something older than a revision."""
         now = self._environment.monotonic()
-        for name in self.behind(revision):
+        for name in self.lagging_daemons(revision):
             progress = self.daemons[name]
             silent_s = now - progress.last_contact_s
             yield LeftOut(name, progress.applied_revision, silent_s, progress.connected)
@@ -306,7 +306,7 @@
         progress = self.daemons.get(name)
         return progress is not None and progress.oldest_usable_revision < revision
 
-    def behind(self, revision: int) -> list[str]:
+    def lagging_daemons(self, revision: int) -> list[str]:
         """Return the names of daemons that may act on something older than a revision."""
         return sorted(name for name in self.daemons if self.is_behind(name, revision))
 
@@ -315,6 +315,6 @@
         now = self._environment.monotonic()
         return [
             name
-            for name in self.behind(committed_revision)
+            for name in self.lagging_daemons(committed_revision)
             if self._is_awaited(self.daemons[name], now)
         ]
--- a/packages/heronladder-control/src/heronladder_control/leader_decisions.py
+++ b/packages/heronladder-control/src/heronladder_control/leader_decisions.py
@@ -44,7 +44,7 @@
         try:
             yield
         finally:
-            self._draws.ended(draw)
+            self._draws.finish(draw)
 
     def _decide(self, draw: control_pb2.DrawTokens) -> bool:
         """Decide a draw; return whether it counts as in flight."""
--- a/packages/heronladder-control/src/heronladder_control/member.py
+++ b/packages/heronladder-control/src/heronladder_control/member.py
@@ -191,14 +191,14 @@
 
     def _begin_term(self) -> None:
         """Begin as the leader: what an earlier term knew beside the log is void."""
-        self.cluster_versions.begin()
-        self.in_force.begin(
+        self.cluster_versions.start_term()
+        self.in_force.start_term(
             sorted(name for name, record in self.state.daemons.daemons.items() if not record.gone),
             earlier_leader_s=2 * self.options.timing.election_timeout_s,
         )
         self.fleet_service.begin_term()
-        self.rollouts.begin()
-        self.refusals.begin()
+        self.rollouts.start_term()
+        self.refusals.start_term()
         self.prepaid_watch.begin(self.node.term, self.state.prepaid.last_promises)
         for session in self.sessions.values():
             self.service.note_connected(session)
@@ -209,10 +209,10 @@
         ended = EndedReplicas(self.environment)
         while self.node.is_leader:
             seen = self.progress.given
-            await self.cluster_versions.tend()
+            await self.cluster_versions.run_check()
             await self._name_group()
             await self._put_in_force()
-            await self.rollouts.tend()
+            await self.rollouts.run_check()
             if self.environment.monotonic() >= next_chores_s:
                 next_chores_s = self.environment.monotonic() + _CHORE_PAUSE_S
                 await self._declare_silent_gone()
@@ -232,7 +232,7 @@
         for name in self.in_force.daemons_to_hold(committed):
             self._order_to_hold(name, committed)
         waited_s = self.in_force.pending_s
-        reached = self.in_force.reached(committed, self.state.in_force_revision)
+        reached = self.in_force.reached_revision(committed, self.state.in_force_revision)
         if reached > self.state.in_force_revision:
             self._report_in_force(reached, committed, waited_s)
             command = control_pb2.Command()
--- a/packages/heronladder-control/src/heronladder_control/replica_limits.py
+++ b/packages/heronladder-control/src/heronladder_control/replica_limits.py
@@ -60,7 +60,7 @@
         sends: Number of sends requested.
     """
 
-    requested_s: float
+    requested_at_s: float
     service: str
     sends: int
 
@@ -117,7 +117,7 @@
         reserved = sum(
             1
             for other, request in self.requests.items()
-            if now_s - request.requested_s < _REQUEST_VALID_S
+            if now_s - request.requested_at_s < _REQUEST_VALID_S
             and self._weighted_wait(other, now_s) > own
         )
         return max(0, int(self.free) - reserved)
--- a/packages/heronladder-control/src/heronladder_control/rollouts/controller.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/controller.py
@@ -83,7 +83,7 @@
         self._progress: dict[str, _RolloutProgress] = {}
         self._next_check_s = 0.0
 
-    def begin(self) -> None:
+    def start_term(self) -> None:
         """Start a term as the leader and discard what an earlier term knew."""
         self._progress.clear()
         self._next_check_s = 0.0
@@ -164,7 +164,7 @@
 
     # ---- periodic checks --------------------------------------------------
 
-    async def tend(self) -> None:
+    async def run_check(self) -> None:
         """Check all rollouts and propose due phases and ceilings."""
         services = self._member.state.rollouts.services()
         if not services or self._now_s() < self._next_check_s:
--- a/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
@@ -26,7 +26,7 @@
         self._ended_s: dict[str, float] = {}  # by service, in this term; monotonic clock
         self._began_s = 0.0
 
-    def begin(self) -> None:
+    def start_term(self) -> None:
         """Start a term as the leader; any order may have ended immediately before."""
         self._late.begin(self._member.node.term)
         self._ended_s.clear()
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -353,7 +353,7 @@
             session.wake.give()
 
     def _wake_those_behind(self, in_force_revision: int) -> None:
-        for name in self._member.in_force.behind(in_force_revision):
+        for name in self._member.in_force.lagging_daemons(in_force_revision):
             session = self.sessions.get(name)
             if session is not None:
                 session.wake.give()
--- a/packages/heronladder-tools/src/heronladder_tools/crowd_member.py
+++ b/packages/heronladder-tools/src/heronladder_tools/crowd_member.py
@@ -102,7 +102,7 @@
             "leads": member.node.is_leader,
             "tasks": len(asyncio.all_tasks()),
             "waiting": len(member.node._waiters),
-            "behind": len(member.in_force.behind(member.state.resources.revision)),
+            "behind": len(member.in_force.lagging_daemons(member.state.resources.revision)),
             "streams": len(member.sessions),
             "index": member.node.applied_index,
             "revision": member.state.resources.revision,
--- a/tests/decided_prepaid_table.py
+++ b/tests/decided_prepaid_table.py
@@ -20,7 +20,7 @@
             return super().draw(order)
         finally:
             if is_in_flight:
-                self._decisions.ended(order)
+                self._decisions.finish(order)
 
     @staticmethod
     def charged(account: ledger_pb2.PrepaidAccount) -> int:
--- a/tests/test_cluster_version.py
+++ b/tests/test_cluster_version.py
@@ -87,8 +87,8 @@
         """A hold of 5 s must not apply to a new group, or apply again after each restart."""
         self.assertEqual(self.leader.node.hard_state.formed_version, LATEST_VERSION)
         self.leader.state._cluster_version = 0
-        self.leader.cluster_versions.begin()  # a later term, with entries applied
-        await self.leader.cluster_versions.tend()
+        self.leader.cluster_versions.start_term()  # a later term, with entries applied
+        await self.leader.cluster_versions.run_check()
         self.assertEqual(self.leader.state.cluster_version, LATEST_VERSION)
 
     async def test_a_disconnected_gateway_blocks_the_version_until_it_is_gone(self) -> None:
--- a/tests/test_in_force.py
+++ b/tests/test_in_force.py
@@ -24,7 +24,7 @@
     """Return a leader's tracker of a gateway and others that have the newest configuration."""
     environment = Environment(random.Random(1), virtual=True)
     tracker = InForceTracker(environment, _FRESHNESS_S)
-    tracker.begin([], 0.0)
+    tracker.start_term([], 0.0)
     for name in ("gateway", *others):
         tracker.connected(name, _HELD, acts_past_lease=True)
         tracker.heartbeat(name, _HELD, _HELD, _HELD)
@@ -34,9 +34,9 @@
 async def _run_checks(tracker: InForceTracker, for_s: float, committed: int = _CHANGE) -> int:
     """Run the leader's checks for some time, and return the revision in force after it."""
     for _ in range(round(for_s / _CHECK_INTERVAL_S)):
-        tracker.reached(committed, _HELD)
+        tracker.reached_revision(committed, _HELD)
         await asyncio.sleep(_CHECK_INTERVAL_S)
-    return tracker.reached(committed, _HELD)
+    return tracker.reached_revision(committed, _HELD)
 
 
 async def _lag(
@@ -50,7 +50,7 @@
         await _run_checks(tracker, _HEARTBEAT_S, committed)
         last_received_s = 0.0 if deaf else asyncio.get_running_loop().time()
         tracker.heartbeat("gateway", _HELD, committed, _HELD, 0, last_received_s)
-    return tracker.reached(committed, _HELD)
+    return tracker.reached_revision(committed, _HELD)
 
 
 class AwaitedDaemonsTest(unittest.TestCase):
@@ -65,7 +65,7 @@
             self.assertEqual(await _lag(tracker, for_s=9.0), _HELD)  # it has had no lease for 8 s
             self.assertEqual(tracker.blocking_daemons(_CHANGE), ["gateway"])
             tracker.heartbeat("gateway", _CHANGE, _CHANGE, _HELD)
-            self.assertEqual(tracker.reached(_CHANGE, _HELD), _CHANGE)
+            self.assertEqual(tracker.reached_revision(_CHANGE, _HELD), _CHANGE)
 
         self._run(scenario())
 
@@ -88,7 +88,7 @@
             tracker.heartbeat(
                 "gateway", _HELD, _LATER, _CHANGE, 0, asyncio.get_running_loop().time()
             )
-            self.assertEqual(tracker.reached(_LATER, _CHANGE), _CHANGE)
+            self.assertEqual(tracker.reached_revision(_LATER, _CHANGE), _CHANGE)
 
         self._run(scenario())
 
@@ -100,13 +100,13 @@
             self.assertEqual(tracker.daemons_to_hold(_CHANGE), [])
             await _lag(tracker, for_s=0.3)
             self.assertEqual(tracker.daemons_to_hold(_CHANGE), ["gateway"])
-            self.assertEqual(tracker.reached(_CHANGE, _HELD), _HELD)
+            self.assertEqual(tracker.reached_revision(_CHANGE, _HELD), _HELD)
             tracker.heartbeat("gateway", _HELD, _CHANGE, _HELD, held_below=_CHANGE)
-            self.assertEqual(tracker.reached(_CHANGE, _HELD), _CHANGE)
+            self.assertEqual(tracker.reached_revision(_CHANGE, _HELD), _CHANGE)
             self.assertEqual(tracker.daemons_to_hold(_CHANGE), [])
             # It serves nothing already, so it is asked to hold for a further change at once.
             tracker.heartbeat("other", _LATER, _LATER, _CHANGE)
-            self.assertEqual(tracker.reached(_LATER, _CHANGE), _CHANGE)
+            self.assertEqual(tracker.reached_revision(_LATER, _CHANGE), _CHANGE)
             self.assertEqual(tracker.daemons_to_hold(_LATER), ["gateway"])
 
         self._run(scenario())
@@ -120,11 +120,11 @@
             await _lag(tracker, for_s=0.3, committed=_CHANGE)
             await _lag(tracker, for_s=1.5, committed=_LATER)
             tracker.heartbeat("gateway", _CHANGE, _LATER, _HELD, 0, 1.8)
-            self.assertEqual(tracker.reached(_LATER, _HELD), _CHANGE)
+            self.assertEqual(tracker.reached_revision(_LATER, _HELD), _CHANGE)
             for _ in range(2):
                 self.assertEqual(tracker.daemons_to_hold(_LATER), [])
                 await asyncio.sleep(_HEARTBEAT_S)
-                tracker.reached(_LATER, _CHANGE)
+                tracker.reached_revision(_LATER, _CHANGE)
             self.assertEqual(tracker.daemons_to_hold(_LATER), ["gateway"])
 
         self._run(scenario())
@@ -137,7 +137,7 @@
                 now_s = asyncio.get_running_loop().time()
                 tracker.heartbeat("other", _HELD, _CHANGE, _HELD, 0, now_s)
                 self.assertEqual(tracker.daemons_to_hold(_CHANGE), [])
-            self.assertEqual(tracker.reached(_CHANGE, _HELD), _HELD)
+            self.assertEqual(tracker.reached_revision(_CHANGE, _HELD), _HELD)
 
         self._run(scenario())
 
@@ -148,7 +148,7 @@
             tracker = _tracker()
             await _run_checks(tracker, for_s=0.2)
             await asyncio.sleep(3.0)  # the leader's process stalls; heartbeats wait unread
-            self.assertEqual(tracker.reached(_CHANGE, _HELD), _HELD)
+            self.assertEqual(tracker.reached_revision(_CHANGE, _HELD), _HELD)
 
         self._run(scenario())
 
@@ -159,7 +159,7 @@
             tracker.disconnected("gateway")
             await _run_checks(tracker, for_s=5.0, committed=_HELD)
             tracker.connected("gateway", _HELD, acts_past_lease=True)
-            self.assertEqual(tracker.reached(_CHANGE, _HELD), _HELD)
+            self.assertEqual(tracker.reached_revision(_CHANGE, _HELD), _HELD)
 
         self._run(scenario())
 
@@ -168,7 +168,7 @@
             tracker = _tracker()
             tracker.heartbeat("gateway", _CHANGE, _CHANGE, _HELD)
             tracker.connected("gateway", 0, acts_past_lease=True)
-            self.assertEqual(tracker.reached(_CHANGE, _HELD), _HELD)
+            self.assertEqual(tracker.reached_revision(_CHANGE, _HELD), _HELD)
 
         self._run(scenario())
 
@@ -177,11 +177,11 @@
 
         async def scenario() -> None:
             tracker = _tracker()
-            tracker.reached(_CHANGE, _HELD)
+            tracker.reached_revision(_CHANGE, _HELD)
             await asyncio.sleep(30.0)  # another member is the leader meanwhile
-            tracker.begin(["gateway"], 0.0)
+            tracker.start_term(["gateway"], 0.0)
             tracker.connected("gateway", _CHANGE, acts_past_lease=True)
-            tracker.reached(_LATER, _CHANGE)
+            tracker.reached_revision(_LATER, _CHANGE)
             self.assertTrue(tracker.heartbeat("gateway", _CHANGE, _LATER, _CHANGE))
 
         self._run(scenario())
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -136,16 +136,16 @@
 
             environment = Environment(random.Random(1), virtual=True)
             tracker = InForceTracker(environment, freshness_s=8.0)
-            tracker.begin([], 0.0)
+            tracker.start_term([], 0.0)
             for name in ("a", "b"):
                 tracker.connected(name)
                 self.assertTrue(tracker.heartbeat(name, 1, 1, 1))
-            self.assertEqual(tracker.reached(5, 1), 1)
+            self.assertEqual(tracker.reached_revision(5, 1), 1)
             tracker.heartbeat("a", 5, 5, 1)
-            self.assertEqual(tracker.reached(5, 1), 1)
+            self.assertEqual(tracker.reached_revision(5, 1), 1)
             self.assertEqual(tracker.blocking_daemons(5), ["b"])
             await asyncio.sleep(8.9)  # b is silent: its lease runs out
-            self.assertEqual(tracker.reached(5, 1), 5)
+            self.assertEqual(tracker.reached_revision(5, 1), 5)
             self.assertFalse(tracker.heartbeat("b", 1, 5, 5))  # stale: not renewed
             self.assertTrue(tracker.heartbeat("b", 5, 5, 5))
 
@@ -157,11 +157,11 @@
 
             environment = Environment(random.Random(1), virtual=True)
             tracker = InForceTracker(environment, freshness_s=1.0)
-            tracker.begin([], 0.0)
+            tracker.start_term([], 0.0)
             for name in ("a", "b"):
                 tracker.connected(name)
                 tracker.heartbeat(name, 1, 1, 1)
-            tracker.reached(5, 1)
+            tracker.reached_revision(5, 1)
             tracker.heartbeat("a", 5, 5, 1)
             tracker.disconnected("b")
             await asyncio.sleep(1.25)
@@ -176,11 +176,11 @@
 
             environment = Environment(random.Random(1), virtual=True)
             tracker = InForceTracker(environment, freshness_s=8.0)
-            tracker.begin(["a"], earlier_leader_s=2.0)
-            self.assertEqual(tracker.reached(5, 1), 1)
+            tracker.start_term(["a"], earlier_leader_s=2.0)
+            self.assertEqual(tracker.reached_revision(5, 1), 1)
             await asyncio.sleep(10.7)
-            self.assertEqual(tracker.reached(5, 1), 1)
+            self.assertEqual(tracker.reached_revision(5, 1), 1)
             await asyncio.sleep(0.2)
-            self.assertEqual(tracker.reached(5, 1), 5)
+            self.assertEqual(tracker.reached_revision(5, 1), 5)
 
         run_virtual(scenario())
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -259,20 +259,20 @@
 
 class RequestRateTest(unittest.TestCase):
     def test_a_traffic_jump_counts_after_a_second(self) -> None:
-        pace = RequestRate()
+        rate = RequestRate()
         for check in range(51):
-            pace.note(check * 0.2, check * 2)  # 10 per second
-        self.assertAlmostEqual(pace.per_s(10.0), 10.0)
+            rate.note(check * 0.2, check * 2)  # 10 per second
+        self.assertAlmostEqual(rate.per_s(10.0), 10.0)
         for check in range(1, 6):
-            pace.note(10.0 + check * 0.2, 100 + check * 40)  # 200 per second
-        self.assertAlmostEqual(pace.per_s(11.0), 200.0)
+            rate.note(10.0 + check * 0.2, 100 + check * 40)  # 200 per second
+        self.assertAlmostEqual(rate.per_s(11.0), 200.0)
 
     def test_a_lull_does_not_lower_the_rate(self) -> None:
-        pace = RequestRate()
-        pace.note(0.0, 0)
-        pace.note(5.0, 500)
-        pace.note(7.0, 500)
-        self.assertAlmostEqual(pace.per_s(7.0), 500 / 7)
+        rate = RequestRate()
+        rate.note(0.0, 0)
+        rate.note(5.0, 500)
+        rate.note(7.0, 500)
+        self.assertAlmostEqual(rate.per_s(7.0), 500 / 7)
 
 
 class NextStepTest(unittest.TestCase):
