--- a/packages/heronladder-control/src/heronladder_control/crashes/table.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/table.py
@@ -33,8 +33,8 @@
         return resource.crashing_request if resource is not None else None
 
     def _entries(self) -> list[tuple[str, resources_pb2.CrashingRequest]]:
-        kept = self._resources.resources[CRASHING_REQUEST_KIND]
-        return [(name, kept[name].crashing_request) for name in sorted(kept)]
+        entries = self._resources.resources[CRASHING_REQUEST_KIND]
+        return [(name, entries[name].crashing_request) for name in sorted(entries)]
 
     def refused(self) -> dict[str, int]:
         """Return the number of refusals of each request that is refused now, by fingerprint."""
@@ -132,11 +132,11 @@
 
     def _drop_oldest(self, index: int) -> None:
         """Limit the number of published entries, dropping suspects before refused requests."""
-        kept = self._resources.resources[CRASHING_REQUEST_KIND]
-        while len(kept) > _MAX_ENTRIES:
+        entries = self._resources.resources[CRASHING_REQUEST_KIND]
+        while len(entries) > _MAX_ENTRIES:
             oldest = min(
-                kept.values(),
-                key=lambda one: (one.crashing_request.refused, one.metadata.revision),
+                entries.values(),
+                key=lambda entry: (entry.crashing_request.refused, entry.metadata.revision),
             )
             self._resources.erase(index, CRASHING_REQUEST_KIND, oldest.metadata.name)
 
--- a/packages/heronladder-control/src/heronladder_control/draw_decisions.py
+++ b/packages/heronladder-control/src/heronladder_control/draw_decisions.py
@@ -48,7 +48,7 @@
             order: The draw, whose ``decided`` is set.
 
         Returns:
-            Whether the draw counts as in flight until ``ended`` is called for it.
+            Whether the draw counts as in flight until ``finish`` is called for it.
         """
         order.decided = 0
         projection = self._projection(order.tenant)
--- a/packages/heronladder-control/src/heronladder_control/in_force.py
+++ b/packages/heronladder-control/src/heronladder_control/in_force.py
@@ -23,8 +23,8 @@
 
 _CLOCK_RATE_MARGIN = 1.1  # daemons' clocks may run slower than ours by this factor
 _RENEWAL_GRACE_FRACTION = 0.5  # of the freshness time; then lagging daemons are not renewed
-# Lag after which a gateway must hold. A large full update at 5 Mbit/s takes less, and an operator's
-# call waits 3 s.
+# Lag after which a gateway must hold: longer than a large full update takes at 5 Mbit/s, and
+# shorter than the 3 s that an operator's call waits.
 _HOLD_DELAY_S = 2.0
 # A gateway that sends messages, but acknowledges none of ours on any stream for this time, is no
 # longer awaited: otherwise nothing that waits for its answer would end.
--- a/packages/heronladder-control/src/heronladder_control/replica_limits.py
+++ b/packages/heronladder-control/src/heronladder_control/replica_limits.py
@@ -55,7 +55,7 @@
     """A router's request for sends to any of a service's rate-limited replicas.
 
     Attributes:
-        requested_s: Time of the request, in seconds.
+        requested_at_s: Time of the request, in seconds.
         service: Name of the service.
         sends: Number of sends requested.
     """
--- a/packages/heronladder-control/src/heronladder_control/rollouts/controller.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/controller.py
@@ -40,7 +40,7 @@
 
     Attributes:
         ordered_revision: Log index of the order.
-        started_s: Start of the order on this member's monotonic clock; at the latest.
+        started_s: Upper bound of the time of the order, on this member's monotonic clock.
         ledger: Grants for this order.
         watch: Statistical tests of the target version.
         reports: Newest report of each router, by incarnation.
@@ -223,15 +223,15 @@
             return False
         known = self._member.state.daemons.daemons
         routers = [known[name] for name in self._member.in_force.awaited_daemons() if name in known]
-        asked = [r.incarnation for r in routers if r.role == ROLE_ROUTER and not r.gone]
+        expected = [r.incarnation for r in routers if r.role == ROLE_ROUTER and not r.gone]
         # Without a connected router, requests in flight at other versions are not known.
-        return bool(asked) and all(self._is_router_clear(progress, name) for name in asked)
+        return bool(expected) and all(self._is_router_clear(progress, name) for name in expected)
 
     def _is_router_clear(self, progress: _RolloutProgress, incarnation: str) -> bool:
         """Whether a router recently reported no requests at other versions.
 
-        A router that is disconnected from control goes back to the old replicas, so only a recent
-        report counts.
+        A router that is disconnected from control resumes sending to the old replicas, so only a
+        recent report counts.
         """
         report = progress.reports.get(incarnation)
         silent_s = self._now_s() - progress.reported_at_s.get(incarnation, float("-inf"))
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -75,9 +75,7 @@
 
     def test_an_ended_order_starts_anew_only_after_the_retry_window(self) -> None:
         first = self._start()
-        self.assertEqual(
-            self._start(anew=True).revision, first.revision
-        )  # the order is still running
+        self.assertEqual(self._start(anew=True).revision, first.revision)  # still running
         self._advance(ROLLED_BACK)
         again = self._start(anew=True)
         self.assertGreater(again.revision, first.revision)
@@ -307,10 +305,7 @@
         self.assertEqual(self._phase(elapsed_s=10.0, verdict=doubt), ROLLED_BACK)
 
     def test_a_doubtful_version_is_not_moved_to_just_before_the_deadline(self) -> None:
-        """The requests until the deadline approach 0, so they fit shortly before it.
-
-        A doubtful version must not be moved to on that account.
-        """
+        """Requests until the deadline approach 0 and fit the limit, which is no proof."""
         doubt = Verdict(Decision.GO_ON, "in doubt: failures of all 4.4")
         for per_s, duration_s, elapsed_s, left in (
             (148.0, 12.0, 11.75, 100),
@@ -323,10 +318,7 @@
             self.assertEqual(self._phase(**known, left=left), MOVING)
 
     def test_a_sound_version_is_moved_to_once_the_requests_until_the_deadline_fit(self) -> None:
-        """A trial may use so much of the limit that only a late move of a good version fits.
-
-        Without it, a good version of a service with 91 requests per second is rolled back.
-        """
+        """A good version whose trial used much of the limit is moved to late, not rolled back."""
         known = {"per_s": 91.0, "duration_s": 4.0, "left": 46, "longest_old_response_s": 0.035}
         self.assertIsNone(self._phase(**known, elapsed_s=3.3))
         self.assertEqual(self._phase(**known, elapsed_s=3.58), MOVING)
