--- a/tests/test_acknowledgement_run.py
+++ b/tests/test_acknowledgement_run.py
@@ -45,7 +45,7 @@
         """The run must see what callers saw while gateways were left out with their lease."""
         lines = []
         with (
-            patch.object(InForceTracker, "_waited_for", _waited_for_its_lease_only),
+            patch.object(InForceTracker, "_is_awaited", _waited_for_its_lease_only),
             patch.object(ConfigurationStanding, "must_hold", PropertyMock(return_value=False)),
         ):
             for seed in _TELLING_SEEDS:
--- a/tests/test_limit_runs.py
+++ b/tests/test_limit_runs.py
@@ -102,7 +102,7 @@
             return LimitRun(30, [1.7], 5, 3.0, burst=(15.0, 20.0, 100.0)).run().broken()
 
         self.assertEqual(play(), [])
-        with mock.patch.object(shared._Shared, "holds_s", lambda *_: 1000.0):
+        with mock.patch.object(shared._SharedLimit, "take_grant_lifetime_s", lambda *_: 1000.0):
             self.assertNotEqual(play(), [])
 
     def test_a_leader_that_saves_what_nobody_asked_for(self) -> None:
@@ -111,7 +111,7 @@
             return LimitRun(6, [1.7], 0, 0.5, burst=(12.0, 18.0, 200.0)).run().broken()
 
         self.assertEqual(play(), [])
-        with mock.patch.object(shared, "_SAVED_S", 1000.0):
+        with mock.patch.object(shared, "_BURST_S", 1000.0):
             self.assertNotEqual(play(), [])
 
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -171,7 +171,7 @@
     def test_a_change_shown_before_it_is_in_force(self) -> None:
         self._assert_caught(
             InForceTracker,
-            "reached",
+            "reached_revision",
             lambda self, committed, in_force: committed,
             "invariant_violations",
             seeds=(1, 2, 3),
