--- a/packages/heronladder-control/src/heronladder_control/cluster_version.py
+++ b/packages/heronladder-control/src/heronladder_control/cluster_version.py
@@ -1,7 +1,7 @@
-"""The leader raises the cluster version once all members and daemons in touch support it.
+"""Raising of the cluster version once all members and connected daemons support it.
 
-Builds run side by side while a release goes out. What a build before it could not read, or would
-apply by other rules, is kept out of the log until then; until then that build can be put back.
+Two builds run side by side during a release. Until the version is raised, the log contains nothing
+that the earlier build can't read or would apply by other rules, so the release can be reverted.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from heronladder_control.daemons import ROLE_ROUTER
 from heronladder_control.member_context import MemberContext
 
-_NEW_GROUP_LOOK_S = 0.02
-_NAMED_HOLDUPS = 8  # in a log line, so that it stays short
+_NEW_GROUP_CHECK_INTERVAL_S = 0.02
+_MAX_LOGGED_BLOCKERS = 8  # limits the length of the log line
 
 
 @dataclass(frozen=True)
-class Holdup:
-    """What keeps the version from being raised.
+class Blocker:
+    """A reason why the cluster version can't be raised.
 
     Attributes:
         kind: ``member``, ``daemon`` or ``setting``.
-        name: Which one.
-        highest_version: What its build supports; None if it does not answer.
+        name: Name of the member, daemon or setting.
+        highest_version: Highest version that it supports or allows; None if it does not answer.
     """
 
     kind: str
@@ -39,29 +39,30 @@
 
 
 def target_version(member: MemberContext) -> int:
-    """Return the version to raise to: what this build supports, as far as the setting lets it."""
+    """Return the version to raise to: the latest of this build, limited by the setting."""
     return min(LATEST_VERSION, member.options.most_cluster_version)
 
 
-def find_holdups(member: MemberContext) -> list[Holdup]:
-    """Return what keeps the leader from raising the version to what its build supports."""
+def find_blockers(member: MemberContext) -> list[Blocker]:
+    """Return the reasons why the leader can't raise the version to the latest of its build."""
     if member.state.cluster_version >= LATEST_VERSION:
         return []
     found = []
     if target_version(member) < LATEST_VERSION:
-        found.append(Holdup("setting", "most_cluster_version", target_version(member)))
+        found.append(Blocker("setting", "most_cluster_version", target_version(member)))
     node = member.node
     for entry in node.membership().members:
         version = node.replication.highest_version(entry.name)
         if entry.name != node.name and (version is None or version < LATEST_VERSION):
-            found.append(Holdup("member", entry.name, version))
-    return found + _find_daemons(member)
+            found.append(Blocker("member", entry.name, version))
+    return found + _find_blocking_daemons(member)
 
 
-def _find_daemons(member: MemberContext) -> list[Holdup]:
-    """Return the daemons whose builds do not support the version, or may not.
+def _find_blocking_daemons(member: MemberContext) -> list[Blocker]:
+    """Return the daemons whose builds do not support the latest version, or may not.
 
-    A router that is cut off may be of an earlier build: it is waited for until it is declared gone.
+    A disconnected router may run an earlier build, so it blocks the version until it is declared
+    gone.
     """
     found = []
     for name, record in sorted(member.state.daemons.daemons.items()):
@@ -69,15 +70,15 @@
         version = session.hello.highest_version if session is not None else None
         is_lost = version is None and (record.gone or record.role != ROLE_ROUTER)
         if not is_lost and (version is None or version < LATEST_VERSION):
-            found.append(Holdup("daemon", name, version))
+            found.append(Blocker("daemon", name, version))
     return found
 
 
-class ClusterVersionKeeper:
+class ClusterVersionManager:
     """Raises the cluster version while this member leads.
 
     Args:
-        member: What the parts of the member share.
+        member: Context of this control member.
     """
 
     def __init__(self, member: MemberContext) -> None:
@@ -85,8 +86,8 @@
         self._ready_since_s: float | None = None
         self._reported: tuple[str, ...] = ()
 
-    def begin(self) -> None:
-        """Begin as the leader of a term."""
+    def start_term(self) -> None:
+        """Start a term as the leader."""
         self._ready_since_s = None
         self._reported = ()
 
@@ -97,25 +98,25 @@
         return formed_version >= target_version(self._member)
 
     @property
-    def look_s(self) -> float:
-        """Time until the next look while a new group waits for its version, in seconds; else 0."""
+    def check_interval_s(self) -> float:
+        """Time until the next check while a new group awaits its version, in seconds, else 0."""
         is_below = self._member.state.cluster_version < target_version(self._member)
-        return _NEW_GROUP_LOOK_S if self._is_formed_at_target and is_below else 0.0
+        return _NEW_GROUP_CHECK_INTERVAL_S if self._is_formed_at_target and is_below else 0.0
 
-    async def tend(self) -> None:
-        """Raise the version if nothing holds it up, and has not for some time."""
+    async def run_check(self) -> None:
+        """Raise the version if nothing has blocked it for the configured time."""
         version = self._member.state.cluster_version
         if version >= target_version(self._member):
             return
-        holdups = [holdup for holdup in find_holdups(self._member) if holdup.kind != "setting"]
-        self._report(version, holdups)
+        blockers = [blocker for blocker in find_blockers(self._member) if blocker.kind != "setting"]
+        self._report(version, blockers)
         now_s = self._member.environment.monotonic()
-        if holdups:
+        if blockers:
             self._ready_since_s = None
             return
         if self._ready_since_s is None:
             self._ready_since_s = now_s
-        # A group that no earlier build formed has none to go back to.
+        # A group that was formed by builds of this version has no earlier build to revert to.
         is_held = not self._is_formed_at_target
         hold_s = self._member.options.cluster_version_hold_s if is_held else 0.0
         if now_s - self._ready_since_s >= hold_s:
@@ -125,15 +126,15 @@
         target = target_version(self._member)
         command = control_pb2.Command()
         command.set_cluster_version.version = target
-        # Not by way of the member's gate, which this command lifts.
+        # Bypasses the member's version check, which rejects commands until this one is applied.
         await self._member.node.propose(encode_command(command))
         self._member.log.info(
             "cluster_version_raised", step="cluster_version", before=version, version=target
         )
 
-    def _report(self, version: int, holdups: list[Holdup]) -> None:
-        """Log what holds the version up, once a change of that."""
-        names = tuple(str(holdup) for holdup in holdups)
+    def _report(self, version: int, blockers: list[Blocker]) -> None:
+        """Log the blockers each time they change."""
+        names = tuple(str(blocker) for blocker in blockers)
         if names == self._reported:
             return
         self._reported = names
@@ -142,6 +143,6 @@
             step="cluster_version",
             version=version,
             target=target_version(self._member),
-            held_up_by="; ".join(names[:_NAMED_HOLDUPS]),
+            held_up_by="; ".join(names[:_MAX_LOGGED_BLOCKERS]),
             count=len(names),
         )
--- a/packages/heronladder-control/src/heronladder_control/evacuations.py
+++ b/packages/heronladder-control/src/heronladder_control/evacuations.py
@@ -80,7 +80,7 @@
         """Record that the evacuation of a zone was started or ended."""
         self._changed_s[zone] = self._environment.monotonic()
 
-    def is_overtaken(self, zone: str, age_s: float, term: int) -> bool:
+    def is_superseded(self, zone: str, age_s: float, term: int) -> bool:
         """Whether an order is older than the newest change of its zone.
 
         Args:
--- a/packages/heronladder-control/src/heronladder_control/member.py
+++ b/packages/heronladder-control/src/heronladder_control/member.py
@@ -18,7 +18,7 @@
 from heronladder_schema.v1 import control_pb2
 
 from heronladder_control.allotments import AllotmentRequester
-from heronladder_control.cluster_version import ClusterVersionKeeper
+from heronladder_control.cluster_version import ClusterVersionManager
 from heronladder_control.crashes.refusals import Refusals
 from heronladder_control.daemons import ROLE_ROUTER
 from heronladder_control.ended_replicas import EndedReplicas
@@ -28,7 +28,7 @@
 from heronladder_control.options import ControlOptions
 from heronladder_control.prepaid_watch import HolderKey
 from heronladder_control.promise_recorder import PromiseRecorder
-from heronladder_control.rollouts.conductor import RolloutConductor
+from heronladder_control.rollouts.controller import RolloutController
 from heronladder_control.sessions import ControlService, SessionParts
 from heronladder_control.state import ControlState
 
@@ -76,9 +76,9 @@
             options.contacts,
         )
         super().__init__(options, node, state, stubs, environment)
-        self.cluster_versions = ClusterVersionKeeper(self)
+        self.cluster_versions = ClusterVersionManager(self)
         self.promise_notes = PromiseRecorder(self)
-        self.rollouts = RolloutConductor(self)
+        self.rollouts = RolloutController(self)
         self.refusals = Refusals(self.state.crashes, environment, self.metrics, self.log)
         self.fleet_service = FleetService(self)
         self.allotments = AllotmentRequester(self)
@@ -170,7 +170,7 @@
                 await asyncio.gather(*(self.propose(order) for order in self.refusals.due()))
             except HeronladderError as error:
                 self.log.info("refusals_not_noted", step=error.step, reason=error.message)
-            await self.refusals.reported.wait(self.refusals.look_s)
+            await self.refusals.reported.wait(self.refusals.check_interval_s)
 
     def _check_group(self) -> None:
         """End if the log names another group: this member's state would not be the others'."""
@@ -191,14 +191,14 @@
 
     def _begin_term(self) -> None:
         """Begin as the leader: what an earlier term knew beside the log is void."""
-        self.cluster_versions.begin()
-        self.in_force.begin(
+        self.cluster_versions.start_term()
+        self.in_force.start_term(
             sorted(name for name, record in self.state.daemons.daemons.items() if not record.gone),
             earlier_leader_s=2 * self.options.timing.election_timeout_s,
         )
         self.fleet_service.begin_term()
-        self.rollouts.begin()
-        self.refusals.begin()
+        self.rollouts.start_term()
+        self.refusals.start_term()
         self.prepaid_watch.start_term(self.node.term, self.state.prepaid.last_promises)
         for session in self.sessions.values():
             self.service.note_connected(session)
@@ -209,10 +209,10 @@
         ended = EndedReplicas(self.environment)
         while self.node.is_leader:
             seen = self.progress.given
-            await self.cluster_versions.tend()
+            await self.cluster_versions.run_check()
             await self._name_group()
             await self._put_in_force()
-            await self.rollouts.tend()
+            await self.rollouts.run_check()
             if self.environment.monotonic() >= next_chores_s:
                 next_chores_s = self.environment.monotonic() + _CHORE_PAUSE_S
                 await self._declare_silent_gone()
@@ -223,14 +223,16 @@
                 await self._drop_old_claims()
             await asyncio.sleep(_IN_FORCE_PAUSE_S * len(self.in_force.daemons))
             if self.progress.given == seen:
-                await self.progress.wait(self.cluster_versions.look_s or _CHORE_INTERVAL_S)
+                await self.progress.wait(
+                    self.cluster_versions.check_interval_s or _CHORE_INTERVAL_S
+                )
 
     async def _put_in_force(self) -> None:
         committed = self.state.resources.revision
-        for name in self.in_force.to_hold(committed):
+        for name in self.in_force.daemons_to_hold(committed):
             self._order_to_hold(name, committed)
         waited_s = self.in_force.pending_s
-        reached = self.in_force.reached(committed, self.state.in_force_revision)
+        reached = self.in_force.reached_revision(committed, self.state.in_force_revision)
         if reached > self.state.in_force_revision:
             self._report_in_force(reached, committed, waited_s)
             command = control_pb2.Command()
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -25,7 +25,7 @@
 from heronladder_control.recalls import recall_leases, recall_prepaid
 from heronladder_control.replica_limits import SharedReplicaLimits
 from heronladder_control.replica_loads import ReplicaLoads
-from heronladder_control.rollouts.conductor import RolloutConductor
+from heronladder_control.rollouts.controller import RolloutController
 
 _IDLE_CHECK_S = 1.0
 # Routers; with more, each learns of a lender with its next heartbeat.
@@ -44,7 +44,7 @@
     """
 
     promise_notes: PromiseRecorder
-    rollouts: RolloutConductor
+    rollouts: RolloutController
     fleet_service: FleetService
     allotments: AllotmentRequester
 
@@ -357,7 +357,7 @@
             session.wake.give()
 
     def _wake_those_behind(self, in_force_revision: int) -> None:
-        for name in self._member.in_force.behind(in_force_revision):
+        for name in self._member.in_force.lagging_daemons(in_force_revision):
             session = self.sessions.get(name)
             if session is not None:
                 session.wake.give()
--- a/tests/lending_fleet.py
+++ b/tests/lending_fleet.py
@@ -7,7 +7,7 @@
 import asyncio
 from random import Random
 
-from decided_draws import DecidedPrepaidTable
+from decided_prepaid_table import DecidedPrepaidTable
 from heronladder_control.results import failure
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 from heronladder_runtime.errors import RefusedByInvariantError
--- a/tests/test_cold_replicas.py
+++ b/tests/test_cold_replicas.py
@@ -191,27 +191,27 @@
 
     def test_a_countdown_is_not_a_change(self) -> None:
         self.clock.now_s += 1.2
-        self.assertFalse(self.reports.is_news(_replica(1800), self.recorded))
+        self.assertFalse(self.reports.is_update(_replica(1800), self.recorded))
 
     def test_turning_cold_again_is_a_change(self) -> None:
         self.clock.now_s += 1.2
-        self.assertTrue(self.reports.is_news(_replica(3000), self.recorded))
+        self.assertTrue(self.reports.is_update(_replica(3000), self.recorded))
 
     def test_a_warm_replica_turning_cold_is_a_change(self) -> None:
         self.reports.known(_replica())
-        self.assertTrue(self.reports.is_news(_replica(2500), _replica()))
+        self.assertTrue(self.reports.is_update(_replica(2500), _replica()))
 
     def test_an_outdated_report_does_not_mark_it_as_warm(self) -> None:
         self.clock.now_s += 1.0
-        self.assertFalse(self.reports.is_news(_replica(0), self.recorded))
+        self.assertFalse(self.reports.is_update(_replica(0), self.recorded))
         self.clock.now_s += 2.0
-        self.assertTrue(self.reports.is_news(_replica(0), self.recorded))
+        self.assertTrue(self.reports.is_update(_replica(0), self.recorded))
 
     def test_a_new_leader_counts_from_its_first_report(self) -> None:
         reports = ColdReports(self.clock)
-        self.assertFalse(reports.is_news(_replica(0), self.recorded))
+        self.assertFalse(reports.is_update(_replica(0), self.recorded))
         self.clock.now_s += 3.0
-        self.assertTrue(reports.is_news(_replica(0), self.recorded))
+        self.assertTrue(reports.is_update(_replica(0), self.recorded))
 
 
 class ColdReplicaTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -74,9 +74,9 @@
     def test_new_leader_rejects_orders_from_before_its_term(self) -> None:
         self.orders.start_term(2)
         self.clock.now_s += 1.0
-        self.assertTrue(self.orders.is_overtaken("a", 1.5, 2))
-        self.assertFalse(self.orders.is_overtaken("a", 0.5, 2))
-        self.assertTrue(self.orders.is_overtaken("a", 0.5, 3))  # a term that has not started yet
+        self.assertTrue(self.orders.is_superseded("a", 1.5, 2))
+        self.assertFalse(self.orders.is_superseded("a", 0.5, 2))
+        self.assertTrue(self.orders.is_superseded("a", 0.5, 3))  # a term that has not started yet
 
 
 class EvacuationTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_limit_runs.py
+++ b/tests/test_limit_runs.py
@@ -104,7 +104,7 @@
             return LimitSimulation(30, [1.7], 5, 3.0, burst=(15.0, 20.0, 100.0)).run().violations()
 
         self.assertEqual(simulate(), [])
-        with mock.patch.object(shared._Shared, "holds_s", lambda *_: 1000.0):
+        with mock.patch.object(shared._SharedLimit, "take_grant_lifetime_s", lambda *_: 1000.0):
             self.assertNotEqual(simulate(), [])
 
     def test_a_leader_that_accumulates_unused_grants_is_detected(self) -> None:
@@ -113,7 +113,7 @@
             return LimitSimulation(6, [1.7], 0, 0.5, burst=(12.0, 18.0, 200.0)).run().violations()
 
         self.assertEqual(simulate(), [])
-        with mock.patch.object(shared, "_SAVED_S", 1000.0):
+        with mock.patch.object(shared, "_BURST_S", 1000.0):
             self.assertNotEqual(simulate(), [])
 
 
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from decided_draws import DecidedPrepaidTable
+from decided_prepaid_table import DecidedPrepaidTable
 from heronladder_control.prepaid_watch import PrepaidWatch
 from heronladder_router.cached_prompt_parts import CachedPromptParts, parse_prompt_parts
 from heronladder_router.event_stream import EventStreamBuffer
