--- a/packages/heronladder-consensus/src/heronladder_consensus/bootstrap.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/bootstrap.py
@@ -15,7 +15,7 @@
 
 from heronladder_consensus.member_state import MemberState
 
-_PAUSE_S = 0.2
+_HELLO_INTERVAL_S = 0.2
 
 
 class Bootstrap:
@@ -34,11 +34,11 @@
     async def run(self) -> None:
         """Ask the other first members until it is clear whether the group is new."""
         try:
-            await self._find_out()
+            await self._detect_new_group()
         finally:
             self.forming = False
 
-    async def _find_out(self) -> None:
+    async def _detect_new_group(self) -> None:
         node = self._node
         if node.hard_state.voting_allowed or not self._initial:
             return
@@ -50,10 +50,10 @@
             for member in self._initial:
                 if member.name in incarnations:
                     continue
-                reply = await self._ask(member)
+                reply = await self._send_hello(member)
                 if reply is None:
                     continue
-                if self._knows_another_folder(reply):
+                if self._knows_different_folder(reply):
                     node.event_log.warning(
                         "folder_is_new_in_a_running_group",
                         step="bootstrap",
@@ -63,10 +63,10 @@
                     return
                 incarnations[member.name] = reply.incarnation
                 version = min(version, reply.highest_version)
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_HELLO_INTERVAL_S)
         await self._form_group(incarnations, version)
 
-    async def _ask(self, member: consensus_pb2.Member) -> consensus_pb2.HelloReply | None:
+    async def _send_hello(self, member: consensus_pb2.Member) -> consensus_pb2.HelloReply | None:
         node = self._node
         try:
             stub = node.stubs.consensus(member.address)
@@ -78,7 +78,7 @@
             return None
         return reply
 
-    def _knows_another_folder(self, reply: consensus_pb2.HelloReply) -> bool:
+    def _knows_different_folder(self, reply: consensus_pb2.HelloReply) -> bool:
         if not reply.voting_allowed:
             return False
         known = [member for member in reply.membership.members if member.name == self._node.name]
@@ -99,7 +99,7 @@
         await node.save_hard_state()
         node.event_log.info("group_formed", step="bootstrap", members=len(incarnations))
 
-    def answer(self) -> consensus_pb2.HelloReply:
+    def handle(self) -> consensus_pb2.HelloReply:
         """Say who this member is and whether its folder is new."""
         node = self._node
         return consensus_pb2.HelloReply(
--- a/packages/heronladder-consensus/src/heronladder_consensus/disk_watch.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/disk_monitor.py
@@ -5,7 +5,7 @@
 from heronladder_runtime.logs import EventLog
 
 
-class DiskWatch:
+class DiskMonitor:
     """Tells once that a disk refuses, and once that it takes writes again.
 
     A member whose disk is full tries at each message of its leader; a line each time
@@ -25,7 +25,7 @@
         self._since_s = 0.0
         self.refusals = 0
 
-    def refused(self, error: StorageError) -> None:
+    def record_refusal(self, error: StorageError) -> None:
         """Note that it refused a write."""
         self.refusals += 1
         if self.refusals > 1:
@@ -35,7 +35,7 @@
             "disk_refuses_writes", step=error.step, peer=error.peer, error=error.message
         )
 
-    def took(self) -> None:
+    def record_success(self) -> None:
         """Note that it took a write."""
         if not self.refusals:
             return
--- a/packages/heronladder-consensus/src/heronladder_consensus/joining.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/joining.py
@@ -15,10 +15,10 @@
 from heronladder_consensus.errors import MembershipChangeError, NotLeaderError
 from heronladder_consensus.member_state import MemberState
 from heronladder_consensus.members import find_member
-from heronladder_consensus.membership import MembershipKeeper
+from heronladder_consensus.membership import MembershipManager
 
-_PAUSE_S = 0.3
-_SILENCE_S = 2.0  # without a leader's word, before a listed member asks again
+_JOIN_CHECK_INTERVAL_S = 0.3
+_LEADER_SILENCE_S = 2.0  # without a leader's word, before a listed member asks again
 
 
 class Joiner:
@@ -37,59 +37,63 @@
         self,
         node: MemberState,
         bootstrap: Bootstrap,
-        membership: MembershipKeeper,
-        me: consensus_pb2.Member | None,
+        membership: MembershipManager,
+        own_member: consensus_pb2.Member | None,
         contacts: list[str],
     ) -> None:
         self._node = node
         self._bootstrap = bootstrap
         self._membership = membership
-        self._me = me
+        self._own_member = own_member
         self.contacts = contacts
 
     async def run(self) -> None:
         """Ask whenever no leader has been heard of for a while."""
-        if self._me is None:
+        if self._own_member is None:
             return
         while self._node.failure is None:
-            await asyncio.sleep(self._node.environment.jitter(_PAUSE_S))
-            if self._needs_to_ask():
-                await self._ask_all(self._me)
+            await asyncio.sleep(self._node.environment.jitter(_JOIN_CHECK_INTERVAL_S))
+            if self._should_request_join():
+                await self._request_join_from_all(self._own_member)
 
-    def _needs_to_ask(self) -> bool:
+    def _should_request_join(self) -> bool:
         node = self._node
         if node.is_leader or self._bootstrap.forming:
             return False
-        return node.environment.monotonic() - node.last_heard_s > _SILENCE_S
+        return node.environment.monotonic() - node.election_timer_reset_s > _LEADER_SILENCE_S
 
-    async def _ask_all(self, me: consensus_pb2.Member) -> None:
+    async def _request_join_from_all(self, own_member: consensus_pb2.Member) -> None:
         listed = [member.address for member in self._node.membership().members]
         addresses = list(dict.fromkeys([*self.contacts, *listed]))
         hinted = ""
         for address in addresses:
-            if address == me.address or self._node.failure is not None:
+            if address == own_member.address or self._node.failure is not None:
                 continue
-            reply = await self._ask(address, me)
+            reply = await self._send_join(address, own_member)
             if reply is None:
                 continue
             if reply.accepted:
                 return
             hinted = hinted or reply.leader_address
         if hinted:
-            await self._ask(hinted, me)
+            await self._send_join(hinted, own_member)
 
-    async def _ask(self, address: str, me: consensus_pb2.Member) -> consensus_pb2.JoinReply | None:
+    async def _send_join(
+        self, address: str, own_member: consensus_pb2.Member
+    ) -> consensus_pb2.JoinReply | None:
         try:
             stub = self._node.stubs.consensus(address)
             reply: consensus_pb2.JoinReply = await stub.Join(
-                consensus_pb2.JoinRequest(member=me, highest_version=self._node.highest_version),
+                consensus_pb2.JoinRequest(
+                    member=own_member, highest_version=self._node.highest_version
+                ),
                 timeout=self._node.timing.call_timeout_s,
             )
         except RPC_ERRORS:
             return None
         return reply
 
-    async def answer(self, request: consensus_pb2.JoinRequest) -> consensus_pb2.JoinReply:
+    async def handle(self, request: consensus_pb2.JoinRequest) -> consensus_pb2.JoinReply:
         """Add the machine that asks as a learner, if this member leads."""
         node = self._node
         known = find_member(node.membership(), request.member.name)
--- a/packages/heronladder-consensus/src/heronladder_consensus/member_state.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/member_state.py
@@ -16,7 +16,7 @@
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import consensus_pb2
 
-from heronladder_consensus.disk_watch import DiskWatch
+from heronladder_consensus.disk_monitor import DiskMonitor
 from heronladder_consensus.errors import NotLeaderError
 from heronladder_consensus.log import MemoryLog
 from heronladder_consensus.members import find_member, voters
@@ -73,7 +73,7 @@
         self.event_log = EventLog("consensus", name)
         self.peer_calls = PeerCalls(stubs, timing, environment, self.event_log)
         self.tasks = TaskGroupOwner(self.event_log)
-        self.disk = DiskWatch(self.event_log, environment)
+        self.disk = DiskMonitor(self.event_log, environment)
         self.failure: HeronladderError | None = None
 
         self.hard_state = loaded.hard_state
@@ -84,11 +84,11 @@
 
         self.role = Role.FOLLOWER
         self.leader: str = ""
-        self.last_heard_s = float("-inf")
+        self.election_timer_reset_s = float("-inf")
         self.changed = Pulse()
         self.appended = Pulse()
         self.write_lock = asyncio.Lock()
-        self._entering: asyncio.Task[StorageError | None] | None = None
+        self._term_write: asyncio.Task[StorageError | None] | None = None
 
     # ---- facts ------------------------------------------------------------
 
@@ -117,13 +117,13 @@
         found = self.log.membership()
         return found if found.members else self.hard_state.bootstrap
 
-    def me(self) -> consensus_pb2.Member | None:
+    def own_member(self) -> consensus_pb2.Member | None:
         """Return this member's entry in the membership, if it has one."""
         return find_member(self.membership(), self.name)
 
     def may_vote(self) -> bool:
         """Whether this member counts: its folder never lost what it had promised."""
-        member = self.me()
+        member = self.own_member()
         return self.hard_state.voting_allowed and member is not None and member.voter
 
     def quorum(self) -> int:
@@ -170,9 +170,9 @@
         try:
             await self.storage.append(entries)
         except StorageError as error:
-            self.disk.refused(error)
+            self.disk.record_refusal(error)
             raise
-        self.disk.took()
+        self.disk.record_success()
         self.log.synced_index = entries[-1].index
 
     def set_commit_index(self, index: int) -> None:
@@ -191,7 +191,7 @@
         Raises:
             StorageError: If the disk refuses; the member is in its earlier term.
         """
-        await self.term_written()
+        await self.wait_for_term_write()
         if term == self.hard_state.term and voted_for == self.hard_state.voted_for:
             return
         invariant(
@@ -205,8 +205,8 @@
         earlier = (self.hard_state.term, self.hard_state.voted_for)
         self.hard_state.term = term
         self.hard_state.voted_for = voted_for
-        self._entering = self.tasks.start("enter_term", self._write_term(earlier))
-        error = await asyncio.shield(self._entering)
+        self._term_write = self.tasks.start("enter_term", self._write_term(earlier))
+        error = await asyncio.shield(self._term_write)
         if error is not None:
             raise error
 
@@ -219,10 +219,10 @@
             return error
         return None
 
-    async def term_written(self) -> None:
+    async def wait_for_term_write(self) -> None:
         """Wait until no term that memory holds is still on its way to the disk."""
-        while self._entering is not None and not self._entering.done():
-            await asyncio.shield(self._entering)
+        while self._term_write is not None and not self._term_write.done():
+            await asyncio.shield(self._term_write)
 
     async def save_hard_state(self) -> None:
         """Write the hard state.
@@ -233,9 +233,9 @@
         try:
             await self.storage.save_hard_state(self.hard_state)
         except StorageError as error:
-            self.disk.refused(error)
+            self.disk.record_refusal(error)
             raise
-        self.disk.took()
+        self.disk.record_success()
 
     def step_down(self, reason: str) -> None:
         """Stop leading."""
--- a/packages/heronladder-consensus/src/heronladder_consensus/members.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/members.py
@@ -16,7 +16,7 @@
     return [member for member in membership.members if member.voter]
 
 
-def without(membership: consensus_pb2.Membership, name: str) -> consensus_pb2.Membership:
+def without_member(membership: consensus_pb2.Membership, name: str) -> consensus_pb2.Membership:
     """Return a membership without the member of a name."""
     return consensus_pb2.Membership(
         members=[member for member in membership.members if member.name != name]
--- a/packages/heronladder-consensus/src/heronladder_consensus/membership.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/membership.py
@@ -4,13 +4,13 @@
 
 from heronladder_consensus.errors import MembershipChangeError, NotLeaderError
 from heronladder_consensus.member_state import MemberState
-from heronladder_consensus.members import find_member, voters, without
+from heronladder_consensus.members import find_member, voters, without_member
 from heronladder_consensus.replication import Replication
 
-_REPLACED_AFTER_S = 2.0  # silence of a voter whose place others have taken
+_REPLACEMENT_SILENCE_S = 2.0  # silence of a voter whose place others have taken
 
 
-class MembershipKeeper:
+class MembershipManager:
     """Carries out changes of members, one at a time, while this member leads.
 
     Args:
@@ -28,9 +28,9 @@
         """Begin to tend members; changes wait for the first entry of the term."""
         self._change_index = self._node.log.last_index
         self._leading_since_s = self._node.environment.monotonic()
-        self._node.tasks.start("membership", self._tend(self._node.term))
+        self._node.tasks.start("membership", self._check_members(self._node.term))
 
-    async def _tend(self, term: int) -> None:
+    async def _check_members(self, term: int) -> None:
         node = self._node
         while node.is_leader and node.term == term:
             if node.commit_index >= self._change_index:
@@ -41,7 +41,7 @@
         """Make the one change that is due: demote a lost folder, promote a learner."""
         node = self._node
         for member in node.membership().members:
-            incarnation = self._replication.seen_incarnation(member.name)
+            incarnation = self._replication.reported_incarnation(member.name)
             if member.name == node.name or not incarnation:
                 continue
             if incarnation != member.incarnation:
@@ -61,15 +61,15 @@
         node = self._node
         size = node.timing.group_size
         now = node.environment.monotonic()
-        if not size or now - self._leading_since_s < _REPLACED_AFTER_S:
+        if not size or now - self._leading_since_s < _REPLACEMENT_SILENCE_S:
             return
         if len(voters(node.membership())) <= size:
             return
         for member in voters(node.membership()):
             if member.name == node.name:
                 continue
-            if now - self._replication.last_answer_s(member.name) > _REPLACED_AFTER_S:
-                self._append(without(node.membership(), member.name))
+            if now - self._replication.last_reply_s(member.name) > _REPLACEMENT_SILENCE_S:
+                self._append(without_member(node.membership(), member.name))
                 node.event_log.warning(
                     "member_removed", step="membership", peer=member.name, reason="replaced"
                 )
@@ -92,7 +92,7 @@
 
     def _append(self, membership: consensus_pb2.Membership) -> None:
         self._change_index = self._node.append_as_leader(membership=membership)
-        self._replication.follow_membership()
+        self._replication.start_peer_tasks()
 
     async def add(self, member: consensus_pb2.Member) -> None:
         """Add a learner; it votes once it has caught up.
@@ -128,7 +128,7 @@
             raise MembershipChangeError(
                 f"there is no member {name}", step="members_remove", peer=name
             )
-        changed = without(current, name)
+        changed = without_member(current, name)
         reachable = [
             member
             for member in voters(changed)
@@ -159,14 +159,14 @@
                 raise NotLeaderError("leadership ended", step="members", peer=node.leader)
             await node.changed.wait()
 
-    def membership_committed(self, entry: consensus_pb2.LogEntry) -> None:
+    def on_membership_committed(self, entry: consensus_pb2.LogEntry) -> None:
         """Act on a committed membership: count again, or stop leading once removed."""
         node = self._node
         member = find_member(entry.membership, node.name)
         if member is None:
             # After a restart, old memberships are committed anew: a member that
             # came back later is not removed by them.
-            if node.is_leader and node.me() is None:
+            if node.is_leader and node.own_member() is None:
                 node.step_down("removed")
             return
         known = member.incarnation == node.hard_state.incarnation
--- a/packages/heronladder-consensus/src/heronladder_consensus/node.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/node.py
@@ -14,10 +14,10 @@
 from heronladder_consensus.errors import LeadershipLostError, NotLeaderError
 from heronladder_consensus.joining import Joiner
 from heronladder_consensus.member_state import MemberState, Role
-from heronladder_consensus.membership import MembershipKeeper
+from heronladder_consensus.membership import MembershipManager
 from heronladder_consensus.replication import Replication
-from heronladder_consensus.snapshot_intake import SnapshotIntake
-from heronladder_consensus.snapshots import SnapshotKeeper
+from heronladder_consensus.snapshot_receiver import SnapshotReceiver
+from heronladder_consensus.snapshots import SnapshotManager
 from heronladder_consensus.state_machine import StateMachine
 from heronladder_consensus.storage import LogStorage
 from heronladder_consensus.timing import ConsensusTiming
@@ -52,7 +52,7 @@
         timing: ConsensusTiming,
         environment: Environment,
         on_failure: Callable[[HeronladderError], None],
-        me: consensus_pb2.Member | None = None,
+        own_member: consensus_pb2.Member | None = None,
         contacts: list[str] | None = None,
     ) -> None:
         loaded = storage.load()
@@ -67,13 +67,15 @@
         if loaded.snapshot:
             machine.restore(loaded.snapshot.data)
 
-        self.snapshots = SnapshotKeeper(self, machine, loaded.snapshot)
+        self.snapshots = SnapshotManager(self, machine, loaded.snapshot)
         self.bootstrap = Bootstrap(self, initial_members)
         self.election = Election(self, self.become_leader)
         self.replication = Replication(self, self.election, self.snapshots)
-        self.snapshot_intake = SnapshotIntake(self, self.election, self.snapshots)
-        self.membership_keeper = MembershipKeeper(self, self.replication)
-        self.joiner = Joiner(self, self.bootstrap, self.membership_keeper, me, contacts or [])
+        self.snapshot_receiver = SnapshotReceiver(self, self.election, self.snapshots)
+        self.membership_manager = MembershipManager(self, self.replication)
+        self.joiner = Joiner(
+            self, self.bootstrap, self.membership_manager, own_member, contacts or []
+        )
 
     @property
     def highest_version(self) -> int:
@@ -145,11 +147,11 @@
         """
         self.require_leader("read_barrier")
         term = self.term
-        read_round = self.replication.begin_round()
+        read_round = self.replication.begin_read_round()
         while True:
             if not self.is_leader or self.term != term:
                 raise NotLeaderError("leadership ended", step="read_barrier", peer=self.leader)
-            confirmed = self.replication.round_confirmed(read_round)
+            confirmed = self.replication.read_round_confirmed(read_round)
             if confirmed and self.commit_index >= self._term_first_index:
                 break
             await self.changed.wait()
@@ -166,7 +168,7 @@
         self._term_first_index = self.append_as_leader(membership=self.membership())
         self.event_log.info("leader_elected", step="election", term=self.term)
         self.replication.start_leading()
-        self.membership_keeper.start_leading()
+        self.membership_manager.start_leading()
         self.changed.give()
 
     async def enter_term(self, term: int, voted_for: str = "") -> None:
@@ -174,7 +176,7 @@
         led = self.is_leader
         await super().enter_term(term, voted_for)
         if led and not self.is_leader:
-            self.election.overtaken()
+            self.election.on_newer_term()
 
     def step_down(self, reason: str) -> None:
         """Stop leading; those who wait for entries learn that their fate is unknown."""
@@ -259,7 +261,7 @@
             entry = self.log.entry(index)
             self.applied_index = index
             if entry.HasField("membership"):
-                self.membership_keeper.membership_committed(entry)
+                self.membership_manager.on_membership_committed(entry)
             if not entry.command:
                 continue
             result = self.machine.apply(index, entry.command)
--- a/packages/heronladder-consensus/src/heronladder_consensus/peer_calls.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/peer_calls.py
@@ -14,9 +14,9 @@
 
 from heronladder_consensus.timing import ConsensusTiming
 
-_MARGIN = 2.0  # of the expected time of an answer
-_KEPT = 0.9  # of an expectation that the newest answer was under
-_MOST_DOUBLINGS = 8  # the longest time-out ends them much sooner
+_TIMEOUT_FACTOR = 2.0  # of the expected time of an answer
+_DECAY_FACTOR = 0.9  # of an expectation that the newest answer was under
+_MAX_DOUBLINGS = 8  # the longest time-out ends them much sooner
 
 
 class AdaptiveTimeout:
@@ -30,27 +30,27 @@
         most_s: Longest time-out, in seconds.
     """
 
-    def __init__(self, least_s: float, most_s: float) -> None:
-        self._least_s = least_s
-        self._most_s = most_s
+    def __init__(self, min_s: float, max_s: float) -> None:
+        self._min_s = min_s
+        self._max_s = max_s
         self._expected_s = 0.0
         self._expired = 0  # in a row
 
     @property
     def timeout_s(self) -> float:
         """How long to wait for the next answer, in seconds."""
-        patience_s = max(self._least_s, _MARGIN * self._expected_s)
-        return min(self._most_s, patience_s * 2.0**self._expired)
+        patience_s = max(self._min_s, _TIMEOUT_FACTOR * self._expected_s)
+        return min(self._max_s, patience_s * 2.0**self._expired)
 
-    def answered(self, took_s: float) -> None:
+    def record_reply(self, took_s: float) -> None:
         """Note an answer; one that took longer than expected counts at once."""
         self._expired = 0
-        fading_s = _KEPT * self._expected_s + (1.0 - _KEPT) * took_s
+        fading_s = _DECAY_FACTOR * self._expected_s + (1.0 - _DECAY_FACTOR) * took_s
         self._expected_s = max(took_s, fading_s)
 
-    def expired(self) -> None:
+    def record_timeout(self) -> None:
         """Note that no answer came in time."""
-        self._expired = min(self._expired + 1, _MOST_DOUBLINGS)
+        self._expired = min(self._expired + 1, _MAX_DOUBLINGS)
 
 
 class PeerCalls:
@@ -80,8 +80,8 @@
         Raises:
             RpcError, OSError, TimeoutError: No answer came.
         """
-        least_s = self._timing.vote_timeout_s
-        reply: consensus_pb2.VoteReply = await self._call(peer, "RequestVote", request, least_s)
+        min_s = self._timing.vote_timeout_s
+        reply: consensus_pb2.VoteReply = await self._call(peer, "RequestVote", request, min_s)
         return reply
 
     async def append_entries(
@@ -92,18 +92,18 @@
         Raises:
             RpcError, OSError, TimeoutError: No answer came.
         """
-        least_s = self._timing.call_timeout_s
-        reply: consensus_pb2.AppendReply = await self._call(peer, "AppendEntries", request, least_s)
+        min_s = self._timing.call_timeout_s
+        reply: consensus_pb2.AppendReply = await self._call(peer, "AppendEntries", request, min_s)
         return reply
 
     async def _call(
-        self, peer: consensus_pb2.Member, method: str, request: object, least_s: float
+        self, peer: consensus_pb2.Member, method: str, request: object, min_s: float
     ) -> Any:
         adaptive = self._timeouts.setdefault(
             peer.address,
-            AdaptiveTimeout(self._timing.call_timeout_s, self._timing.longest_call_s),
+            AdaptiveTimeout(self._timing.call_timeout_s, self._timing.max_call_timeout_s),
         )
-        timeout_s = max(least_s, adaptive.timeout_s)
+        timeout_s = max(min_s, adaptive.timeout_s)
         began_s = self._environment.monotonic()
         late_before_s = self._environment.lateness.total_s()
         stub = self._stubs.consensus(peer.address)
@@ -111,14 +111,14 @@
             reply = await getattr(stub, method)(request, timeout=timeout_s)
         except RPC_ERRORS:
             if self._environment.monotonic() - began_s >= timeout_s:
-                adaptive.expired()
+                adaptive.record_timeout()
                 late_s = self._environment.lateness.total_s() - late_before_s
-                self._report(peer.name, method, timeout_s, late_s)
+                self._log_timeout(peer.name, method, timeout_s, late_s)
             raise
-        adaptive.answered(self._environment.monotonic() - began_s)
+        adaptive.record_reply(self._environment.monotonic() - began_s)
         return reply
 
-    def _report(self, peer: str, method: str, timeout_s: float, late_s: float) -> None:
+    def _log_timeout(self, peer: str, method: str, timeout_s: float, late_s: float) -> None:
         self._log.info(
             "peer_call_expired",
             step=method,
--- a/packages/heronladder-consensus/src/heronladder_consensus/replication.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/replication.py
@@ -11,7 +11,7 @@
 from heronladder_consensus.election import Election
 from heronladder_consensus.member_state import MemberState
 from heronladder_consensus.members import find_member, voters
-from heronladder_consensus.snapshots import SnapshotKeeper
+from heronladder_consensus.snapshots import SnapshotManager
 
 _BATCH_BYTES = 512 * 1024
 _SNAPSHOT_CHUNK_BYTES = 256 * 1024
@@ -35,11 +35,11 @@
 
     next_index: int
     match_index: int = 0
-    acknowledged_round: int = 0
-    last_answer_s: float = float("-inf")
+    confirmed_read_round: int = 0
+    last_reply_s: float = float("-inf")
     incarnation: str = ""
     highest_version: int = 0
-    snapshot_due_s: float = float("-inf")
+    next_snapshot_s: float = float("-inf")
 
 
 class Replication:
@@ -51,12 +51,12 @@
         snapshots: What is sent to peers that lag behind the log, and installed from a leader.
     """
 
-    def __init__(self, node: MemberState, election: Election, snapshots: SnapshotKeeper) -> None:
+    def __init__(self, node: MemberState, election: Election, snapshots: SnapshotManager) -> None:
         self._node = node
         self._election = election
         self._snapshots = snapshots
         self._peers: dict[str, PeerProgress] = {}
-        self._round = 0
+        self._read_round = 0
         self._leading_since_s = 0.0
 
     # ---- leading ----------------------------------------------------------
@@ -66,10 +66,10 @@
         node = self._node
         self._peers = {}
         self._leading_since_s = node.environment.monotonic()
-        self.follow_membership()
+        self.start_peer_tasks()
         node.tasks.start("check_quorum", self._check_quorum(node.term))
 
-    def follow_membership(self) -> None:
+    def start_peer_tasks(self) -> None:
         """Start a task for each peer that has none yet."""
         node = self._node
         for member in node.membership().members:
@@ -93,20 +93,20 @@
             while looks[0][0] < now - patience_s:
                 looks.popleft()
             late_s = looks[-1][1] - looks[0][1]
-            oldest = now - min(patience_s + late_s, node.timing.longest_quorum_timeout_s)
+            oldest = now - min(patience_s + late_s, node.timing.max_quorum_timeout_s)
             if self._leading_since_s > oldest:
                 continue
             answered = sum(
                 1
                 for member in voters(node.membership())
-                if member.name == node.name or self._answered_since(member.name, oldest)
+                if member.name == node.name or self._replied_since(member.name, oldest)
             )
             if answered < node.quorum() and node.is_leader and node.term == term:
                 node.step_down("no quorum answers")
 
-    def _answered_since(self, name: str, moment_s: float) -> bool:
+    def _replied_since(self, name: str, moment_s: float) -> bool:
         progress = self._peers.get(name)
-        return progress is not None and progress.last_answer_s >= moment_s
+        return progress is not None and progress.last_reply_s >= moment_s
 
     async def _replicate(self, name: str, term: int) -> None:
         node = self._node
@@ -119,18 +119,18 @@
             try:
                 if node.log.term_at(progress.next_index - 1) is not None:
                     await self._send_entries(member, progress, term)
-                elif node.environment.monotonic() < progress.snapshot_due_s:
-                    await self._send_word(member, term)
+                elif node.environment.monotonic() < progress.next_snapshot_s:
+                    await self._send_heartbeat(member, term)
                 else:
                     await self._send_snapshot(member, progress, term)
             except RPC_ERRORS:
                 await asyncio.sleep(node.timing.heartbeat_s)
                 continue
-            if progress.next_index > node.log.last_index and not self._round_open(progress):
+            if progress.next_index > node.log.last_index and not self._read_round_pending(progress):
                 await node.appended.wait(node.timing.heartbeat_s)
 
-    def _round_open(self, progress: PeerProgress) -> bool:
-        return progress.acknowledged_round < self._round
+    def _read_round_pending(self, progress: PeerProgress) -> bool:
+        return progress.confirmed_read_round < self._read_round
 
     async def _send_entries(
         self, member: consensus_pb2.Member, progress: PeerProgress, term: int
@@ -145,13 +145,13 @@
             commit_index=node.commit_index,
             entries=node.log.slice(progress.next_index, _BATCH_BYTES),
         )
-        sent_round = self._round
+        sent_round = self._read_round
         reply = await node.peer_calls.append_entries(member, request)
         if reply.disk_refuses:
             # Not an answer that counts: nothing it says would outlive a restart.
             await asyncio.sleep(node.timing.heartbeat_s)
             return
-        if not await self._accept_answer(progress, reply.term, reply.incarnation, term):
+        if not await self._accept_reply(progress, reply.term, reply.incarnation, term):
             return
         progress.highest_version = reply.highest_version
         if not reply.success:
@@ -159,11 +159,11 @@
             return
         progress.match_index = max(progress.match_index, reply.match_index)
         progress.next_index = progress.match_index + 1
-        progress.acknowledged_round = max(progress.acknowledged_round, sent_round)
+        progress.confirmed_read_round = max(progress.confirmed_read_round, sent_round)
         self.advance_commit()
         node.changed.give()
 
-    async def _send_word(self, member: consensus_pb2.Member, term: int) -> None:
+    async def _send_heartbeat(self, member: consensus_pb2.Member, term: int) -> None:
         """Tell a peer whose disk refuses the snapshot that this member still leads.
 
         The answer does not count: nothing that the peer lacks would outlive a restart.
@@ -182,7 +182,7 @@
             return
         await asyncio.sleep(node.timing.heartbeat_s)
 
-    async def _accept_answer(
+    async def _accept_reply(
         self, progress: PeerProgress, reply_term: int, incarnation: str, term: int
     ) -> bool:
         """Note that a peer answered; return False when this leadership is over."""
@@ -198,7 +198,7 @@
             progress.match_index = 0
             progress.next_index = node.log.last_index
         progress.incarnation = incarnation
-        progress.last_answer_s = node.environment.monotonic()
+        progress.last_reply_s = node.environment.monotonic()
         return True
 
     async def _send_snapshot(
@@ -228,9 +228,9 @@
             if reply.disk_refuses:
                 # No answer that counts, and not the whole snapshot again at each heartbeat.
                 now_s = node.environment.monotonic()
-                progress.snapshot_due_s = now_s + node.timing.snapshot_retry_s
+                progress.next_snapshot_s = now_s + node.timing.snapshot_retry_s
                 return
-            if not await self._accept_answer(progress, reply.term, reply.incarnation, term):
+            if not await self._accept_reply(progress, reply.term, reply.incarnation, term):
                 return
             if not reply.success:
                 return
@@ -252,14 +252,14 @@
             counts = progress is not None and progress.incarnation == member.incarnation
             matches.append(progress.match_index if progress is not None and counts else 0)
         matches.sort(reverse=True)
-        copies = max(node.quorum(), self._copies_needed(len(matches)))
+        copies = max(node.quorum(), self._min_copies(len(matches)))
         index = matches[copies - 1]
         if index > node.commit_index and node.log.term_at(index) == node.term:
             # Followers learn with the next entries or heartbeat: all reads and
             # watches are served by the leader.
             node.set_commit_index(index)
 
-    def _copies_needed(self, voting: int) -> int:
+    def _min_copies(self, voting: int) -> int:
         """Return how many synced copies an entry needs besides a quorum.
 
         A group that is still growing commits nothing but members, so that what
@@ -270,13 +270,13 @@
 
     # ---- facts about peers ------------------------------------------------
 
-    def begin_round(self) -> int:
+    def begin_read_round(self) -> int:
         """Begin a read round: peers are asked anew, whatever they answered before."""
-        self._round += 1
+        self._read_round += 1
         self._node.appended.give()
-        return self._round
+        return self._read_round
 
-    def round_confirmed(self, read_round: int) -> bool:
+    def read_round_confirmed(self, read_round: int) -> bool:
         """Whether a quorum has answered a message sent since the round began."""
         node = self._node
         confirmed = 0
@@ -284,13 +284,13 @@
             progress = self._peers.get(member.name)
             if member.name == node.name or (
                 progress is not None
-                and progress.acknowledged_round >= read_round
+                and progress.confirmed_read_round >= read_round
                 and progress.incarnation == member.incarnation
             ):
                 confirmed += 1
         return confirmed >= node.quorum()
 
-    def seen_incarnation(self, name: str) -> str:
+    def reported_incarnation(self, name: str) -> str:
         """Return the identity of a peer's data folder, or "" while it is unknown."""
         progress = self._peers.get(name)
         return progress.incarnation if progress is not None else ""
@@ -306,10 +306,10 @@
             self.match_index(name) > 0
         )
 
-    def last_answer_s(self, name: str) -> float:
+    def last_reply_s(self, name: str) -> float:
         """Return when a peer last answered; the start of leading when it never did."""
         progress = self._peers.get(name)
-        answered = progress.last_answer_s if progress is not None else float("-inf")
+        answered = progress.last_reply_s if progress is not None else float("-inf")
         return max(answered, self._leading_since_s)
 
     def highest_version(self, name: str) -> int | None:
@@ -323,11 +323,11 @@
         """Whether a peer answered within an election timeout."""
         node = self._node
         oldest = node.environment.monotonic() - node.timing.election_timeout_s
-        return self._answered_since(name, oldest)
+        return self._replied_since(name, oldest)
 
     # ---- following --------------------------------------------------------
 
-    async def answer_append(
+    async def handle_append(
         self, request: consensus_pb2.AppendRequest
     ) -> consensus_pb2.AppendReply:
         """Take in entries from the leader; they are synced when this returns."""
@@ -339,13 +339,13 @@
             if await self._election.observe_leader(request.term, request.leader):
                 async with node.write_lock:
                     if request.term == node.term and not node.is_leader:
-                        await self._take_entries(request, reply)
+                        await self._append_entries(request, reply)
         except StorageError:
             reply.disk_refuses = True
         reply.term = node.term
         return reply
 
-    async def _take_entries(
+    async def _append_entries(
         self, request: consensus_pb2.AppendRequest, reply: consensus_pb2.AppendReply
     ) -> None:
         node = self._node
@@ -370,7 +370,7 @@
         await node.flush_locked()
         reply.success = True
         reply.match_index = previous + len(request.entries)
-        node.last_heard_s = node.environment.monotonic()
+        node.election_timer_reset_s = node.environment.monotonic()
         node.set_commit_index(min(request.commit_index, reply.match_index))
 
     def _first_of_term(self, index: int) -> int:
--- a/packages/heronladder-consensus/src/heronladder_consensus/service.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/service.py
@@ -22,7 +22,7 @@
     def __init__(self, node: ConsensusNode[Any]) -> None:
         self._node = node
 
-    async def _whole(self, step: str, work: Coroutine[Any, Any, _Reply]) -> _Reply:
+    async def _run_to_completion(self, step: str, work: Coroutine[Any, Any, _Reply]) -> _Reply:
         """Answer to the end, also when the caller's deadline passes.
 
         gRPC cancels a handler then. In mid-write that let go of the write lock, and left
@@ -33,24 +33,28 @@
     async def Hello(  # noqa: D102 - generated name
         self, request: consensus_pb2.HelloRequest, context: Any
     ) -> consensus_pb2.HelloReply:
-        return self._node.bootstrap.answer()
+        return self._node.bootstrap.handle()
 
     async def Join(  # noqa: D102
         self, request: consensus_pb2.JoinRequest, context: Any
     ) -> consensus_pb2.JoinReply:
-        return await self._node.joiner.answer(request)
+        return await self._node.joiner.handle(request)
 
     async def RequestVote(  # noqa: D102
         self, request: consensus_pb2.VoteRequest, context: Any
     ) -> consensus_pb2.VoteReply:
-        return await self._whole("answer_vote", self._node.election.answer(request))
+        return await self._run_to_completion("answer_vote", self._node.election.handle(request))
 
     async def AppendEntries(  # noqa: D102
         self, request: consensus_pb2.AppendRequest, context: Any
     ) -> consensus_pb2.AppendReply:
-        return await self._whole("answer_append", self._node.replication.answer_append(request))
+        return await self._run_to_completion(
+            "answer_append", self._node.replication.handle_append(request)
+        )
 
     async def InstallSnapshot(  # noqa: D102
         self, request: consensus_pb2.SnapshotChunk, context: Any
     ) -> consensus_pb2.SnapshotReply:
-        return await self._whole("answer_snapshot", self._node.snapshot_intake.answer(request))
+        return await self._run_to_completion(
+            "answer_snapshot", self._node.snapshot_receiver.handle(request)
+        )
--- a/packages/heronladder-consensus/src/heronladder_consensus/snapshot_intake.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/snapshot_receiver.py
@@ -5,11 +5,11 @@
 
 from heronladder_consensus.election import Election
 from heronladder_consensus.member_state import MemberState
-from heronladder_consensus.snapshots import SnapshotKeeper
+from heronladder_consensus.snapshots import SnapshotManager
 from heronladder_consensus.storage import StoredSnapshot
 
 
-class SnapshotIntake:
+class SnapshotReceiver:
     """A follower's side of the sending of snapshots.
 
     Args:
@@ -18,25 +18,25 @@
         snapshots: Installs what came whole.
     """
 
-    def __init__(self, node: MemberState, election: Election, snapshots: SnapshotKeeper) -> None:
+    def __init__(self, node: MemberState, election: Election, snapshots: SnapshotManager) -> None:
         self._node = node
         self._election = election
         self._snapshots = snapshots
         self._incoming = bytearray()
 
-    async def answer(self, chunk: consensus_pb2.SnapshotChunk) -> consensus_pb2.SnapshotReply:
+    async def handle(self, chunk: consensus_pb2.SnapshotChunk) -> consensus_pb2.SnapshotReply:
         """Take in a part of the leader's snapshot; install it with the last part."""
         node = self._node
         reply = consensus_pb2.SnapshotReply(incarnation=node.hard_state.incarnation)
         try:
             if await self._election.observe_leader(chunk.term, chunk.leader):
-                await self._take(chunk, reply)
+                await self._receive_chunk(chunk, reply)
         except StorageError:
             reply.disk_refuses = True  # its term: the disk's watch told of it
         reply.term = node.term
         return reply
 
-    async def _take(
+    async def _receive_chunk(
         self, chunk: consensus_pb2.SnapshotChunk, reply: consensus_pb2.SnapshotReply
     ) -> None:
         if chunk.offset == 0:
@@ -48,7 +48,7 @@
             data = bytes(self._incoming)
             self._incoming.clear()
             await self._install(StoredSnapshot(chunk.meta, data), reply)
-            self._node.last_heard_s = self._node.environment.monotonic()
+            self._node.election_timer_reset_s = self._node.environment.monotonic()
 
     async def _install(self, snapshot: StoredSnapshot, reply: consensus_pb2.SnapshotReply) -> None:
         try:
--- a/packages/heronladder-consensus/src/heronladder_consensus/snapshots.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/snapshots.py
@@ -11,7 +11,7 @@
 from heronladder_consensus.storage import StoredSnapshot
 
 
-class SnapshotKeeper:
+class SnapshotManager:
     """Saves and installs snapshots, each with the member's write lock held.
 
     Args:
@@ -47,7 +47,7 @@
                 "snapshot_not_saved", step=error.step, peer=error.peer, error=error.message
             )
             return False  # the log goes on
-        self._report(refusals)
+        self._log_refused_removals(refusals)
         self.newest = snapshot
         kept_from = max(node.log.base_index, index - node.timing.trailing_entries)
         if kept_from > node.log.base_index:
@@ -62,7 +62,7 @@
         )
         return True
 
-    def _report(self, refusals: list[StorageError]) -> None:
+    def _log_refused_removals(self, refusals: list[StorageError]) -> None:
         """Tell of files that are left for the next snapshot to remove."""
         if not refusals:
             return
@@ -95,7 +95,7 @@
 
     async def _install_locked(self, snapshot: StoredSnapshot) -> None:
         node = self._node
-        self._report(await node.storage.save_snapshot(snapshot, drop_log=True))
+        self._log_refused_removals(await node.storage.save_snapshot(snapshot, drop_log=True))
         self.newest = snapshot
         node.log.reset(snapshot.meta)
         self._machine.restore(snapshot.data)
--- a/packages/heronladder-consensus/src/heronladder_consensus/storage.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/storage.py
@@ -41,7 +41,7 @@
     dropped_bytes: int = 0
 
     @property
-    def empty(self) -> bool:
+    def is_unused(self) -> bool:
         """Whether the folder had never been used."""
         return not self.hard_state.incarnation
 
@@ -53,7 +53,7 @@
     last_index: int
 
 
-def _numbered(prefix: str, number: int) -> str:
+def _numbered_name(prefix: str, number: int) -> str:
     return f"{prefix}{number:0{_NUMBER_DIGITS}d}"
 
 
@@ -68,7 +68,7 @@
         self._disk = disk
         self._segments: list[_Segment] = []
         self._last_segment_number = 0
-        self._saving = asyncio.Lock()
+        self._hard_state_lock = asyncio.Lock()
 
     # ---- start ------------------------------------------------------------
 
@@ -143,7 +143,7 @@
         One write at a time: of two at once, each by a thread of its own, the earlier
         could end last and take a vote back, or find its file renamed away.
         """
-        async with self._saving:
+        async with self._hard_state_lock:
             data = frame_record(hard_state.SerializeToString())
             await self._disk.replace(_HARD_STATE_FILE, data)
 
@@ -160,7 +160,7 @@
     def _current_segment(self) -> _Segment:
         if not self._segments or self._segments[-1].size >= _SEGMENT_BYTES:
             self._last_segment_number += 1
-            name = _numbered(_SEGMENT_PREFIX, self._last_segment_number)
+            name = _numbered_name(_SEGMENT_PREFIX, self._last_segment_number)
             self._segments.append(_Segment(name, 0, 0))
         return self._segments[-1]
 
@@ -183,7 +183,7 @@
         Raises:
             StorageError: If the disk refuses the snapshot; nothing has changed then.
         """
-        name = _numbered(_SNAPSHOT_PREFIX, snapshot.meta.index)
+        name = _numbered_name(_SNAPSHOT_PREFIX, snapshot.meta.index)
         records = frame_record(snapshot.meta.SerializeToString()) + frame_record(snapshot.data)
         await self._disk.replace(name, records)
         refusals = []
--- a/packages/heronladder-consensus/src/heronladder_consensus/timing.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/timing.py
@@ -30,7 +30,7 @@
         return self.election_timeout_s * 3 / 2
 
     @property
-    def longest_quorum_timeout_s(self) -> float:
+    def max_quorum_timeout_s(self) -> float:
         """The same for a leader that was late itself.
 
         Short of two election timeouts after another may be elected: for so long a new leader
@@ -54,7 +54,7 @@
         return self.election_timeout_s * 3 / 2
 
     @property
-    def longest_call_s(self) -> float:
+    def max_call_timeout_s(self) -> float:
         """Most time a peer has for an answer, however late its answers come."""
         return self.election_timeout_s * 2
 
--- a/packages/heronladder-control/src/heronladder_control/api.py
+++ b/packages/heronladder-control/src/heronladder_control/api.py
@@ -322,11 +322,11 @@
             return _error(422, "invalid", str(error))
         if not member.name or not member.address:
             return _error(422, "invalid", "name and address (IP:port) are needed")
-        await self._member.node.membership_keeper.add(member)
+        await self._member.node.membership_manager.add(member)
         return await self._list_members(request)
 
     async def _remove_member(self, request: web.Request) -> web.Response:
-        await self._member.node.membership_keeper.remove(request.match_info["name"])
+        await self._member.node.membership_manager.remove(request.match_info["name"])
         return await self._list_members(request)
 
     async def _accounts(self, request: web.Request) -> web.Response:
--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -162,7 +162,7 @@
             leader=node.leader,
             members=list(node.membership().members),
             replicas=len(self._member.state.resources.resources[REPLICA_KIND]),
-            silent_s=self._member.environment.monotonic() - node.last_heard_s,
+            silent_s=self._member.environment.monotonic() - node.election_timer_reset_s,
         )
         address = self._spread.name(replica, view)
         for name in set(self._spread.passed_over()).difference(passed_over):
--- a/packages/heronladder-tools/src/heronladder_tools/replay.py
+++ b/packages/heronladder-tools/src/heronladder_tools/replay.py
@@ -72,7 +72,7 @@
     disk = _ReadOnlyDisk(folder)
     loaded = LogStorage(disk).load()
     disk.close()
-    if loaded.empty:
+    if loaded.is_unused:
         raise HeronladderError("no data of a control member", step="replay", peer=str(folder))
     state = ControlState("")
     replayed = ReplayedState(state)
--- a/tests/support.py
+++ b/tests/support.py
@@ -108,7 +108,7 @@
         self.network.kill(name)
         await node.stop()
 
-    def cut_off(self, names: list[str]) -> list[Cut]:
+    def isolate(self, names: list[str]) -> list[Cut]:
         inside = frozenset(names)
         outside = frozenset(self.network.endpoints) - inside
         cuts = [Cut(inside, outside), Cut(outside, inside)]
--- a/tests/test_cluster_version.py
+++ b/tests/test_cluster_version.py
@@ -127,7 +127,7 @@
 
     async def test_a_machine_of_an_earlier_build_does_not_join(self) -> None:
         newcomer = consensus_pb2.Member(name="old", address="127.0.0.1:1")
-        reply = await self.leader.node.joiner.answer(consensus_pb2.JoinRequest(member=newcomer))
+        reply = await self.leader.node.joiner.handle(consensus_pb2.JoinRequest(member=newcomer))
         self.assertFalse(reply.accepted)
         listed = {member.name for member in self.leader.node.membership().members}
         self.assertNotIn("old", listed)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -66,7 +66,7 @@
             group = Group()
             old = await group.start_all()
             await old.propose(b"before")
-            cuts = group.cut_off([old.name])
+            cuts = group.isolate([old.name])
             proposal = asyncio.ensure_future(old.propose(b"never"))
             read = asyncio.ensure_future(old.read_barrier())
             others = [name for name in group.names if name != old.name]
@@ -90,7 +90,7 @@
             leader = await group.start_all()
             term = leader.term
             follower = next(name for name in group.names if name != leader.name)
-            cuts = group.cut_off([follower])
+            cuts = group.isolate([follower])
             await asyncio.sleep(20)
             group.heal(cuts)
             await asyncio.sleep(5)
@@ -236,7 +236,7 @@
         lagging, wiped = [name for name in group.names if name != leader.name]
         await leader.propose(b"early")
         await asyncio.sleep(1)
-        cuts = group.cut_off([lagging])
+        cuts = group.isolate([lagging])
         await leader.propose(b"accepted")
         await group.crash(wiped, wipe=True)
         await group.crash(leader.name)
@@ -263,7 +263,9 @@
 
     def test_without_that_rule_an_accepted_entry_would_be_lost(self) -> None:
         vote = mock.patch.object(ConsensusNode, "may_vote", lambda self: True)
-        count = mock.patch.object(Election, "_counts", lambda self, member, reply: reply.granted)
+        count = mock.patch.object(
+            Election, "_is_valid_vote", lambda self, member, reply: reply.granted
+        )
         with vote, count:
             self.assertTrue(run_virtual(self._lose_the_only_two_holders()))
 
@@ -277,7 +279,7 @@
                 await leader.propose(str(number).encode())
             await group.start("m3", joining=True)
             member = consensus_pb2.Member(name="m3", address="m3:1")
-            await leader.membership_keeper.add(member)
+            await leader.membership_manager.add(member)
             added = find_member(leader.membership(), "m3")
             assert added is not None
             self.assertFalse(added.voter)
@@ -293,7 +295,7 @@
             group = Group()
             leader = await group.start_all()
             await leader.propose(b"one")
-            await leader.membership_keeper.remove(leader.name)
+            await leader.membership_manager.remove(leader.name)
             others = [name for name in group.names if name != leader.name]
             new = await group.leader(others)
             await new.propose(b"two")
@@ -312,7 +314,7 @@
             await group.crash(followers[0])
             await asyncio.sleep(1.2)
             with self.assertRaises(MembershipChangeError):
-                await leader.membership_keeper.remove(followers[1])
+                await leader.membership_manager.remove(followers[1])
             await group.stop()
 
         run_virtual(scenario())
--- a/tests/test_disk_troubles.py
+++ b/tests/test_disk_troubles.py
@@ -291,7 +291,7 @@
             for _ in range(60):
                 await asyncio.sleep(0.1)
                 self.assertEqual(node.leader, leader.name)
-                silent_s = group.environment.monotonic() - node.last_heard_s
+                silent_s = group.environment.monotonic() - node.election_timer_reset_s
                 self.assertLess(silent_s, 2 * group.timing.heartbeat_s)
                 self.assertFalse(leader.replication.reachable(name))
             await group.stop()
@@ -310,7 +310,7 @@
             chunk = consensus_pb2.SnapshotChunk(
                 term=leader.term + 1, leader=leader.name, meta=meta, data=b"x", last=True
             )
-            reply = await group.nodes[name].snapshot_intake.answer(chunk)
+            reply = await group.nodes[name].snapshot_receiver.handle(chunk)
             self.assertTrue(reply.disk_refuses)
             self.assertFalse(reply.success)
             await group.stop()
--- a/tests/test_late_members.py
+++ b/tests/test_late_members.py
@@ -97,7 +97,7 @@
         """A new leader waits two election timeouts for what an earlier one may have promised."""
         timing = ConsensusTiming(_ELECTION_TIMEOUT_S)
         elected_s = timing.election_timeout_s  # after the earlier one was heard last, at least
-        gone_s = timing.longest_quorum_timeout_s + timing.heartbeat_s
+        gone_s = timing.max_quorum_timeout_s + timing.heartbeat_s
         self.assertLess(gone_s - elected_s, 2 * timing.election_timeout_s)
 
 
@@ -107,27 +107,27 @@
 
     def test_a_peer_that_answers_soon_has_the_least_time(self) -> None:
         for _ in range(20):
-            self.times.answered(0.01)
+            self.times.record_reply(0.01)
         self.assertEqual(self.times.timeout_s, _LEAST_S)
 
     def test_each_call_without_an_answer_doubles_it_up_to_a_bound(self) -> None:
         found = []
         for _ in range(4):
-            self.times.expired()
+            self.times.record_timeout()
             found.append(self.times.timeout_s)
         self.assertEqual(found, [2 * _LEAST_S, 4 * _LEAST_S, _MOST_S, _MOST_S])
 
     def test_a_peer_that_answers_late_keeps_the_time_that_it_takes(self) -> None:
-        self.times.expired()
-        self.times.answered(0.5)
+        self.times.record_timeout()
+        self.times.record_reply(0.5)
         self.assertEqual(self.times.timeout_s, 1.0)
-        self.times.answered(0.01)
+        self.times.record_reply(0.01)
         self.assertGreater(self.times.timeout_s, 0.8)
 
     def test_a_peer_that_is_quick_again_has_the_least_time_again(self) -> None:
-        self.times.answered(0.5)
+        self.times.record_reply(0.5)
         for _ in range(30):
-            self.times.answered(0.01)
+            self.times.record_reply(0.01)
         self.assertEqual(self.times.timeout_s, _LEAST_S)
 
 
--- a/tests/test_membership_growth.py
+++ b/tests/test_membership_growth.py
@@ -80,7 +80,7 @@
             group = _bearing_losses(Group())
             leader = await _grown(group, extra=2)
             away = next(name for name in sorted(group.nodes) if name != leader.name)
-            cuts = group.cut_off([away])
+            cuts = group.isolate([away])
             await group.start("new", joining=True)
             for _ in range(150):
                 if find_member((await group.leader()).membership(), away) is None:
@@ -108,11 +108,11 @@
             names = sorted(group.nodes)
             for name in names:
                 await group.crash(name)
-            stand = Election.run
+            run_elections = Election.run
 
             async def only_the_newest_stands(election: Election) -> None:
                 if election._node.name == "x0":
-                    await stand(election)
+                    await run_elections(election)
 
             with mock.patch.object(Election, "run", only_the_newest_stands):
                 for name in names:
@@ -140,9 +140,9 @@
             await group.crash(leader.name)
             await asyncio.sleep(1.0)
             late, candidate = (group.nodes[name] for name in names)
-            late.last_heard_s = float("-inf")
+            late.election_timer_reset_s = float("-inf")
             term = late.term
-            reply = await late.election.answer(
+            reply = await late.election.handle(
                 consensus_pb2.VoteRequest(
                     term=term + 1,
                     candidate=candidate.name,
@@ -152,7 +152,7 @@
                 )
             )
             self.assertTrue(reply.granted)
-            self.assertFalse(await late.election.stand(term))
+            self.assertFalse(await late.election.campaign(term))
             self.assertEqual((late.term, late.hard_state.voted_for), (term + 1, candidate.name))
             await group.stop()
 
@@ -207,9 +207,9 @@
                     pre_vote=pre_vote,
                 )
 
-            self.assertTrue((await voter.election.answer(request(pre_vote=True))).granted)
-            self.assertTrue((await voter.election.answer(request(pre_vote=False))).granted)
-            self.assertFalse((await voter.election.answer(request(pre_vote=True))).granted)
+            self.assertTrue((await voter.election.handle(request(pre_vote=True))).granted)
+            self.assertTrue((await voter.election.handle(request(pre_vote=False))).granted)
+            self.assertFalse((await voter.election.handle(request(pre_vote=True))).granted)
             await group.stop()
 
         run_virtual(scenario())
@@ -229,7 +229,7 @@
                 late.leader = "another"
                 return True
 
-            late.election._collect = heard_meanwhile  # type: ignore[method-assign]
+            late.election._collect_votes = heard_meanwhile  # type: ignore[method-assign]
             await asyncio.sleep(6)
             self.assertEqual((late.term, late.is_leader), (term, False))
             await group.stop()
