--- a/packages/heronladder-consensus/src/heronladder_consensus/__init__.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated log of heronladder."""
+"""Raft-style replicated log of the heronladder control plane."""
--- a/packages/heronladder-consensus/src/heronladder_consensus/bootstrap.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/bootstrap.py
@@ -1,11 +1,10 @@
-"""How a member with a new data folder comes to count.
-
-A new folder may belong to a new group or to a member that lost its disk. In
-the second case the member has forgotten what it voted for and which entries it
-had acknowledged, so it must not count until the group has taken it in again.
-The rule: a new folder counts at once only if every other first member is new
-too, or already knows this very folder. Otherwise the leader demotes the member
-to a learner, and promotes it once it has caught up.
+"""Bootstrap of a member with a new data folder: whether it may vote at once.
+
+A new folder belongs either to a new group or to a member that lost its disk. In the second case
+the member no longer knows its votes or the entries it had acknowledged, so it must not vote until
+the group has admitted it again. A member with a new folder may therefore vote at once only if the
+folders of all other initial members are new too, or if those members already know this folder.
+Otherwise the leader demotes the member to a learner, and promotes it once it has caught up.
 """
 
 import asyncio
@@ -19,20 +18,23 @@
 
 
 class Bootstrap:
-    """Forms a new group from its first members.
+    """Forms a new group from its initial members.
 
     Args:
-        node: The member.
-        initial_members: The first members; empty when joining a running group.
+        node: This member.
+        initial_members: The initial members; empty when joining a running group.
+
+    Attributes:
+        forming: Whether it is still unknown if the group is new.
     """
 
     def __init__(self, node: MemberState, initial_members: list[consensus_pb2.Member]) -> None:
         self._node = node
         self._initial = initial_members
-        self.forming = bool(initial_members)  # it is not clear yet whether the group is new
+        self.forming = bool(initial_members)
 
     async def run(self) -> None:
-        """Ask the other first members until it is clear whether the group is new."""
+        """Query the other initial members until it is known whether the group is new."""
         try:
             await self._detect_new_group()
         finally:
@@ -46,7 +48,7 @@
         version = node.highest_version
         while len(incarnations) < len(self._initial):
             if node.log.last_index > 0 or node.hard_state.voting_allowed:
-                return  # a leader has taken this member in
+                return  # a leader has admitted this member
             for member in self._initial:
                 if member.name in incarnations:
                     continue
@@ -58,7 +60,7 @@
                         "folder_is_new_in_a_running_group",
                         step="bootstrap",
                         peer=member.name,
-                        advice="this member counts again once it has caught up",
+                        advice="this member may vote again once it has caught up with the leader",
                     )
                     return
                 incarnations[member.name] = reply.incarnation
@@ -100,7 +102,7 @@
         node.event_log.info("group_formed", step="bootstrap", members=len(incarnations))
 
     def handle(self) -> consensus_pb2.HelloReply:
-        """Say who this member is and whether its folder is new."""
+        """Answer a Hello request with the identity of this member and whether it may vote."""
         node = self._node
         return consensus_pb2.HelloReply(
             name=node.name,
--- a/packages/heronladder-consensus/src/heronladder_consensus/election.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: a pre-vote, then a vote; and the answers to other candidates."""
+"""Leader election with a pre-vote, and the handling of other candidates' vote requests."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,49 +11,49 @@
 from heronladder_consensus.member_state import MemberState
 from heronladder_consensus.members import find_member, voters
 
-# Of the election timeout, besides a random share of it, wide enough that two of nine
-# members seldom stand together. Short until the first leader since the start was heard
-# of: a vain pre-vote disturbs nobody, and a member that waits long after one keeps the
-# whole group waiting.
+# Fixed part of the delay before an election, as a fraction of the election timeout. A random part
+# of up to one election timeout is added, so that two of nine members seldom campaign at the same
+# time. The fixed part is shorter until the member has heard from a leader since its start: a failed
+# pre-vote disturbs no other member, and a long wait after it would delay the whole group.
 _FIRST_ELECTION_DELAY_FACTOR = 0.3
 _ELECTION_DELAY_FACTOR = 1.0
-# Of the election timeout: how long a member that voted gives no pre-vote to others.
-# The vote may have made a leader whose first message is still on its way.
+# Time for which a member that voted grants no pre-vote to others, as a fraction of the election
+# timeout. The vote may have elected a leader whose first message has not arrived yet.
 _VOTE_HOLD_FACTOR = 0.3
 
 
 class Election:
-    """Makes a member stand for election when it hears of no leader.
+    """Starts elections when the leader is silent, and decides on vote requests.
 
     Args:
-        node: The member.
-        elected: Called once a majority gave its votes.
+        node: State of this member.
+        elected: Called when a majority has granted its votes.
     """
 
     def __init__(self, node: MemberState, elected: Callable[[], None]) -> None:
         self._node = node
         self._elected = elected
         self._lock = asyncio.Lock()
-        self._leader_known = False  # since this process started
-        self._pre_vote_term = 0  # of its pre-vote that is under way; 0: of none
-        self._last_vote_s = float("-inf")  # when it gave its newest vote
+        self._leader_known = False  # whether a leader was seen since this process started
+        self._pre_vote_term = 0  # term that the pre-vote in progress asks for; 0: none in progress
+        self._last_vote_s = float("-inf")  # monotonic time of the newest granted vote
         self._newer_term_seen = Pulse()
 
     async def run(self) -> None:
-        """Stand whenever no leader was heard of for an election timeout."""
+        """Start an election whenever no leader was heard from for the election delay."""
         node = self._node
         while node.failure is None:
-            patience = (
+            delay_factor = (
                 _ELECTION_DELAY_FACTOR if self._leader_known else _FIRST_ELECTION_DELAY_FACTOR
             )
-            chance = node.environment.random.random()
-            timeout_s = node.timing.election_timeout_s * (patience + chance)
+            random_factor = node.environment.random.random()
+            timeout_s = node.timing.election_timeout_s * (delay_factor + random_factor)
             due_s = node.environment.monotonic() + timeout_s
             if await self._newer_term_seen.wait(timeout_s):
                 await self._campaign_again()
                 continue
             if node.environment.monotonic() - due_s > node.timing.heartbeat_s:
-                # This member was late: what its leader sent meanwhile is read first.
+                # After a stall of the event loop, process what the leader sent meanwhile.
                 await asyncio.sleep(node.timing.heartbeat_s)
             silent_s = node.environment.monotonic() - node.election_timer_reset_s
             if node.is_leader or not node.may_vote() or silent_s < timeout_s:
@@ -72,38 +72,39 @@
                 self._leader_known = True
                 self._elected()
         except StorageError:
-            return  # the disk refuses: others may stand
+            return  # the disk refuses writes; another member may become leader
         finally:
             self._pre_vote_term = 0
 
     def on_newer_term(self) -> None:
-        """Note that this member led until it heard of a newer term."""
+        """Record that this member was the leader until it learned of a newer term."""
         self._newer_term_seen.give()
 
     async def _campaign_again(self) -> None:
-        """Stand without patience; once more when votes just given hold no more."""
+        """Campaign at once, and again when the vote hold of the other members has expired."""
         for pause_s in (0.0, _VOTE_HOLD_FACTOR * self._node.timing.election_timeout_s):
             await asyncio.sleep(pause_s)
             if await self._may_campaign_again():
                 await self._run_election()
 
     async def _may_campaign_again(self) -> bool:
-        """Whether nobody is known to lead or to have this member's vote in the newer term.
+        """Whether the newer term has no known leader and no vote from this member.
 
-        Its candidate may have stood as this member was elected, and lost: all others
-        hear this member and would wait for it in vain, over a second.
+        The candidate of the newer term may have campaigned while this member was elected, and
+        lost. The other members have just heard from this member, so without a new campaign the
+        group would be without a leader for more than a second.
         """
         node = self._node
-        async with self._lock:  # what brought the newer term is decided
+        async with self._lock:  # waits until the request with the newer term is decided
             pass
         voted = node.hard_state.voted_for not in ("", node.name)
         return node.may_vote() and not (node.is_leader or node.leader or voted)
 
     async def campaign(self, term: int) -> bool:
-        """Ask for votes in the term after ``term``; return whether a majority gave them.
+        """Request votes in the term after ``term``; return whether a majority granted them.
 
-        Between the pre-vote and this, the member may have voted for another
-        candidate. Standing against it would end its leadership at once.
+        The member does not campaign if its term has changed since the pre-vote: it may have voted
+        for another candidate, and a higher term would end that candidate's leadership at once.
         """
         async with self._lock:
             if self._node.term != term:
@@ -112,10 +113,13 @@
         return await self._collect_votes(pre_vote=False)
 
     async def _collect_votes(self, *, pre_vote: bool) -> bool:
-        """Ask all voters; return whether a majority agreed and nothing changed meanwhile.
+        """Request votes from all voters.
 
-        The pre-vote asks without a new term, so that a member that was cut off
-        does not disturb a leader that others still hear.
+        A pre-vote does not enter the new term, so that a member that was partitioned does not
+        disturb a leader that the other members still hear from.
+
+        Returns:
+            Whether a majority agreed, and this member's term, role and vote have not changed.
         """
         node = self._node
         term = node.term
@@ -138,24 +142,27 @@
     async def _wait_for_majority(
         self, others: list[consensus_pb2.Member], request: consensus_pb2.VoteRequest
     ) -> bool:
-        """Ask all, and return as soon as a majority agreed.
+        """Request votes from all peers, and return as soon as a majority has agreed.
+
+        Members that do not respond are not waited for: another candidate may win in the
+        meantime, and a campaign against it would end its leadership at once. A refusal means that
+        there is another candidate or a leader, so the wait for late votes is shorter after one.
 
-        Members that do not answer are not waited for: meanwhile another candidate
-        may win, and standing against it would end its leadership at once. After a refusal
-        there is another candidate or a leader, so that late votes are waited for no longer.
+        Returns:
+            Whether a majority agreed, this member included.
         """
         node = self._node
         pending = {
             node.tasks.start("request_vote", self._request_vote(member, request))
             for member in others
         }
-        began_s = node.environment.monotonic()
-        patience_s = node.timing.max_call_timeout_s
+        started_s = node.environment.monotonic()
+        wait_s = node.timing.max_call_timeout_s
         granted = 1
         while granted < node.quorum() and pending:
-            left_s = began_s + patience_s - node.environment.monotonic()
+            remaining_s = started_s + wait_s - node.environment.monotonic()
             completed, pending = await asyncio.wait(
-                pending, timeout=max(0.0, left_s), return_when=asyncio.FIRST_COMPLETED
+                pending, timeout=max(0.0, remaining_s), return_when=asyncio.FIRST_COMPLETED
             )
             if not completed:
                 break
@@ -169,7 +176,7 @@
                 if self._is_valid_vote(member, reply):
                     granted += 1
                 else:
-                    patience_s = node.timing.call_timeout_s
+                    wait_s = node.timing.call_timeout_s
         return granted >= node.quorum()
 
     async def _enter_newer_term(self, term: int) -> None:
@@ -179,7 +186,7 @@
 
     @staticmethod
     def _is_valid_vote(member: consensus_pb2.Member, reply: consensus_pb2.VoteReply) -> bool:
-        """Whether a vote counts: it is from the data folder that the group knows."""
+        """Whether a vote was granted from the data folder that the membership lists."""
         return reply.granted and reply.incarnation == member.incarnation
 
     async def _request_vote(
@@ -192,13 +199,13 @@
             return member, None
 
     async def handle(self, request: consensus_pb2.VoteRequest) -> consensus_pb2.VoteReply:
-        """Grant or refuse a vote."""
+        """Handle a vote or pre-vote request."""
         node = self._node
         async with self._lock:
             try:
                 granted = await self._decide_vote(request)
             except StorageError:
-                granted = False  # a vote that a restart would forget is none
+                granted = False  # a vote that is not durable must not be granted
             return consensus_pb2.VoteReply(
                 term=node.term, granted=granted, incarnation=node.hard_state.incarnation
             )
@@ -230,9 +237,10 @@
         return True
 
     def _has_precedence_over(self, request: consensus_pb2.VoteRequest) -> bool:
-        """Whether this member asks for the same term, and is the one to get it.
+        """Whether this member is in a pre-vote for the same term and takes precedence.
 
-        Two that let each other stand would each vote for itself, and both lose.
+        Two candidates that grant each other's pre-vote would each vote for themselves, and both
+        could lose.
         """
         node = self._node
         if request.term != self._pre_vote_term or request.candidate == node.name:
@@ -256,11 +264,23 @@
         return (request.last_term, request.last_index) >= own
 
     async def observe_leader(self, term: int, leader: str) -> bool:
-        """Follow a leader that sent a message; return False if its term is old."""
+        """Follow the leader that sent a message, and enter its term if that is newer.
+
+        Args:
+            term: Term of the message or reply.
+            leader: Name of the leader; empty if the message only shows a newer term.
+
+        Returns:
+            Whether the term is current, so that the message may be processed.
+
+        Raises:
+            StorageError: If the disk refuses the new term.
+        """
         node = self._node
         if term < node.term or node.failure is not None:
             return False
-        await node.wait_for_term_write()  # none may follow in a term that a restart would forget
+        # No message may be accepted in a term that a restart would lose.
+        await node.wait_for_term_write()
         if term > node.term:
             async with self._lock:
                 if term > node.term:
--- a/packages/heronladder-consensus/src/heronladder_consensus/errors.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/errors.py
@@ -4,12 +4,12 @@
 
 
 class NotLeaderError(HeronladderError):
-    """This member does not lead; ``peer`` is the leader's name, if known."""
+    """This member is not the leader; ``peer`` is the name of the leader, if known."""
 
 
 class LeadershipLostError(HeronladderError):
-    """The member stopped leading before it knew whether an entry was committed."""
+    """The member lost leadership before it knew whether an entry was committed."""
 
 
 class MembershipChangeError(HeronladderError):
-    """A change of members is not allowed now, or makes no sense."""
+    """A membership change is invalid, or not allowed at present."""
--- a/packages/heronladder-consensus/src/heronladder_consensus/joining.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/joining.py
@@ -1,9 +1,8 @@
-"""How a machine that is no member gets into a running group.
+"""Joining of a running group by a process that the membership does not list.
 
-A member that the group does not list asks any machine it knows to be taken in.
-The leader adds it as a learner; it votes once it has caught up. A member that
-was removed while it was cut off finds out in the same way and comes back as a
-learner.
+The process sends join requests to the addresses it knows. The leader adds it as a learner, which
+becomes a voter once it has caught up. A member that was removed while it was partitioned hears
+from no leader, so it sends join requests too and rejoins as a learner.
 """
 
 import asyncio
@@ -18,19 +17,18 @@
 from heronladder_consensus.membership import MembershipManager
 
 _JOIN_CHECK_INTERVAL_S = 0.3
-_LEADER_SILENCE_S = 2.0  # without a leader's word, before a listed member asks again
+_LEADER_SILENCE_S = 2.0  # silence of the leader before a join request, also for listed members
 
 
 class Joiner:
-    """Asks to be taken into the group for as long as the group does not list this member.
+    """Sends join requests while no leader is heard from, and handles those of other processes.
 
     Args:
-        node: The member.
-        bootstrap: Tells whether the group is still forming.
-        membership: Takes machines in.
-        me: This member's own entry; None for a member that is only ever added
-            by an operator.
-        contacts: gRPC addresses to ask when none is known from the log.
+        node: State of this member.
+        bootstrap: Knows whether the group is still forming.
+        membership: Adds new members.
+        own_member: This member's own entry; None for a member that only an operator adds.
+        contacts: gRPC addresses that join requests go to, besides those of the membership.
     """
 
     def __init__(
@@ -48,7 +46,7 @@
         self.contacts = contacts
 
     async def run(self) -> None:
-        """Ask whenever no leader has been heard of for a while."""
+        """Send join requests whenever no leader was heard from for ``_LEADER_SILENCE_S``."""
         if self._own_member is None:
             return
         while self._node.failure is None:
@@ -65,7 +63,7 @@
     async def _request_join_from_all(self, own_member: consensus_pb2.Member) -> None:
         listed = [member.address for member in self._node.membership().members]
         addresses = list(dict.fromkeys([*self.contacts, *listed]))
-        hinted = ""
+        leader_address = ""
         for address in addresses:
             if address == own_member.address or self._node.failure is not None:
                 continue
@@ -74,9 +72,9 @@
                 continue
             if reply.accepted:
                 return
-            hinted = hinted or reply.leader_address
-        if hinted:
-            await self._send_join(hinted, own_member)
+            leader_address = leader_address or reply.leader_address
+        if leader_address:
+            await self._send_join(leader_address, own_member)
 
     async def _send_join(
         self, address: str, own_member: consensus_pb2.Member
@@ -94,10 +92,10 @@
         return reply
 
     async def handle(self, request: consensus_pb2.JoinRequest) -> consensus_pb2.JoinReply:
-        """Add the machine that asks as a learner, if this member leads."""
+        """Handle a join request: add the process as a learner, if this member is the leader."""
         node = self._node
-        known = find_member(node.membership(), request.member.name)
-        if node.is_leader and known is not None:
+        listed = find_member(node.membership(), request.member.name)
+        if node.is_leader and listed is not None:
             return consensus_pb2.JoinReply(accepted=True)
         if node.is_leader and request.highest_version < node.cluster_version:
             node.event_log.warning(
--- a/packages/heronladder-consensus/src/heronladder_consensus/log.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/log.py
@@ -1,16 +1,19 @@
-"""The log in memory: entries after the newest snapshot."""
+"""In-memory log: the entries that compaction has not dropped."""
 
 from heronladder_runtime.invariants import invariant
 from heronladder_schema.v1 import consensus_pb2
 
 
 class MemoryLog:
-    """Entries by index, and how far they are synced to disk.
+    """Log entries by index, and the index up to which they are synced to disk.
 
     Args:
-        member: Name of the member, for errors.
-        meta: Place of the snapshot the log begins after; index 0 when there is none.
-        entries: Entries after it, all synced.
+        member: Name of this member, for error messages.
+        meta: Index, term and membership at which the log starts; index 0 without a snapshot.
+        entries: Entries after that index, all synced.
+
+    Attributes:
+        synced_index: Index of the last entry that is synced to disk.
     """
 
     def __init__(
@@ -22,13 +25,13 @@
         self._member = member
         self._base = meta
         self._entries = entries
-        # Entries that change members, in order; the log is long and they are few.
+        # Membership changes in log order; indexed separately to avoid scanning the whole log.
         self._changes = [entry for entry in entries if entry.HasField("membership")]
         self.synced_index = meta.index + len(entries)
 
     @property
     def base_index(self) -> int:
-        """Index of the last entry that is only in the snapshot."""
+        """Index of the last compacted entry, which only the snapshot covers."""
         return self._base.index
 
     @property
@@ -50,11 +53,17 @@
         return None
 
     def entry(self, index: int) -> consensus_pb2.LogEntry:
-        """Return the entry at an index that the log holds."""
+        """Return the entry at an index, which the log must hold."""
         return self._entries[index - self._base.index - 1]
 
     def slice(self, first: int, maximum_bytes: int) -> list[consensus_pb2.LogEntry]:
-        """Return entries from ``first`` on, at least one, up to a size in bytes."""
+        """Return consecutive entries, limited by their total size.
+
+        Args:
+            first: Index of the first entry.
+            maximum_bytes: Limit on the total size of the commands; a larger first entry is
+                returned on its own.
+        """
         position = first - self._base.index - 1
         chosen: list[consensus_pb2.LogEntry] = []
         size = 0
@@ -68,11 +77,11 @@
         return chosen
 
     def unsynced(self) -> list[consensus_pb2.LogEntry]:
-        """Return the entries that are not on disk yet."""
+        """Return the entries that are not synced to disk yet."""
         return self._entries[self.synced_index - self._base.index :]
 
     def append(self, entry: consensus_pb2.LogEntry) -> None:
-        """Add the next entry, not yet synced."""
+        """Append the next entry, not synced yet."""
         invariant(
             entry.index == self.last_index + 1,
             "log_is_dense",
@@ -85,7 +94,7 @@
             self._changes.append(entry)
 
     def truncate_from(self, index: int, commit_index: int) -> None:
-        """Drop all entries from ``index`` on; committed ones must not be among them."""
+        """Drop all entries from ``index`` on, none of which may be committed."""
         invariant(
             index > commit_index,
             "committed_entries_are_kept",
@@ -102,22 +111,22 @@
         del self._entries[: meta.index - self._base.index]
         self._changes = [entry for entry in self._changes if entry.index > meta.index]
         self._base = meta
-        # A leader whose own disk lags commits by its peers: what it has not synced
-        # itself may be in the snapshot already.
+        # A leader with a slow disk commits through its peers, so a snapshot may cover entries
+        # that the leader itself has not synced.
         self.synced_index = max(self.synced_index, meta.index)
 
     def reset(self, meta: consensus_pb2.SnapshotMeta) -> None:
-        """Begin anew after a snapshot from the leader."""
+        """Replace the whole log by the position of a snapshot from the leader."""
         self._base = meta
         self._entries = []
         self._changes = []
         self.synced_index = meta.index
 
     def membership(self, up_to: int | None = None) -> consensus_pb2.Membership:
-        """Return the newest membership in the log, or in the snapshot below it.
+        """Return the newest membership in the log, or else the one in the snapshot.
 
         Args:
-            up_to: Look only at entries up to this index.
+            up_to: Index of the last entry to consider; None for the whole log.
         """
         last = self.last_index if up_to is None else up_to
         for entry in reversed(self._changes):
--- a/packages/heronladder-consensus/src/heronladder_consensus/member_state.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/member_state.py
@@ -1,7 +1,7 @@
-"""What all parts of a member share: its durable state, its log, its role and its term.
+"""State that all components of a member share: durable state, log, role and term.
 
-Elections, replication, membership, snapshots and joining each take this, and from each other
-only what they name.
+Election, replication, membership, snapshots and joining each receive this object. They depend on
+each other only where a constructor takes another component, which avoids import cycles.
 """
 
 import asyncio
@@ -26,34 +26,35 @@
 
 
 class Role(Enum):
-    """What a member is at the moment."""
+    """Current role of a member; a candidate counts as a follower."""
 
     FOLLOWER = "follower"
     LEADER = "leader"
 
 
 class MemberState:
-    """One member's place in its group.
+    """State of one member of a group.
 
     Args:
         name: Name of this member.
-        storage: Its durable state.
-        loaded: What the storage held at the start.
-        stubs: Makes stubs to other members.
-        timing: Times and sizes.
-        environment: Time and randomness.
+        storage: Durable state of this member.
+        loaded: Contents of the storage when the process started.
+        stubs: Creates gRPC stubs by address.
+        timing: Timeouts, intervals and sizes.
+        environment: Clock and randomness.
 
     Attributes:
-        disk: Tells whether the disk takes writes.
-        failure: Why the member takes part no more; None while it does.
-        commit_index: Newest entry known to be committed.
-        applied_index: Newest entry applied.
-        leader: The leader it follows; empty while none is known.
-        last_heard_s: When it last heard of a leader, or gave a vote.
-        peer_calls: Calls to other members, with time-outs that follow their answers.
-        changed: Given when commit index, role or acknowledgements changed.
-        appended: Given when the log grew.
-        write_lock: Held while the log is changed or written, except for a leader's appends.
+        disk: Logs when the disk starts or stops refusing writes.
+        failure: Error that made the member stop participating; None while it participates.
+        commit_index: Index of the newest entry known to be committed.
+        applied_index: Index of the newest entry applied.
+        leader: Name of the leader; empty while none is known.
+        election_timer_reset_s: Monotonic time of the newest message from a leader or granted
+            vote, in seconds; elections are timed from it.
+        peer_calls: Calls to other members, with adaptive timeouts.
+        changed: Signalled when the commit index, the role or acknowledgements have changed.
+        appended: Signalled when the log has grown.
+        write_lock: Held while the log is changed or written, except while a leader appends.
     """
 
     def __init__(
@@ -90,7 +91,7 @@
         self.write_lock = asyncio.Lock()
         self._term_write: asyncio.Task[StorageError | None] | None = None
 
-    # ---- facts ------------------------------------------------------------
+    # ---- queries ----------------------------------------------------------
 
     @property
     def term(self) -> int:
@@ -99,55 +100,62 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads, as far as it knows."""
+        """Whether this member believes that it is the leader."""
         return self.role is Role.LEADER
 
     @property
     def highest_version(self) -> int:
-        """Newest cluster version that this build supports."""
+        """Highest cluster version that this build supports."""
         return 0
 
     @property
     def cluster_version(self) -> int:
-        """The cluster version in force."""
+        """Active cluster version."""
         return 0
 
     def membership(self) -> consensus_pb2.Membership:
-        """Return the membership in force: the newest in the log."""
-        found = self.log.membership()
-        return found if found.members else self.hard_state.bootstrap
+        """Return the active membership: the newest in the log, committed or not."""
+        logged = self.log.membership()
+        return logged if logged.members else self.hard_state.bootstrap
 
     def own_member(self) -> consensus_pb2.Member | None:
-        """Return this member's entry in the membership, if it has one."""
+        """Return this member's entry in the membership, or None if it is not listed."""
         return find_member(self.membership(), self.name)
 
     def may_vote(self) -> bool:
-        """Whether this member counts: its folder never lost what it had promised."""
+        """Whether this member may vote: it is a voter, and its folder lost no earlier votes."""
         member = self.own_member()
         return self.hard_state.voting_allowed and member is not None and member.voter
 
     def quorum(self) -> int:
-        """Return how many voters make a majority."""
+        """Return the number of voters that form a majority."""
         return len(voters(self.membership())) // 2 + 1
 
     def require_leader(self, step: str) -> None:
-        """Check that this member leads.
+        """Check that this member is the leader.
+
+        Args:
+            step: Name of the operation, for the error.
 
         Raises:
-            NotLeaderError: If it does not; ``peer`` is the leader if known.
+            NotLeaderError: If it is not; ``peer`` is the name of the leader, if known.
         """
         if not self.is_leader or self.failure is not None:
-            raise NotLeaderError("this member does not lead", step=step, peer=self.leader)
+            raise NotLeaderError("this member is not the leader", step=step, peer=self.leader)
 
     # ---- log and disk -----------------------------------------------------
 
     def append_as_leader(
         self, command: bytes = b"", membership: consensus_pb2.Membership | None = None
     ) -> int:
-        """Add an entry to the leader's log; it is synced and sent in the background.
+        """Append an entry to the leader's log; it is synced and replicated in the background.
+
+        Args:
+            command: Serialized command; empty for an entry without one.
+            membership: New membership, if the entry changes it.
 
         Returns:
-            Its index.
+            Index of the entry.
         """
         entry = consensus_pb2.LogEntry(
             index=self.log.last_index + 1, term=self.term, command=command
@@ -159,10 +167,10 @@
         return entry.index
 
     async def flush_locked(self) -> None:
-        """Write and sync all entries that are not; the write lock must be held.
+        """Write and sync all unsynced entries; the caller holds the write lock.
 
         Raises:
-            StorageError: If it fails; the member must stop.
+            StorageError: If the disk refuses the write; the entries stay unsynced.
         """
         entries = list(self.log.unsynced())
         if not entries:
@@ -176,7 +184,7 @@
         self.log.synced_index = entries[-1].index
 
     def set_commit_index(self, index: int) -> None:
-        """Commit all entries up to ``index``."""
+        """Advance the commit index to ``index``; a lower index has no effect."""
         if index > self.commit_index:
             self.commit_index = index
             self.changed.give()
@@ -184,12 +192,16 @@
     # ---- terms and roles --------------------------------------------------
 
     async def enter_term(self, term: int, voted_for: str = "") -> None:
-        """Move to a term and make it durable before anyone is told.
+        """Enter a term, or vote in it, and return once that is durable.
+
+        The write completes even if the caller is cancelled, so that memory and disk agree.
 
-        The write ends also when the caller goes: memory and disk agree then.
+        Args:
+            term: The term, at least the current one.
+            voted_for: Candidate that gets this member's vote; empty for no vote.
 
         Raises:
-            StorageError: If the disk refuses; the member is in its earlier term.
+            StorageError: If the disk refuses the write; the member stays in its earlier term.
         """
         await self.wait_for_term_write()
         if term == self.hard_state.term and voted_for == self.hard_state.voted_for:
@@ -202,33 +214,33 @@
             detail=f"{self.hard_state.term} to {term}",
         )
         self.step_down("newer term")
-        earlier = (self.hard_state.term, self.hard_state.voted_for)
+        previous = (self.hard_state.term, self.hard_state.voted_for)
         self.hard_state.term = term
         self.hard_state.voted_for = voted_for
-        self._term_write = self.tasks.start("enter_term", self._write_term(earlier))
+        self._term_write = self.tasks.start("enter_term", self._write_term(previous))
         error = await asyncio.shield(self._term_write)
         if error is not None:
             raise error
 
-    async def _write_term(self, earlier: tuple[int, str]) -> StorageError | None:
+    async def _write_term(self, previous: tuple[int, str]) -> StorageError | None:
         try:
             await self.save_hard_state()
         except StorageError as error:
-            # Nobody may be told of a vote that a restart would forget.
-            self.hard_state.term, self.hard_state.voted_for = earlier
+            # No peer may learn of a vote that a restart would lose.
+            self.hard_state.term, self.hard_state.voted_for = previous
             return error
         return None
 
     async def wait_for_term_write(self) -> None:
-        """Wait until no term that memory holds is still on its way to the disk."""
+        """Wait until the current term in memory is durable."""
         while self._term_write is not None and not self._term_write.done():
             await asyncio.shield(self._term_write)
 
     async def save_hard_state(self) -> None:
-        """Write the hard state.
+        """Write the hard state to disk.
 
         Raises:
-            StorageError: If the disk refuses; nothing may be said that rests on it.
+            StorageError: If the disk refuses the write; no reply may rely on the state then.
         """
         try:
             await self.storage.save_hard_state(self.hard_state)
@@ -238,7 +250,7 @@
         self.disk.record_success()
 
     def step_down(self, reason: str) -> None:
-        """Stop leading."""
+        """Become a follower, if this member is the leader."""
         if not self.is_leader:
             return
         self.role = Role.FOLLOWER
--- a/packages/heronladder-consensus/src/heronladder_consensus/membership.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/membership.py
@@ -1,4 +1,4 @@
-"""Members of the group: single changes, learners, and repair of lost folders."""
+"""Membership changes, one at a time: learners, lost data folders and replaced members."""
 
 from heronladder_schema.v1 import consensus_pb2
 
@@ -7,15 +7,15 @@
 from heronladder_consensus.members import find_member, voters, without_member
 from heronladder_consensus.replication import Replication
 
-_REPLACEMENT_SILENCE_S = 2.0  # silence of a voter whose place others have taken
+_REPLACEMENT_SILENCE_S = 2.0  # silence after which a surplus voter is removed
 
 
 class MembershipManager:
-    """Carries out changes of members, one at a time, while this member leads.
+    """Makes membership changes, one at a time, while this member leads.
 
     Args:
-        node: The member.
-        replication: What is known of peers.
+        node: State of this member.
+        replication: State of the peers.
     """
 
     def __init__(self, node: MemberState, replication: Replication) -> None:
@@ -25,7 +25,7 @@
         self._leading_since_s = 0.0
 
     def start_leading(self) -> None:
-        """Begin to tend members; changes wait for the first entry of the term."""
+        """Start the member checks; changes wait until the first entry of the term is committed."""
         self._change_index = self._node.log.last_index
         self._leading_since_s = self._node.environment.monotonic()
         self._node.tasks.start("membership", self._check_members(self._node.term))
@@ -38,7 +38,7 @@
             await node.changed.wait(node.timing.heartbeat_s)
 
     def _repair_one(self) -> None:
-        """Make the one change that is due: demote a lost folder, promote a learner."""
+        """Make at most one due change: demote a member with a new folder, promote a learner."""
         node = self._node
         for member in node.membership().members:
             incarnation = self._replication.reported_incarnation(member.name)
@@ -53,10 +53,10 @@
         self._remove_replaced()
 
     def _remove_replaced(self) -> None:
-        """Remove a silent voter once others have taken its place.
+        """Remove a silent voter while the group has more voters than its target size.
 
-        Without this, members that never return would pile up until the living
-        ones are no quorum any more. One that was only cut off asks to come back.
+        Otherwise members that never return would accumulate until the remaining ones are no
+        quorum. A removed member that was only partitioned sends join requests and is added again.
         """
         node = self._node
         size = node.timing.group_size
@@ -98,13 +98,13 @@
         """Add a learner; it votes once it has caught up.
 
         Raises:
-            MembershipChangeError: If another change is under way, or the name is taken.
-            NotLeaderError: If this member does not lead.
+            MembershipChangeError: If another change is in progress, or the name is taken.
+            NotLeaderError: If this member is not the leader, or loses leadership meanwhile.
         """
         self._require_no_change("members_add")
         if find_member(self._node.membership(), member.name) is not None:
             raise MembershipChangeError(
-                f"member {member.name} exists already", step="members_add", peer=member.name
+                f"member {member.name} already exists", step="members_add", peer=member.name
             )
         changed = consensus_pb2.Membership()
         changed.CopyFrom(self._node.membership())
@@ -115,12 +115,12 @@
         await self._commit(changed)
 
     async def remove(self, name: str) -> None:
-        """Remove a member.
+        """Remove a member from the group.
 
         Raises:
-            MembershipChangeError: If another change is under way, there is no
-                such member, or the others are too few to be sure of a quorum.
-            NotLeaderError: If this member does not lead.
+            MembershipChangeError: If another change is in progress, there is no such member, or
+                too few of the remaining voters are reachable for a quorum.
+            NotLeaderError: If this member is not the leader, or loses leadership meanwhile.
         """
         self._require_no_change("members_remove")
         current = self._node.membership()
@@ -136,7 +136,7 @@
         ]
         if len(reachable) < len(voters(changed)) // 2 + 1:
             raise MembershipChangeError(
-                "too few of the remaining members can be reached to go on without this one",
+                "too few of the remaining voters are reachable to form a quorum without it",
                 step="members_remove",
                 peer=name,
             )
@@ -146,7 +146,7 @@
         self._node.require_leader(step)
         if self._node.commit_index < self._change_index:
             raise MembershipChangeError(
-                "another change of members is under way; try again", step=step
+                "another membership change is in progress; try again", step=step
             )
 
     async def _commit(self, membership: consensus_pb2.Membership) -> None:
@@ -160,12 +160,12 @@
             await node.changed.wait()
 
     def on_membership_committed(self, entry: consensus_pb2.LogEntry) -> None:
-        """Act on a committed membership: count again, or stop leading once removed."""
+        """Act on a committed membership: allow voting again, or step down once removed."""
         node = self._node
         member = find_member(entry.membership, node.name)
         if member is None:
-            # After a restart, old memberships are committed anew: a member that
-            # came back later is not removed by them.
+            # After a restart, old membership entries are committed again. They must not remove
+            # a member that a later membership lists.
             if node.is_leader and node.own_member() is None:
                 node.step_down("removed")
             return
--- a/packages/heronladder-consensus/src/heronladder_consensus/node.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/node.py
@@ -1,4 +1,4 @@
-"""One member of a replicated log: its parts, their tasks, and the state they replicate."""
+"""One member of a replicated log: assembles its components and applies committed entries."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,20 +26,20 @@
 
 
 class ConsensusNode(MemberState, Generic[Result]):
-    """Replicates commands to a group of members and applies them in one order.
+    """Replicates commands to a group of members, which apply them in the same order.
 
     Args:
         name: Name of this member.
-        storage: Its durable state.
-        machine: The state that commands act on.
-        stubs: Makes stubs to other members.
-        initial_members: First members of a new group, this one among them;
-            empty when it joins a running group.
-        timing: Times and sizes.
-        environment: Time and randomness.
-        on_failure: Called once when the member can no longer go on.
-        me: This member's entry, when it may ask to be taken into a group.
-        contacts: gRPC addresses it may ask.
+        storage: Durable state of this member.
+        machine: State machine that the commands apply to.
+        stubs: Creates gRPC stubs by address.
+        initial_members: Initial members of a new group, including this one; empty when the member
+            joins a running group.
+        timing: Timeouts, intervals and sizes.
+        environment: Clock and randomness.
+        on_failure: Called once when the member stops participating because of an error.
+        own_member: This member's entry, if it may send join requests.
+        contacts: gRPC addresses for join requests.
     """
 
     def __init__(
@@ -79,18 +79,18 @@
 
     @property
     def highest_version(self) -> int:
-        """Newest cluster version that this build supports."""
+        """Highest cluster version that this build supports."""
         return self.machine.highest_version
 
     @property
     def cluster_version(self) -> int:
-        """The cluster version in force."""
+        """Active cluster version."""
         return self.machine.cluster_version
 
-    # ---- life -------------------------------------------------------------
+    # ---- lifecycle --------------------------------------------------------
 
     async def start(self) -> None:
-        """Give a new folder its identity and start all tasks."""
+        """Assign an identity to a new data folder, and start all tasks."""
         if not self.hard_state.incarnation:
             self.hard_state.incarnation = self.environment.new_id("member")
             await self._save_identity()
@@ -101,7 +101,7 @@
         self.tasks.start("apply", self._apply_when_committed())
 
     async def _save_identity(self) -> None:
-        """Write the identity of a new folder, as soon as the disk takes it."""
+        """Write the identity of a new data folder; retry until the disk accepts it."""
         while True:
             try:
                 await self.save_hard_state()
@@ -116,7 +116,7 @@
         self.storage.close()
 
     def fail(self, error: HeronladderError) -> None:
-        """Stop taking part: the member's state can no longer be trusted."""
+        """Stop participating, because the state of the member can no longer be trusted."""
         if self.failure is not None:
             return
         self.failure = error
@@ -127,11 +127,17 @@
     # ---- proposing and reading --------------------------------------------
 
     async def propose(self, command: bytes) -> Result:
-        """Replicate a command and return what applying it gave.
+        """Replicate a command, apply it and return its result.
+
+        Args:
+            command: Serialized command.
+
+        Returns:
+            Result of the state machine.
 
         Raises:
-            NotLeaderError: If this member does not lead; nothing was done.
-            LeadershipLostError: If it is not known whether it was committed.
+            NotLeaderError: If this member is not the leader; the command was not appended.
+            LeadershipLostError: If it is unknown whether the command was or will be committed.
         """
         self.require_leader("propose")
         index = self.append_as_leader(command)
@@ -140,10 +146,12 @@
         return await waiter
 
     async def read_barrier(self) -> None:
-        """Wait until this member is proved to lead and has applied all that is committed.
+        """Wait until a read of the local state is linearizable.
+
+        A quorum confirms that this member leads, and the entries committed by then are applied.
 
         Raises:
-            NotLeaderError: If it does not lead, or stops leading meanwhile.
+            NotLeaderError: If this member is not the leader, or loses leadership meanwhile.
         """
         self.require_leader("read_barrier")
         term = self.term
@@ -162,7 +170,7 @@
     # ---- roles ------------------------------------------------------------
 
     def become_leader(self) -> None:
-        """Lead the current term: its first entry carries the membership."""
+        """Become leader of the current term; its first entry holds the membership."""
         self.role = Role.LEADER
         self.leader = self.name
         self._term_first_index = self.append_as_leader(membership=self.membership())
@@ -172,14 +180,14 @@
         self.changed.give()
 
     async def enter_term(self, term: int, voted_for: str = "") -> None:
-        """Move to a term; one that led stands again if the newer term has no leader."""
+        """Enter a term; a former leader campaigns again if the newer term has no leader."""
         led = self.is_leader
         await super().enter_term(term, voted_for)
         if led and not self.is_leader:
             self.election.on_newer_term()
 
     def step_down(self, reason: str) -> None:
-        """Stop leading; those who wait for entries learn that their fate is unknown."""
+        """Become a follower; pending proposals fail, since their outcome is unknown."""
         super().step_down(reason)
         waiters, self._waiters = self._waiters, {}
         for waiter in waiters.values():
@@ -187,9 +195,9 @@
                 waiter.set_exception(
                     LeadershipLostError("leadership ended", step="propose", peer=self.name)
                 )
-                waiter.exception()  # its asker may be gone
+                waiter.exception()  # marks it as retrieved: the proposer may be gone
 
-    # ---- disk and state ---------------------------------------------------
+    # ---- flushing and applying --------------------------------------------
 
     async def _flush_when_appended(self) -> None:
         while True:
@@ -205,7 +213,7 @@
             self.replication.advance_commit()
 
     async def _wait_for_disk(self) -> None:
-        """Leave leading to others while this member's disk takes no writes."""
+        """Step down, so that another member can lead, and wait before the next write."""
         self.step_down("the disk refuses writes")
         await asyncio.sleep(self.timing.election_timeout_s)
 
@@ -220,18 +228,21 @@
                 self._fail_to_apply(error)
                 return
             except Exception as error:
-                # A member that cannot apply must not go on as if it had.
+                # A member that skipped an entry would diverge from the others.
                 self._fail_to_apply(HeronladderError(repr(error), step="apply", peer=self.name))
                 return
             self.changed.give()
             is_due = self.applied_index - self.log.base_index >= self.timing.snapshot_entries
             if is_due and not self._saving_snapshot:
-                # Apart: a disk that holds a snapshot up must not hold up what peers commit.
+                # In a separate task: a slow disk must not delay applying what peers commit.
                 self._saving_snapshot = True
                 self.tasks.start("snapshot", self._save_snapshot())
 
     def _fail_to_apply(self, error: HeronladderError) -> None:
-        """Stop taking part at an entry that ends each member of this build."""
+        """Log the entry that cannot be applied, and stop participating.
+
+        The same entry stops every member with this build, so its details are logged.
+        """
         entry = self.log.entry(self.applied_index)
         self.event_log.error(
             "entry_not_applied",
@@ -250,7 +261,7 @@
             if not await self.snapshots.save():
                 await asyncio.sleep(self.timing.snapshot_retry_s)
         except Exception:
-            await asyncio.sleep(self.timing.snapshot_retry_s)  # nor then at each entry
+            await asyncio.sleep(self.timing.snapshot_retry_s)  # not at each entry
             raise
         finally:
             self._saving_snapshot = False
--- a/packages/heronladder-consensus/src/heronladder_consensus/peer_calls.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/peer_calls.py
@@ -1,7 +1,7 @@
-"""Calls to other members, each with a time-out that follows the peer's answers.
+"""RPC calls to other members, each with a timeout that adapts to the peer's response times.
 
-With a fixed time-out, calls to a peer that answers a little later than that are all given up: no
-candidate gets its votes and no leader its quorum for as long as the peer is busy.
+With a fixed timeout, every call to a peer that responds slightly later than the timeout fails: no
+candidate gets its votes and no leader keeps its quorum for as long as the peer is busy.
 """
 
 from typing import Any
@@ -14,53 +14,59 @@
 
 from heronladder_consensus.timing import ConsensusTiming
 
-_TIMEOUT_FACTOR = 2.0  # of the expected time of an answer
-_DECAY_FACTOR = 0.9  # of an expectation that the newest answer was under
-_MAX_DOUBLINGS = 8  # the longest time-out ends them much sooner
+_TIMEOUT_FACTOR = 2.0  # timeout as a multiple of the expected response time
+_DECAY_FACTOR = 0.9  # weight of the old expectation when a response was faster than it
+_MAX_DOUBLINGS = 8  # bounds the counter; the longest timeout is reached much earlier
 
 
 class AdaptiveTimeout:
-    """How long answers of one peer take, and so how long to wait for the next.
+    """Timeout of calls to one peer, derived from the response times of that peer.
 
-    As TCP's retransmission time-out: longer than answers take, and twice as long after each that
-    did not come.
+    It works like TCP's retransmission timeout: longer than the expected response time, and doubled
+    for each consecutive call that timed out.
 
     Args:
-        least_s: Shortest time-out, in seconds.
-        most_s: Longest time-out, in seconds.
+        min_s: Shortest timeout, in seconds.
+        max_s: Longest timeout, in seconds.
     """
 
     def __init__(self, min_s: float, max_s: float) -> None:
         self._min_s = min_s
         self._max_s = max_s
         self._expected_s = 0.0
-        self._expired = 0  # in a row
+        self._expired = 0  # consecutive calls that timed out
 
     @property
     def timeout_s(self) -> float:
-        """How long to wait for the next answer, in seconds."""
-        patience_s = max(self._min_s, _TIMEOUT_FACTOR * self._expected_s)
-        return min(self._max_s, patience_s * 2.0**self._expired)
+        """Timeout of the next call, in seconds."""
+        base_s = max(self._min_s, _TIMEOUT_FACTOR * self._expected_s)
+        return min(self._max_s, base_s * 2.0**self._expired)
 
     def record_reply(self, took_s: float) -> None:
-        """Note an answer; one that took longer than expected counts at once."""
+        """Record the response time of a call.
+
+        A longer response time than expected takes effect at once, a shorter one gradually.
+
+        Args:
+            took_s: Response time, in seconds.
+        """
         self._expired = 0
-        fading_s = _DECAY_FACTOR * self._expected_s + (1.0 - _DECAY_FACTOR) * took_s
-        self._expected_s = max(took_s, fading_s)
+        decayed_s = _DECAY_FACTOR * self._expected_s + (1.0 - _DECAY_FACTOR) * took_s
+        self._expected_s = max(took_s, decayed_s)
 
     def record_timeout(self) -> None:
-        """Note that no answer came in time."""
+        """Record that a call timed out."""
         self._expired = min(self._expired + 1, _MAX_DOUBLINGS)
 
 
 class PeerCalls:
-    """Calls of one member to the others.
+    """RPC client of one member for calls to the other members.
 
     Args:
-        stubs: Makes stubs to them.
-        timing: Shortest and longest time-outs.
-        environment: Time, and how late this process runs.
-        log: Where calls without an answer in time are reported.
+        stubs: Creates gRPC stubs by address.
+        timing: Shortest and longest timeouts.
+        environment: Clock, and the lag of this process's event loop.
+        log: Event log for calls that time out.
     """
 
     def __init__(
@@ -75,10 +81,10 @@
     async def request_vote(
         self, peer: consensus_pb2.Member, request: consensus_pb2.VoteRequest
     ) -> consensus_pb2.VoteReply:
-        """Ask a peer for its vote.
+        """Request a vote or pre-vote from a peer.
 
         Raises:
-            RpcError, OSError, TimeoutError: No answer came.
+            RpcError, OSError, TimeoutError: The peer did not respond.
         """
         min_s = self._timing.vote_timeout_s
         reply: consensus_pb2.VoteReply = await self._call(peer, "RequestVote", request, min_s)
@@ -87,10 +93,10 @@
     async def append_entries(
         self, peer: consensus_pb2.Member, request: consensus_pb2.AppendRequest
     ) -> consensus_pb2.AppendReply:
-        """Send a peer entries, or that this member leads.
+        """Send log entries to a peer, or a heartbeat if the request holds none.
 
         Raises:
-            RpcError, OSError, TimeoutError: No answer came.
+            RpcError, OSError, TimeoutError: The peer did not respond.
         """
         min_s = self._timing.call_timeout_s
         reply: consensus_pb2.AppendReply = await self._call(peer, "AppendEntries", request, min_s)
@@ -104,25 +110,25 @@
             AdaptiveTimeout(self._timing.call_timeout_s, self._timing.max_call_timeout_s),
         )
         timeout_s = max(min_s, adaptive.timeout_s)
-        began_s = self._environment.monotonic()
-        late_before_s = self._environment.lateness.total_s()
+        started_s = self._environment.monotonic()
+        lag_before_s = self._environment.lateness.total_s()
         stub = self._stubs.consensus(peer.address)
         try:
             reply = await getattr(stub, method)(request, timeout=timeout_s)
         except RPC_ERRORS:
-            if self._environment.monotonic() - began_s >= timeout_s:
+            if self._environment.monotonic() - started_s >= timeout_s:
                 adaptive.record_timeout()
-                late_s = self._environment.lateness.total_s() - late_before_s
-                self._log_timeout(peer.name, method, timeout_s, late_s)
+                lag_s = self._environment.lateness.total_s() - lag_before_s
+                self._log_timeout(peer.name, method, timeout_s, lag_s)
             raise
-        adaptive.record_reply(self._environment.monotonic() - began_s)
+        adaptive.record_reply(self._environment.monotonic() - started_s)
         return reply
 
-    def _log_timeout(self, peer: str, method: str, timeout_s: float, late_s: float) -> None:
+    def _log_timeout(self, peer: str, method: str, timeout_s: float, lag_s: float) -> None:
         self._log.info(
             "peer_call_expired",
             step=method,
             peer=peer,
             timeout_ms=int(timeout_s * MILLISECONDS_PER_SECOND),
-            late_ms=int(late_s * MILLISECONDS_PER_SECOND),
+            late_ms=int(lag_s * MILLISECONDS_PER_SECOND),
         )
--- a/packages/heronladder-consensus/src/heronladder_consensus/replication.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/replication.py
@@ -1,4 +1,4 @@
-"""Replication: one task a peer while leading, and the followers' side."""
+"""Log replication: one task per peer on the leader, and the handling of entries on followers."""
 
 import asyncio
 from collections import deque
@@ -21,16 +21,18 @@
 
 @dataclass
 class PeerProgress:
-    """What the leader knows of one peer in this term.
+    """Replication progress of one peer in the leader's term.
 
     Attributes:
-        next_index: Entry to send next.
-        match_index: Last entry known to be synced there.
-        acknowledged_round: Newest read round whose message it answered.
-        last_answer_s: When it last answered, on the loop's clock.
-        incarnation: Identity of its data folder, as it said itself.
-        highest_version: Cluster version that its build supports, by its newest answer.
-        snapshot_due_s: When it may be sent a snapshot again, after its disk refused one.
+        next_index: Index of the next entry to send.
+        match_index: Index of the last entry known to be synced by the peer.
+        confirmed_read_round: Newest read round in which the peer acknowledged a message.
+        last_reply_s: Monotonic time of the newest reply, in seconds.
+        incarnation: Identity of the peer's data folder, from its newest reply.
+        highest_version: Highest cluster version that the peer's build supports, from its newest
+            reply to entries.
+        next_snapshot_s: Monotonic time before which no snapshot is sent, after the peer's disk
+            refused one, in seconds.
     """
 
     next_index: int
@@ -43,12 +45,12 @@
 
 
 class Replication:
-    """Sends the leader's log to its peers and takes in a leader's log.
+    """Sends the log to the peers while this member leads, and appends a leader's entries.
 
     Args:
-        node: The member.
-        election: Hears of leaders.
-        snapshots: What is sent to peers that lag behind the log, and installed from a leader.
+        node: State of this member.
+        election: Is informed of leaders and newer terms.
+        snapshots: Provides the snapshot for peers that need entries the log no longer holds.
     """
 
     def __init__(self, node: MemberState, election: Election, snapshots: SnapshotManager) -> None:
@@ -62,7 +64,7 @@
     # ---- leading ----------------------------------------------------------
 
     def start_leading(self) -> None:
-        """Start one task a peer, and the check that a quorum still answers."""
+        """Start one replication task per peer, and the check for contact with a quorum."""
         node = self._node
         self._peers = {}
         self._leading_since_s = node.environment.monotonic()
@@ -70,7 +72,7 @@
         node.tasks.start("check_quorum", self._check_quorum(node.term))
 
     def start_peer_tasks(self) -> None:
-        """Start a task for each peer that has none yet."""
+        """Start a replication task for each peer that has none yet."""
         node = self._node
         for member in node.membership().members:
             if member.name == node.name or member.name in self._peers:
@@ -79,34 +81,35 @@
             node.tasks.start(f"replicate-{member.name}", self._replicate(member.name, node.term))
 
     async def _check_quorum(self, term: int) -> None:
-        """Step down when no quorum answered for an election timeout.
+        """Step down when no quorum has replied within the quorum timeout.
 
-        Answers that came while this member was late itself may not have been read yet.
+        The timeout is extended by this member's own loop lag, since replies that arrived during
+        a stall may not have been processed yet.
         """
         node = self._node
-        patience_s = node.timing.quorum_timeout_s
-        looks: deque[tuple[float, float]] = deque()  # when, and how late it had been by then
+        timeout_s = node.timing.quorum_timeout_s
+        samples: deque[tuple[float, float]] = deque()  # time, and total loop lag until then
         while node.is_leader and node.term == term:
             await asyncio.sleep(node.timing.heartbeat_s)
             now = node.environment.monotonic()
-            looks.append((now, node.environment.lateness.total_s()))
-            while looks[0][0] < now - patience_s:
-                looks.popleft()
-            late_s = looks[-1][1] - looks[0][1]
-            oldest = now - min(patience_s + late_s, node.timing.max_quorum_timeout_s)
+            samples.append((now, node.environment.lateness.total_s()))
+            while samples[0][0] < now - timeout_s:
+                samples.popleft()
+            lag_s = samples[-1][1] - samples[0][1]
+            oldest = now - min(timeout_s + lag_s, node.timing.max_quorum_timeout_s)
             if self._leading_since_s > oldest:
                 continue
-            answered = sum(
+            replied = sum(
                 1
                 for member in voters(node.membership())
                 if member.name == node.name or self._replied_since(member.name, oldest)
             )
-            if answered < node.quorum() and node.is_leader and node.term == term:
-                node.step_down("no quorum answers")
+            if replied < node.quorum() and node.is_leader and node.term == term:
+                node.step_down("no contact with a quorum")
 
-    def _replied_since(self, name: str, moment_s: float) -> bool:
+    def _replied_since(self, name: str, since_s: float) -> bool:
         progress = self._peers.get(name)
-        return progress is not None and progress.last_reply_s >= moment_s
+        return progress is not None and progress.last_reply_s >= since_s
 
     async def _replicate(self, name: str, term: int) -> None:
         node = self._node
@@ -148,7 +151,7 @@
         sent_round = self._read_round
         reply = await node.peer_calls.append_entries(member, request)
         if reply.disk_refuses:
-            # Not an answer that counts: nothing it says would outlive a restart.
+            # Not counted as a reply: the peer's state would not survive its restart.
             await asyncio.sleep(node.timing.heartbeat_s)
             return
         if not await self._accept_reply(progress, reply.term, reply.incarnation, term):
@@ -164,9 +167,9 @@
         node.changed.give()
 
     async def _send_heartbeat(self, member: consensus_pb2.Member, term: int) -> None:
-        """Tell a peer whose disk refuses the snapshot that this member still leads.
+        """Send a heartbeat to a peer whose disk refuses the snapshot.
 
-        The answer does not count: nothing that the peer lacks would outlive a restart.
+        The reply does not count towards a quorum: the peer cannot store the entries it lacks.
         """
         node = self._node
         request = consensus_pb2.AppendRequest(
@@ -185,7 +188,17 @@
     async def _accept_reply(
         self, progress: PeerProgress, reply_term: int, incarnation: str, term: int
     ) -> bool:
-        """Note that a peer answered; return False when this leadership is over."""
+        """Record a peer's reply, and enter a newer term if the reply holds one.
+
+        Args:
+            progress: Progress of the peer.
+            reply_term: Term of the reply.
+            incarnation: Identity of the peer's data folder.
+            term: Term in which the request was sent.
+
+        Returns:
+            Whether this member still leads in ``term``.
+        """
         node = self._node
         if reply_term > node.term:
             await self._election.observe_leader(reply_term, "")
@@ -193,8 +206,7 @@
         if not node.is_leader or node.term != term:
             return False
         if progress.incarnation not in ("", incarnation):
-            # Another data folder under the same name: what the old one had
-            # acknowledged is lost.
+            # The peer has a new data folder: the entries acknowledged by the old one are lost.
             progress.match_index = 0
             progress.next_index = node.log.last_index
         progress.incarnation = incarnation
@@ -226,7 +238,7 @@
                 chunk, timeout=timeout_s
             )
             if reply.disk_refuses:
-                # No answer that counts, and not the whole snapshot again at each heartbeat.
+                # Not counted as a reply, and the snapshot is not resent at each heartbeat.
                 now_s = node.environment.monotonic()
                 progress.next_snapshot_s = now_s + node.timing.snapshot_retry_s
                 return
@@ -239,7 +251,7 @@
         progress.next_index = snapshot.meta.index + 1
 
     def advance_commit(self) -> None:
-        """Commit what a quorum of voters has synced, if it is of this term."""
+        """Commit the newest entry that enough voters have synced, if it is of the current term."""
         node = self._node
         if not node.is_leader:
             return
@@ -249,35 +261,36 @@
                 matches.append(node.log.synced_index)
                 continue
             progress = self._peers.get(member.name)
-            counts = progress is not None and progress.incarnation == member.incarnation
-            matches.append(progress.match_index if progress is not None and counts else 0)
+            valid = progress is not None and progress.incarnation == member.incarnation
+            matches.append(progress.match_index if progress is not None and valid else 0)
         matches.sort(reverse=True)
         copies = max(node.quorum(), self._min_copies(len(matches)))
         index = matches[copies - 1]
         if index > node.commit_index and node.log.term_at(index) == node.term:
-            # Followers learn with the next entries or heartbeat: all reads and
-            # watches are served by the leader.
+            # Followers receive the commit index with the next entries or heartbeat. That is soon
+            # enough, since the leader serves all reads and watches.
             node.set_commit_index(index)
 
-    def _min_copies(self, voting: int) -> int:
-        """Return how many synced copies an entry needs besides a quorum.
+    def _min_copies(self, voter_count: int) -> int:
+        """Return how many synced copies an entry needs, in addition to the quorum rule.
 
-        A group that is still growing commits nothing but members, so that what
-        is acknowledged outlives the losses that are to be borne.
+        A quorum of a group that is still growing can be smaller than the number of losses to
+        tolerate. The minimum ensures that acknowledged entries survive these losses; a group with
+        fewer voters than the minimum commits nothing but membership changes.
         """
         node = self._node
-        return min(voting, node.timing.losses + 1)
+        return min(voter_count, node.timing.losses + 1)
 
-    # ---- facts about peers ------------------------------------------------
+    # ---- state of peers ---------------------------------------------------
 
     def begin_read_round(self) -> int:
-        """Begin a read round: peers are asked anew, whatever they answered before."""
+        """Begin a read round, which only replies to messages sent from now on confirm."""
         self._read_round += 1
         self._node.appended.give()
         return self._read_round
 
     def read_round_confirmed(self, read_round: int) -> bool:
-        """Whether a quorum has answered a message sent since the round began."""
+        """Whether a quorum has acknowledged messages sent since the read round began."""
         node = self._node
         confirmed = 0
         for member in voters(node.membership()):
@@ -291,36 +304,36 @@
         return confirmed >= node.quorum()
 
     def reported_incarnation(self, name: str) -> str:
-        """Return the identity of a peer's data folder, or "" while it is unknown."""
+        """Return the identity of a peer's data folder as reported by the peer, or "" if unknown."""
         progress = self._peers.get(name)
         return progress.incarnation if progress is not None else ""
 
     def match_index(self, name: str) -> int:
-        """Return the last entry a peer has acknowledged."""
+        """Return the index of the last entry a peer has acknowledged, or 0."""
         progress = self._peers.get(name)
         return progress.match_index if progress is not None else 0
 
     def caught_up(self, name: str) -> bool:
-        """Whether a peer holds all that is committed but for a few newest entries."""
+        """Whether a peer holds all but at most ``_CAUGHT_UP_ENTRIES`` committed entries."""
         return self.match_index(name) + _CAUGHT_UP_ENTRIES >= self._node.commit_index and (
             self.match_index(name) > 0
         )
 
     def last_reply_s(self, name: str) -> float:
-        """Return when a peer last answered; the start of leading when it never did."""
+        """Return the time of a peer's last reply in seconds, at least the start of leadership."""
         progress = self._peers.get(name)
-        answered = progress.last_reply_s if progress is not None else float("-inf")
-        return max(answered, self._leading_since_s)
+        replied_s = progress.last_reply_s if progress is not None else float("-inf")
+        return max(replied_s, self._leading_since_s)
 
     def highest_version(self, name: str) -> int | None:
-        """Return the cluster version that a peer's build supports; None if it does not answer."""
+        """Return the highest cluster version of a peer's build, or None if it is unreachable."""
         progress = self._peers.get(name)
         if progress is None or not self.reachable(name):
             return None
         return progress.highest_version
 
     def reachable(self, name: str) -> bool:
-        """Whether a peer answered within an election timeout."""
+        """Whether a peer has replied within the last election timeout."""
         node = self._node
         oldest = node.environment.monotonic() - node.timing.election_timeout_s
         return self._replied_since(name, oldest)
@@ -330,7 +343,7 @@
     async def handle_append(
         self, request: consensus_pb2.AppendRequest
     ) -> consensus_pb2.AppendReply:
-        """Take in entries from the leader; they are synced when this returns."""
+        """Handle entries from the leader; accepted entries are synced when this returns."""
         node = self._node
         reply = consensus_pb2.AppendReply(
             incarnation=node.hard_state.incarnation, highest_version=node.highest_version
@@ -361,11 +374,11 @@
         for entry in request.entries:
             if entry.index <= log.base_index:
                 continue
-            known = log.term_at(entry.index)
-            if known is not None and known != entry.term:
+            local_term = log.term_at(entry.index)
+            if local_term is not None and local_term != entry.term:
                 log.truncate_from(entry.index, node.commit_index)
-                known = None
-            if known is None:
+                local_term = None
+            if local_term is None:
                 log.append(entry)
         await node.flush_locked()
         reply.success = True
--- a/packages/heronladder-consensus/src/heronladder_consensus/service.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/service.py
@@ -1,4 +1,4 @@
-"""The Consensus service of one member, as other members call it."""
+"""gRPC service through which other members call this member."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -13,7 +13,7 @@
 
 
 class ConsensusService(ConsensusServicer):
-    """Passes calls of other members to the node.
+    """Dispatches RPCs from other members to the node.
 
     Args:
         node: The member.
@@ -23,10 +23,10 @@
         self._node = node
 
     async def _run_to_completion(self, step: str, work: Coroutine[Any, Any, _Reply]) -> _Reply:
-        """Answer to the end, also when the caller's deadline passes.
+        """Run a handler to completion, even when the caller's deadline expires.
 
-        gRPC cancels a handler then. In mid-write that let go of the write lock, and left
-        memory without what was on the disk.
+        gRPC cancels a handler when the deadline expires. A cancellation in the middle of a write
+        would release the write lock and leave the state in memory behind the state on disk.
         """
         return await asyncio.shield(self._node.tasks.start(step, work))
 
--- a/packages/heronladder-consensus/src/heronladder_consensus/snapshot_receiver.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/snapshot_receiver.py
@@ -1,4 +1,4 @@
-"""Takes in a leader's snapshot, part by part."""
+"""Receives a leader's snapshot in chunks and installs it."""
 
 from heronladder_runtime.errors import StorageError
 from heronladder_schema.v1 import consensus_pb2
@@ -10,12 +10,12 @@
 
 
 class SnapshotReceiver:
-    """A follower's side of the sending of snapshots.
+    """Follower side of the snapshot transfer.
 
     Args:
-        node: The member.
-        election: Hears of leaders.
-        snapshots: Installs what came whole.
+        node: State of this member.
+        election: Is informed of leaders.
+        snapshots: Installs complete snapshots.
     """
 
     def __init__(self, node: MemberState, election: Election, snapshots: SnapshotManager) -> None:
@@ -25,14 +25,14 @@
         self._incoming = bytearray()
 
     async def handle(self, chunk: consensus_pb2.SnapshotChunk) -> consensus_pb2.SnapshotReply:
-        """Take in a part of the leader's snapshot; install it with the last part."""
+        """Handle a chunk of the leader's snapshot, and install the snapshot after the last one."""
         node = self._node
         reply = consensus_pb2.SnapshotReply(incarnation=node.hard_state.incarnation)
         try:
             if await self._election.observe_leader(chunk.term, chunk.leader):
                 await self._receive_chunk(chunk, reply)
         except StorageError:
-            reply.disk_refuses = True  # its term: the disk's watch told of it
+            reply.disk_refuses = True  # it refused the new term; the disk monitor has logged it
         reply.term = node.term
         return reply
 
--- a/packages/heronladder-consensus/src/heronladder_consensus/snapshots.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of one member: its own, and those that a leader sends."""
+"""Snapshots of one member: those it makes, and those it receives from a leader."""
 
 import zlib
 from typing import Any
@@ -15,9 +15,12 @@
     """Saves and installs snapshots, each with the member's write lock held.
 
     Args:
-        node: The member.
-        machine: The state that is saved and restored.
-        newest: The snapshot that its folder held at the start.
+        node: State of this member.
+        machine: State machine that is saved and restored.
+        newest: Snapshot in the data folder when the process started, if there was one.
+
+    Attributes:
+        newest: The newest snapshot, if there is one.
     """
 
     def __init__(
@@ -28,10 +31,12 @@
         self.newest = newest
 
     async def save(self) -> bool:
-        """Save the state as it is, and drop what lies well behind it in the log.
+        """Save a snapshot of the current state, and compact the log.
+
+        The newest entries before the snapshot stay in memory for members that lag a little.
 
         Returns:
-            Whether the disk took it.
+            Whether the snapshot was written to disk.
         """
         async with self._node.write_lock:
             return await self._save_locked()
@@ -46,7 +51,7 @@
             node.event_log.warning(
                 "snapshot_not_saved", step=error.step, peer=error.peer, error=error.message
             )
-            return False  # the log goes on
+            return False  # the log is not compacted and stays complete
         self._log_refused_removals(refusals)
         self.newest = snapshot
         kept_from = max(node.log.base_index, index - node.timing.trailing_entries)
@@ -63,7 +68,7 @@
         return True
 
     def _log_refused_removals(self, refusals: list[StorageError]) -> None:
-        """Tell of files that are left for the next snapshot to remove."""
+        """Log the files that could not be removed; the next snapshot tries again."""
         if not refusals:
             return
         error = refusals[0]
@@ -82,10 +87,12 @@
         )
 
     async def install(self, snapshot: StoredSnapshot) -> None:
-        """Replace log and state by a leader's snapshot, if it is newer than what is committed here.
+        """Replace log and state by a leader's snapshot.
+
+        A snapshot that is not newer than the local commit index is ignored.
 
         Raises:
-            StorageError: If the disk refuses it; nothing has changed then.
+            StorageError: If the snapshot cannot be written; log and state are unchanged then.
         """
         async with self._node.write_lock:
             if snapshot.meta.index <= self._node.commit_index:
--- a/packages/heronladder-consensus/src/heronladder_consensus/state_machine.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/state_machine.py
@@ -1,4 +1,4 @@
-"""What the replicated log drives."""
+"""Interface of the state machine that the replicated log drives."""
 
 from abc import ABC, abstractmethod
 from typing import Generic, TypeVar
@@ -7,43 +7,47 @@
 
 
 class StateMachine(ABC, Generic[Result]):
-    """A state that depends on nothing but the commands applied, in their order.
+    """Deterministic state machine: its state depends only on the sequence of applied commands.
 
     Attributes:
-        highest_version: Newest cluster version that this build can apply.
+        highest_version: Highest cluster version whose commands this build can apply.
     """
 
     highest_version = 0
 
     @property
     def cluster_version(self) -> int:
-        """The cluster version in force, by the commands applied."""
+        """Active cluster version, as set by the applied commands."""
         return 0
 
     @abstractmethod
     def apply(self, index: int, command: bytes) -> Result:
-        """Carry out a committed command.
+        """Apply a committed command.
 
         Args:
-            index: Its place in the log.
-            command: Its serialised form.
+            index: Index of the entry in the log.
+            command: Serialized command.
 
         Returns:
-            What the proposer is told.
+            Result for the proposer.
         """
 
     def describe(self, command: bytes) -> str:
-        """Return what kind of command it is, for logs; it may be one that can't be read."""
+        """Return the kind of a command, for logs; the command may be malformed."""
         return f"{len(command)} bytes"
 
     @abstractmethod
     def snapshot(self) -> bytes:
-        """Return the whole state in serialised form."""
+        """Return the whole state in serialized form."""
 
     def digests(self) -> dict[str, str]:
-        """Return a digest of each part of the state that members compare in their logs."""
+        """Return digests of parts of the state by name, logged to compare members."""
         return {}
 
     @abstractmethod
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot's."""
+        """Replace the whole state by that of a snapshot.
+
+        Args:
+            data: Serialized state, as ``snapshot`` returns it.
+        """
--- a/packages/heronladder-consensus/src/heronladder_consensus/storage.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/storage.py
@@ -1,10 +1,10 @@
 """Durable state of one member: hard state, log segments and the newest snapshot.
 
-Files of the data folder:
-    hard-state: one record, a HardState.
-    segment-NNN: records, each a LogBatch, in the order they were synced. A
+Files in the data folder:
+    hard-state: One record, a HardState message.
+    segment-NNN: Records, each a LogBatch message, in the order in which they were synced. A
         batch replaces all entries from its first index on.
-    snapshot-INDEX: two records, a SnapshotMeta and the state's bytes.
+    snapshot-INDEX: Two records, a SnapshotMeta message and the serialized state.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 @dataclass
 class StoredSnapshot:
-    """A snapshot of the state machine and the place in the log it stands for."""
+    """A snapshot of the state machine, with the index and term of the last entry it covers."""
 
     meta: consensus_pb2.SnapshotMeta
     data: bytes
@@ -33,7 +33,14 @@
 
 @dataclass
 class LoadedState:
-    """What a data folder held at the start."""
+    """Contents of a data folder when the process starts.
+
+    Attributes:
+        hard_state: Term, vote and identity; empty in a folder that was never used.
+        snapshot: The newest snapshot, if there is one.
+        entries: Log entries after the snapshot.
+        dropped_bytes: Size of a torn write that was removed from the end of the log.
+    """
 
     hard_state: consensus_pb2.HardState
     snapshot: StoredSnapshot | None = None
@@ -42,7 +49,7 @@
 
     @property
     def is_unused(self) -> bool:
-        """Whether the folder had never been used."""
+        """Whether the folder has never been used."""
         return not self.hard_state.incarnation
 
 
@@ -61,7 +68,7 @@
     """Reads and writes the files of one member.
 
     Args:
-        disk: The data folder.
+        disk: File access to the data folder.
     """
 
     def __init__(self, disk: Disk) -> None:
@@ -70,10 +77,10 @@
         self._last_segment_number = 0
         self._hard_state_lock = asyncio.Lock()
 
-    # ---- start ------------------------------------------------------------
+    # ---- loading ----------------------------------------------------------
 
     def load(self) -> LoadedState:
-        """Read all that was synced.
+        """Read everything that was synced.
 
         Raises:
             CorruptFileError: If synced bytes are damaged.
@@ -101,7 +108,11 @@
         name = snapshots[-1]
         payloads = scan_records(self._disk.read(name), name, last_file=False).payloads
         if len(payloads) != _SNAPSHOT_RECORDS:
-            raise CorruptFileError(f"file {name} is cut short", step="load", peer=f"{name}:0")
+            raise CorruptFileError(
+                f"snapshot {name} is truncated: {len(payloads)} of {_SNAPSHOT_RECORDS} records",
+                step="load",
+                peer=f"{name}:0",
+            )
         meta = consensus_pb2.SnapshotMeta.FromString(payloads[0])
         return StoredSnapshot(meta, payloads[1])
 
@@ -132,23 +143,24 @@
                     peer=segment_names[0],
                 )
             if by_index[index].term < meta.term:
-                break  # of a log that the snapshot replaced, and the disk kept
+                break  # a segment of a log that the snapshot replaced; its removal had failed
             state.entries.append(by_index[index])
 
     # ---- writing ----------------------------------------------------------
 
     async def save_hard_state(self, hard_state: consensus_pb2.HardState) -> None:
-        """Write term, vote and identity; they last when this returns.
+        """Write term, vote and identity; they are durable when this returns.
 
-        One write at a time: of two at once, each by a thread of its own, the earlier
-        could end last and take a vote back, or find its file renamed away.
+        Writes are serialized. Each write runs in its own thread: of two concurrent writes the
+        earlier one could finish last and undo a vote, or fail because the other has already
+        renamed its temporary file.
         """
         async with self._hard_state_lock:
             data = frame_record(hard_state.SerializeToString())
             await self._disk.replace(_HARD_STATE_FILE, data)
 
     async def append(self, entries: list[consensus_pb2.LogEntry]) -> None:
-        """Write and sync a batch of entries; they last when this returns."""
+        """Write and sync a batch of entries; they are durable when this returns."""
         segment = self._current_segment()
         batch = consensus_pb2.LogBatch(entries=entries)
         record = frame_record(batch.SerializeToString())
@@ -167,21 +179,21 @@
     async def save_snapshot(
         self, snapshot: StoredSnapshot, *, drop_log: bool
     ) -> list[StorageError]:
-        """Write a snapshot, then drop older snapshots and the segments it covers.
+        """Write a snapshot, then remove older snapshots and the segments it covers.
 
-        The snapshot holds once it is written. A file whose removal the disk refuses
-        costs room only, and is tried again with the next snapshot.
+        The snapshot is valid once it is written. A file that cannot be removed only takes up
+        space; its removal is tried again with the next snapshot.
 
         Args:
-            snapshot: The snapshot to keep from now on.
-            drop_log: Whether all log segments are dropped: the snapshot came
-                from the leader and the log does not go on from it.
+            snapshot: The new newest snapshot.
+            drop_log: Whether to remove all log segments, because the snapshot came from the
+                leader and the local log does not continue from it.
 
         Returns:
-            Removals that the disk refused.
+            Errors of the removals that failed.
 
         Raises:
-            StorageError: If the disk refuses the snapshot; nothing has changed then.
+            StorageError: If the snapshot cannot be written; the stored state is unchanged then.
         """
         name = _numbered_name(_SNAPSHOT_PREFIX, snapshot.meta.index)
         records = frame_record(snapshot.meta.SerializeToString()) + frame_record(snapshot.data)
@@ -199,14 +211,17 @@
             refusals.append(error)
         return refusals
 
-    async def _drop_segments(self, covered: int, *, drop_log: bool) -> None:
-        """Remove segments, and forget each as soon as it is gone.
+    async def _drop_segments(self, covered_index: int, *, drop_log: bool) -> None:
+        """Remove segments that a snapshot covers, and stop tracking each once it is removed.
 
-        All of a log are removed from its end: one without its middle cannot be loaded.
+        When all segments are dropped, they are removed from the newest to the oldest: if a removal
+        fails, the rest must have no gap, since a log with a gap cannot be loaded.
         """
         dropped = list(reversed(self._segments))
         if not drop_log:
-            dropped = [one for one in self._segments[:-1] if one.last_index <= covered]
+            dropped = [
+                segment for segment in self._segments[:-1] if segment.last_index <= covered_index
+            ]
         for segment in dropped:
             await self._disk.delete(segment.name)
             self._segments.remove(segment)
--- a/packages/heronladder-consensus/src/heronladder_consensus/timing.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/timing.py
@@ -1,18 +1,18 @@
-"""Times and sizes that steer a member."""
+"""Timeouts, intervals and sizes of a consensus member."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class ConsensusTiming:
-    """Times in seconds, sizes in entries.
+    """Timing parameters of a member; other times derive from the election timeout.
 
     Attributes:
-        election_timeout_s: Silence after which a member stands for election.
-        snapshot_entries: Applied entries between two snapshots.
-        losses: Members with their disks that may be lost at once. An entry is
-            committed once one copy more than that is synced, and the group is
-            kept at twice as many members and one.
+        election_timeout_s: Silence of the leader after which members start elections, in seconds.
+        snapshot_entries: Number of applied entries between two snapshots.
+        losses: Number of members that may be lost at once together with their disks. An entry is
+            committed once at least ``losses + 1`` copies are synced, and the group is kept at
+            ``2 * losses + 1`` voters.
     """
 
     election_timeout_s: float = 1.0
@@ -21,49 +21,49 @@
 
     @property
     def group_size(self) -> int:
-        """Voters that bear the losses; 0 when no number of losses is set."""
+        """Number of voters needed to tolerate the losses; 0 if ``losses`` is not set."""
         return 2 * self.losses + 1 if self.losses else 0
 
     @property
     def quorum_timeout_s(self) -> float:
-        """Time without answers from a quorum after which a leader steps down."""
+        """Time without replies from a quorum after which a leader steps down, in seconds."""
         return self.election_timeout_s * 3 / 2
 
     @property
     def max_quorum_timeout_s(self) -> float:
-        """The same for a leader that was late itself.
+        """Upper bound of the quorum timeout for a leader whose event loop stalled, in seconds.
 
-        Short of two election timeouts after another may be elected: for so long a new leader
-        takes an earlier one to go on.
+        It ends less than two election timeouts after another leader may be elected: for that
+        long, a new leader assumes that an earlier one may still act.
         """
         return self.election_timeout_s * 9 / 4
 
     @property
     def heartbeat_s(self) -> float:
-        """Time between a leader's messages to each peer when nothing happens."""
+        """Interval between a leader's messages to each peer without new entries, in seconds."""
         return self.election_timeout_s / 5
 
     @property
     def call_timeout_s(self) -> float:
-        """Least time a peer has for an answer: one lost call must not cost leadership."""
+        """Shortest timeout of a call in seconds; one lost call must not end the leadership."""
         return self.election_timeout_s * 2 / 5
 
     @property
     def vote_timeout_s(self) -> float:
-        """Time a peer has for its vote, while no other peer has refused one."""
+        """Shortest timeout of a vote request, in seconds."""
         return self.election_timeout_s * 3 / 2
 
     @property
     def max_call_timeout_s(self) -> float:
-        """Most time a peer has for an answer, however late its answers come."""
+        """Longest timeout of a call to a slow peer, in seconds."""
         return self.election_timeout_s * 2
 
     @property
     def snapshot_retry_s(self) -> float:
-        """Time after a snapshot that a disk refused, here or at a peer, before the next."""
+        """Wait before the next snapshot after a disk refused one, here or at a peer, in seconds."""
         return self.election_timeout_s * 2
 
     @property
     def trailing_entries(self) -> int:
-        """Entries kept behind a snapshot for members that lag a little."""
+        """Number of entries kept in memory before a snapshot, for members that lag a little."""
         return self.snapshot_entries // 4
