--- a/packages/heronladder-consensus/src/heronladder_consensus/storage.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/storage.py
@@ -219,9 +219,7 @@
         """
         dropped = list(reversed(self._segments))
         if not drop_log:
-            dropped = [
-                segment for segment in self._segments[:-1] if segment.last_index <= covered_index
-            ]
+            dropped = [old for old in self._segments[:-1] if old.last_index <= covered_index]
         for segment in dropped:
             await self._disk.delete(segment.name)
             self._segments.remove(segment)
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""What several tests need: virtual time, and small groups of control members."""
+"""Shared test support: virtual time, and small groups of consensus members."""
 
 import asyncio
 import random
@@ -22,7 +22,7 @@
 
 
 def run_virtual(work: Coroutine[Any, Any, Result]) -> Result:
-    """Run a coroutine in virtual time."""
+    """Run a coroutine on an event loop with virtual time, and return its result."""
     loop = async_solipsism.EventLoop()
     try:
         return loop.run_until_complete(work)
@@ -31,7 +31,7 @@
 
 
 class AppendingMachine(StateMachine[int]):
-    """Keeps all commands; applying one returns how many there are."""
+    """State machine that keeps all commands; applying one returns their number."""
 
     def __init__(self) -> None:
         self.commands: list[bytes] = []
@@ -48,7 +48,13 @@
 
 
 class Group:
-    """Members of a replicated log on a network in memory."""
+    """Members of a replicated log on an in-memory network.
+
+    Args:
+        size: Number of initial members.
+        seed: Seed of all random values.
+        snapshot_entries: Number of applied entries between two snapshots.
+    """
 
     def __init__(self, size: int = 3, seed: int = 1, snapshot_entries: int = 1000) -> None:
         self.random = random.Random(seed)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""The replicated log under crashes, cuts, lost disks and changes of members."""
+"""Replicated log under crashes, network partitions, lost disks and membership changes."""
 
 import asyncio
 import unittest
@@ -31,7 +31,7 @@
 
         run_virtual(scenario())
 
-    def test_no_accepted_command_is_lost_over_crashes_of_all_members(self) -> None:
+    def test_no_committed_command_is_lost_when_members_crash(self) -> None:
         async def scenario(seed: int) -> None:
             group = Group(seed=seed, snapshot_entries=20)
             accepted: list[bytes] = []
@@ -61,7 +61,7 @@
         for seed in range(5):
             run_virtual(scenario(seed))
 
-    def test_a_leader_cut_off_in_silence_neither_accepts_nor_answers_reads(self) -> None:
+    def test_a_partitioned_leader_neither_commits_nor_serves_reads(self) -> None:
         async def scenario() -> None:
             group = Group()
             old = await group.start_all()
@@ -84,7 +84,7 @@
 
         run_virtual(scenario())
 
-    def test_a_member_cut_off_does_not_disturb_the_leader_when_it_returns(self) -> None:
+    def test_a_partitioned_member_does_not_disturb_the_leader_on_return(self) -> None:
         async def scenario() -> None:
             group = Group()
             leader = await group.start_all()
@@ -100,8 +100,12 @@
 
         run_virtual(scenario())
 
-    def test_a_leader_whose_term_was_overtaken_in_vain_leads_again_at_once(self) -> None:
-        """A candidate that stood as another won left the group without a leader for 2.4 s."""
+    def test_a_leader_deposed_by_a_failed_candidate_is_reelected_at_once(self) -> None:
+        """Guards against a group without a leader after a failed candidate.
+
+        A candidate of a newer term deposed the elected leader but did not win itself. The group had
+        no leader for 2.4 s.
+        """
 
         async def scenario(seed: int) -> None:
             group = Group(size=5, seed=seed)
@@ -109,7 +113,7 @@
             await leader.propose(b"before")
             await asyncio.sleep(1.0)
             late = next(node for name, node in group.nodes.items() if name != leader.name)
-            await late.enter_term(late.term + 1, voted_for=late.name)  # it stood, and lost
+            await late.enter_term(late.term + 1, voted_for=late.name)  # it campaigned, and lost
             async with asyncio.timeout(0.5):
                 while leader.term < late.term:
                     await asyncio.sleep(0.01)
@@ -129,7 +133,7 @@
         for seed in range(5):
             run_virtual(scenario(seed))
 
-    def test_a_leader_that_gave_its_vote_away_does_not_stand_against_it(self) -> None:
+    def test_a_deposed_leader_does_not_campaign_against_whom_it_voted_for(self) -> None:
         async def scenario() -> None:
             group = Group()
             leader = await group.start_all()
@@ -161,7 +165,7 @@
 
         run_virtual(scenario())
 
-    def test_a_failed_sync_ends_leading_and_costs_nothing_accepted(self) -> None:
+    def test_a_failed_sync_ends_leadership_and_loses_no_committed_command(self) -> None:
         async def scenario() -> None:
             group = Group()
             leader = await group.start_all()
@@ -208,7 +212,7 @@
 
 
 class RepairTest(unittest.TestCase):
-    def test_a_second_member_lost_after_a_repair_costs_nothing_accepted(self) -> None:
+    def test_a_second_lost_member_after_a_repair_loses_no_committed_command(self) -> None:
         async def scenario() -> None:
             group = Group()
             leader = await group.start_all()
@@ -230,7 +234,11 @@
         run_virtual(scenario())
 
     async def _lose_the_only_two_holders(self) -> bool:
-        """Wipe one holder of an accepted entry and stop the other; return if it is lost."""
+        """Wipe one of two holders of a committed entry and stop the other.
+
+        Returns:
+            Whether a leader without the entry was elected.
+        """
         group = Group()
         leader = await group.start_all()
         lagging, wiped = [name for name in group.names if name != leader.name]
@@ -243,7 +251,7 @@
         group.heal(cuts)
         await group.start(wiped)
         lost = False
-        for _ in range(200):  # at no moment in 20 s may one lead without the entry
+        for _ in range(200):  # for 20 s, no member may lead without the entry
             await asyncio.sleep(0.1)
             leading = [name for name in (lagging, wiped) if group.nodes[name].is_leader]
             lost = lost or any(
@@ -261,7 +269,7 @@
     def test_a_member_that_lost_its_disk_does_not_vote_before_it_caught_up(self) -> None:
         self.assertFalse(run_virtual(self._lose_the_only_two_holders()))
 
-    def test_without_that_rule_an_accepted_entry_would_be_lost(self) -> None:
+    def test_detects_a_lost_entry_without_the_voting_rule(self) -> None:
         vote = mock.patch.object(ConsensusNode, "may_vote", lambda self: True)
         count = mock.patch.object(
             Election, "_is_valid_vote", lambda self, member, reply: reply.granted
--- a/tests/test_disk_troubles.py
+++ b/tests/test_disk_troubles.py
@@ -1,4 +1,4 @@
-"""A member whose disk refuses, holds up or half takes what it is to write."""
+"""A member whose disk refuses, delays or only partly completes writes."""
 
 import asyncio
 import errno
@@ -36,8 +36,8 @@
     def _sizes(self) -> dict[str, int]:
         return {path.name: path.stat().st_size for path in self.folder.iterdir()}
 
-    async def test_a_whole_file_that_does_not_fit_leaves_nothing_behind(self) -> None:
-        """Its half would take the room that the log still has."""
+    async def test_a_file_that_does_not_fit_leaves_no_partial_file(self) -> None:
+        """Guards against a partial file that uses up the space left for the log."""
         await self.storage.append(_entries(1, 3))
         before = self._sizes()
         refusal = mock.patch("heronladder_runtime.disk.os.fsync", side_effect=_FULL)
@@ -51,22 +51,22 @@
         await self.storage.append(_entries(1, 3))
         self.storage.close()
         segment = next(self.folder.iterdir())
-        whole = segment.read_bytes()
-        segment.write_bytes(whole + b"\x07\x00half a record")
+        intact = segment.read_bytes()
+        segment.write_bytes(intact + b"\x07\x00half a record")
         disk = FolderDisk(self.folder)
         storage = LogStorage(disk)
         refusal = mock.patch("heronladder_runtime.disk.os.fsync", side_effect=_FULL)
-        cut = mock.patch("heronladder_runtime.disk.os.ftruncate", side_effect=_FULL)
-        with refusal, cut:
+        truncation = mock.patch("heronladder_runtime.disk.os.ftruncate", side_effect=_FULL)
+        with refusal, truncation:
             self.assertEqual(len(storage.load().entries), 3)
             with self.assertRaises(StorageError):
                 await storage.append(_entries(4, 4))
-        self.assertEqual(segment.read_bytes()[: len(whole)], whole)
-        await storage.append(_entries(4, 4))  # there is room again
+        self.assertEqual(segment.read_bytes()[: len(intact)], intact)
+        await storage.append(_entries(4, 4))  # there is space again
         loaded = LogStorage(FolderDisk(self.folder)).load()
         self.assertEqual((len(loaded.entries), loaded.dropped_bytes), (4, 0))
 
-    async def test_half_a_record_is_gone_before_the_next_one(self) -> None:
+    async def test_a_partial_record_is_removed_before_the_next_write(self) -> None:
         await self.storage.append(_entries(1, 2))
         refusal = mock.patch("heronladder_runtime.disk.os.fdatasync", side_effect=_FULL)
         with refusal, self.assertRaises(StorageError):
@@ -75,15 +75,17 @@
         loaded = LogStorage(FolderDisk(self.folder)).load()
         self.assertEqual((len(loaded.entries), loaded.dropped_bytes), (4, 0))
 
-    async def test_a_removal_that_is_refused_is_an_error_of_storage(self) -> None:
+    async def test_a_refused_removal_raises_a_storage_error(self) -> None:
         await self.storage.append(_entries(1, 2))
         refused = mock.patch.object(Path, "unlink", side_effect=_FULL)
         with refused, self.assertRaises(StorageError):
             await self.disk.delete(next(self.folder.iterdir()).name)
 
-    async def test_a_snapshot_holds_whatever_removal_the_disk_refuses_after_it(self) -> None:
-        """The member took it for not saved; files that were gone were still written to, and a
-        log without its middle kept the member from starting."""
+    async def test_a_snapshot_is_valid_whichever_removal_fails_after_it(self) -> None:
+        """Guards against a failed removal that is taken for a failed snapshot.
+
+        The member went on writing to removed files, and a log with a gap prevented its restart.
+        """
         for refused in range(4):
             for drop_log in (False, True):
                 with self.subTest(refused=refused, drop_log=drop_log):
@@ -108,7 +110,7 @@
 
             with mock.patch.object(Path, "unlink", refuse_one):
                 await storage.save_snapshot(StoredSnapshot(meta, b"s"), drop_log=drop_log)
-            if drop_log:  # nothing of the log that the snapshot replaced may come back
+            if drop_log:  # no entry of the replaced log may be loaded
                 self.assertEqual(LogStorage(FolderDisk(Path(folder))).load().entries, [])
             entry = consensus_pb2.LogEntry(index=3, term=meta.term, command=b"new")
             await storage.append([entry])
@@ -118,12 +120,12 @@
             self.assertEqual(loaded.snapshot.meta.index, 2)
             self.assertEqual(loaded.entries, [entry])
 
-    async def test_a_torn_file_that_cannot_be_removed_is_still_cut_before_it_is_used(self) -> None:
+    async def test_a_torn_file_that_cannot_be_removed_is_truncated_before_reuse(self) -> None:
         await self.storage.append(_entries(1, 2))
         name = next(self.folder.iterdir()).name
         sync = mock.patch("heronladder_runtime.disk.os.fdatasync", side_effect=_FULL)
-        cut = mock.patch("heronladder_runtime.disk.os.ftruncate", side_effect=_FULL)
-        with sync, cut, self.assertRaises(StorageError):
+        truncation = mock.patch("heronladder_runtime.disk.os.ftruncate", side_effect=_FULL)
+        with sync, truncation, self.assertRaises(StorageError):
             await self.storage.append(_entries(3, 3))
         refused = mock.patch.object(Path, "unlink", side_effect=_FULL)
         with refused, self.assertRaises(StorageError):
@@ -133,8 +135,8 @@
         self.assertEqual(len(self.disk.read(name)), before)
 
 
-class MemberWithDiskTroublesTest(unittest.TestCase):
-    def test_acknowledgements_go_on_while_the_leader_s_disk_holds_up_a_snapshot(self) -> None:
+class MemberDiskFaultTest(unittest.TestCase):
+    def test_commits_continue_while_a_slow_disk_delays_a_snapshot(self) -> None:
         async def scenario() -> None:
             group = Group(snapshot_entries=_SNAPSHOT_ENTRIES)
             leader = await group.start_all()
@@ -145,17 +147,17 @@
             self.assertTrue(leader.is_leader)
             group.disks[leader.name].sync_s = 0.001
             await asyncio.sleep(15)
-            self.assertGreater(leader.log.base_index, 0)  # a snapshot came about after all
+            self.assertGreater(leader.log.base_index, 0)  # the snapshot was saved in the end
             commands = list(group.machines[leader.name].commands)
             await group.crash(leader.name)
-            await group.start(leader.name)  # its files are whole
+            await group.start(leader.name)  # from intact files
             await asyncio.sleep(3)
             self.assertEqual(group.machines[leader.name].commands, commands)
             await group.stop()
 
         run_virtual(scenario())
 
-    def test_a_refused_removal_does_not_end_applying(self) -> None:
+    def test_a_refused_removal_does_not_stop_applying(self) -> None:
         async def scenario() -> None:
             group = Group(snapshot_entries=_SNAPSHOT_ENTRIES)
             leader = await group.start_all()
@@ -172,7 +174,7 @@
 
         run_virtual(scenario())
 
-    def test_a_snapshot_whose_removals_are_refused_is_saved_and_they_come_next_time(self) -> None:
+    def test_refused_removals_are_retried_with_the_next_snapshot(self) -> None:
         async def scenario() -> None:
             group = Group(snapshot_entries=_SNAPSHOT_ENTRIES)
             leader = await group.start_all()
@@ -194,7 +196,7 @@
 
         run_virtual(scenario())
 
-    def test_a_snapshot_that_fails_in_any_way_is_tried_again_in_a_while(self) -> None:
+    def test_a_snapshot_that_raises_is_retried_after_a_delay(self) -> None:
         async def scenario() -> None:
             group = Group(snapshot_entries=_SNAPSHOT_ENTRIES)
             leader = await group.start_all()
@@ -213,9 +215,7 @@
 
         run_virtual(scenario())
 
-    def test_a_snapshot_that_does_not_fit_is_tried_again_in_a_while_not_at_each_entry(
-        self,
-    ) -> None:
+    def test_a_snapshot_that_does_not_fit_is_retried_after_a_delay(self) -> None:
         async def scenario() -> None:
             group = Group(snapshot_entries=_SNAPSHOT_ENTRIES)
             leader = await group.start_all()
@@ -242,7 +242,7 @@
 
         run_virtual(scenario())
 
-    def test_a_snapshot_that_a_follower_cannot_keep_is_not_sent_at_each_heartbeat(self) -> None:
+    def test_a_refused_snapshot_is_not_sent_again_at_each_heartbeat(self) -> None:
         async def scenario() -> None:
             group = Group(snapshot_entries=_SNAPSHOT_ENTRIES)
             leader = await group.start_all()
@@ -271,11 +271,11 @@
 
         run_virtual(scenario())
 
-    def test_a_follower_that_cannot_keep_a_snapshot_hears_of_its_leader_and_is_no_quorum(
-        self,
-    ) -> None:
-        """It heard nothing until the next try, and knew no leader; its refusals counted as
-        answers."""
+    def test_a_follower_that_refuses_a_snapshot_gets_heartbeats_but_does_not_count(self) -> None:
+        """Guards against a follower without heartbeats until the next snapshot attempt.
+
+        It knew no leader during that time, while its refusals counted as replies for the quorum.
+        """
 
         async def scenario() -> None:
             group = Group(snapshot_entries=_SNAPSHOT_ENTRIES)
@@ -298,8 +298,8 @@
 
         run_virtual(scenario())
 
-    def test_a_snapshot_of_a_term_that_the_disk_refuses_is_refused_in_words(self) -> None:
-        """The error went through to the caller, who took the member for gone."""
+    def test_a_snapshot_whose_term_the_disk_refuses_gets_a_reply(self) -> None:
+        """Guards against an RPC error instead of a reply: the member looked unreachable."""
 
         async def scenario() -> None:
             group = Group()
@@ -317,9 +317,7 @@
 
         run_virtual(scenario())
 
-    def test_two_members_of_five_with_full_disks_cost_nothing_and_come_back_by_themselves(
-        self,
-    ) -> None:
+    def test_two_full_disks_of_five_lose_nothing_and_the_members_recover(self) -> None:
         async def scenario(seed: int) -> None:
             group = Group(size=5, seed=seed, snapshot_entries=_SNAPSHOT_ENTRIES)
             leader = await group.start_all()
@@ -352,7 +350,7 @@
         for seed in range(3):
             run_virtual(scenario(seed))
 
-    def test_a_follower_with_a_full_disk_says_so_once_and_once_that_it_is_back(self) -> None:
+    def test_a_full_disk_is_logged_once_and_its_recovery_once(self) -> None:
         async def scenario() -> None:
             group = Group()
             leader = await group.start_all()
@@ -369,12 +367,12 @@
 
         with self.assertLogs("heronladder.consensus", "INFO") as logs:
             run_virtual(scenario())
-        told = [line for line in logs.output if "event=disk_" in line]
-        self.assertEqual(len(told), 2, told)
-        self.assertIn("event=disk_refuses_writes", told[0])
-        self.assertIn("event=disk_takes_writes", told[1])
+        disk_events = [line for line in logs.output if "event=disk_" in line]
+        self.assertEqual(len(disk_events), 2, disk_events)
+        self.assertIn("event=disk_refuses_writes", disk_events[0])
+        self.assertIn("event=disk_takes_writes", disk_events[1])
 
-    def test_followers_with_full_disks_are_no_quorum(self) -> None:
+    def test_followers_with_full_disks_form_no_quorum(self) -> None:
         async def scenario() -> None:
             group = Group()
             leader = await group.start_all()
--- a/tests/test_folder_disk.py
+++ b/tests/test_folder_disk.py
@@ -1,4 +1,4 @@
-"""Files of a member's data folder while the disk is slow and callers give up."""
+"""Data folder of a member whose disk is slow and whose callers are cancelled."""
 
 import asyncio
 import gc
@@ -18,95 +18,96 @@
 from heronladder_runtime.disk import FolderDisk
 from heronladder_runtime.errors import StorageError
 
-_LONGEST_S = 5.0
+_MAX_WAIT_S = 5.0
 
 
-class GivenUpWriteTest(unittest.IsolatedAsyncioTestCase):
-    """A leader that waits too long for a follower ends its call; the write goes on."""
+class CancelledWriteTest(unittest.IsolatedAsyncioTestCase):
+    """A write continues when its caller is cancelled, as when an RPC deadline expires."""
 
-    async def test_a_write_that_was_given_up_ends_before_the_next_one(self) -> None:
-        """Both wrote at once: the later took the earlier's bytes for half a write.
+    async def test_a_cancelled_write_completes_before_the_next_one(self) -> None:
+        """Guards against two concurrent writes to one file.
 
-        It cut them off, its own end failed with a KeyError in AppendEntries, and batches of
-        the log could stand in the wrong order, the later entries lost.
+        The later write took the bytes of the earlier one for a partial write and truncated them.
+        AppendEntries failed with a KeyError, and batches of the log could be in the wrong order,
+        with later entries lost.
         """
         with tempfile.TemporaryDirectory() as folder:
             disk = FolderDisk(Path(folder))
             self.addCleanup(disk.close)
-            sync, go, stuck = os.fdatasync, threading.Event(), threading.Event()
+            sync, release, stuck = os.fdatasync, threading.Event(), threading.Event()
 
             def slow(descriptor: int) -> None:
                 if not stuck.is_set():
                     stuck.set()
-                    go.wait(_LONGEST_S)
+                    release.wait(_MAX_WAIT_S)
                 sync(descriptor)
 
             with mock.patch("os.fdatasync", slow):
                 disk.append("log", b"first,")
-                given_up = asyncio.create_task(disk.sync("log"))
+                cancelled = asyncio.create_task(disk.sync("log"))
                 while not stuck.is_set():
                     await asyncio.sleep(0.01)
-                given_up.cancel()
+                cancelled.cancel()
                 disk.append("log", b"second")
                 later = asyncio.create_task(disk.sync("log"))
                 await asyncio.sleep(0.1)
-                go.set()
+                release.set()
                 await later
             self.assertEqual(disk.read("log"), b"first,second")
 
-    async def test_a_replacement_that_was_given_up_does_not_undo_the_next_one(self) -> None:
-        """A vote that was taken back so could be given twice in one term."""
+    async def test_a_cancelled_replacement_does_not_undo_the_next_one(self) -> None:
+        """Guards against a vote that is undone on disk, and could be granted twice in one term."""
         with tempfile.TemporaryDirectory() as folder:
             disk = FolderDisk(Path(folder))
             self.addCleanup(disk.close)
-            write, go, stuck = FolderDisk._replace, threading.Event(), threading.Event()
+            write, release, stuck = FolderDisk._replace, threading.Event(), threading.Event()
 
             def slow(own: FolderDisk, name: str, data: bytes) -> None:
                 if not stuck.is_set():
                     stuck.set()
-                    go.wait(_LONGEST_S)
+                    release.wait(_MAX_WAIT_S)
                 write(own, name, data)
 
             with mock.patch.object(FolderDisk, "_replace", slow):
-                given_up = asyncio.create_task(disk.replace("state", b"first"))
+                cancelled = asyncio.create_task(disk.replace("state", b"first"))
                 while not stuck.is_set():
                     await asyncio.sleep(0.01)
-                given_up.cancel()
+                cancelled.cancel()
                 later = asyncio.create_task(disk.replace("state", b"second"))
                 await asyncio.sleep(0.1)
-                go.set()
+                release.set()
                 await later
                 await asyncio.sleep(0.1)
             self.assertEqual(disk.read("state"), b"second")
 
-    async def test_a_replacement_given_up_before_its_turn_is_written_all_the_same(self) -> None:
-        """It was dropped: memory had a term that the disk never got, and nobody wrote it later."""
+    async def test_a_replacement_cancelled_in_the_queue_is_still_written(self) -> None:
+        """Guards against a cancelled write that leaves a term in memory that is never on disk."""
         with tempfile.TemporaryDirectory() as folder, _slow_disk() as slow:
             disk = FolderDisk(Path(folder))
             self.addCleanup(disk.close)
             disk.append("log", b"x")
             first = asyncio.create_task(disk.sync("log"))
             await slow.wait_stuck()
-            given_up = asyncio.create_task(disk.replace("state", b"new"))
+            cancelled = asyncio.create_task(disk.replace("state", b"new"))
             await asyncio.sleep(0.05)
-            given_up.cancel()
+            cancelled.cancel()
             await asyncio.sleep(0.05)
-            slow.go.set()
+            slow.release.set()
             await first
-            await disk.sync("log")  # one thread: what was queued before is done
+            await disk.sync("log")  # writes share one thread, so earlier ones are complete
             self.assertEqual(disk.read("state"), b"new")
 
-    async def test_a_file_removed_while_its_last_write_ends_is_no_error(self) -> None:
-        """A snapshot that came with the write's end took its note away: a KeyError in a call."""
+    async def test_removing_a_file_while_its_last_write_ends_is_no_error(self) -> None:
+        """Guards against a KeyError when a snapshot removes a file whose write is ending."""
         with tempfile.TemporaryDirectory() as folder:
             disk = FolderDisk(Path(folder))
             self.addCleanup(disk.close)
-            sync, go, synced = os.fdatasync, threading.Event(), threading.Event()
+            sync, release, synced = os.fdatasync, threading.Event(), threading.Event()
 
             def slow(descriptor: int) -> None:
                 sync(descriptor)
                 synced.set()
-                go.wait(_LONGEST_S)
+                release.wait(_MAX_WAIT_S)
 
             with mock.patch("os.fdatasync", slow):
                 disk.append("log", b"x")
@@ -114,15 +115,15 @@
                 while not synced.is_set():
                     await asyncio.sleep(0.01)
                 await disk.delete("log")
-                go.set()
+                release.set()
                 await write
             self.assertEqual(disk.names(), [])
 
-    async def test_a_write_that_fails_after_its_caller_went_is_no_stray_error(self) -> None:
-        """A member that is stopped in mid-write closes its files under it."""
-        stray: list[dict[str, object]] = []
+    async def test_a_write_that_fails_after_cancellation_leaves_no_unhandled_error(self) -> None:
+        """A member that stops during a write closes the file while the write is in progress."""
+        unhandled: list[dict[str, object]] = []
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _loop, context: stray.append(context))
+        loop.set_exception_handler(lambda _loop, context: unhandled.append(context))
         with tempfile.TemporaryDirectory() as folder, _slow_disk() as slow:
             disk = FolderDisk(Path(folder))
             disk.append("log", b"x")
@@ -131,15 +132,15 @@
             write.cancel()
             await asyncio.sleep(0.05)
             disk.close()
-            slow.go.set()
+            slow.release.set()
             await asyncio.sleep(0.1)
             del write
             gc.collect()
-        self.assertEqual(stray, [])
+        self.assertEqual(unhandled, [])
 
 
-class GivenUpTermTest(unittest.IsolatedAsyncioTestCase):
-    """A caller that goes while a member enters a term."""
+class CancelledTermTest(unittest.IsolatedAsyncioTestCase):
+    """A caller that is cancelled while a member enters a term."""
 
     async def asyncSetUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -162,54 +163,54 @@
         kept = LogStorage(FolderDisk(self.folder)).load().hard_state
         return kept.term, kept.voted_for
 
-    async def test_memory_and_disk_agree_and_nobody_goes_on_before_they_do(self) -> None:
+    async def test_a_term_is_used_only_once_it_is_durable(self) -> None:
         with _slow_disk() as slow:
             self.disk.append("log", b"x")
             first = asyncio.create_task(self.disk.sync("log"))
             await slow.wait_stuck()
-            given_up = asyncio.create_task(self.state.enter_term(5, "m1"))
+            cancelled = asyncio.create_task(self.state.enter_term(5, "m1"))
             other = asyncio.create_task(self.state.save_hard_state())
             await asyncio.sleep(0.05)
-            given_up.cancel()
+            cancelled.cancel()
             await asyncio.sleep(0.05)
             again = asyncio.create_task(self.state.enter_term(5, "m1"))
             await asyncio.sleep(0.05)
             self.assertFalse(again.done(), "the term is not on the disk yet")
-            slow.go.set()
+            slow.release.set()
             await asyncio.gather(first, again, other)
         self.assertEqual(self._kept(), (5, "m1"))
         self.assertEqual((self.state.term, self.state.hard_state.voted_for), (5, "m1"))
 
-    async def test_a_term_whose_write_fails_after_its_caller_went_is_taken_back(self) -> None:
+    async def test_a_term_whose_write_fails_after_cancellation_is_reverted(self) -> None:
         refuses = StorageError("full", step="replace", peer="hard-state")
-        go = asyncio.Event()
+        release = asyncio.Event()
 
         async def refuse(_state: object) -> None:
-            await go.wait()
+            await release.wait()
             raise refuses
 
         with mock.patch.object(self.state.storage, "save_hard_state", refuse):
-            given_up = asyncio.create_task(self.state.enter_term(5, "m1"))
+            cancelled = asyncio.create_task(self.state.enter_term(5, "m1"))
             await asyncio.sleep(0.01)
-            given_up.cancel()
+            cancelled.cancel()
             await asyncio.sleep(0.01)
-            go.set()
+            release.set()
             await asyncio.sleep(0.05)
         self.assertEqual((self.state.term, self.state.hard_state.voted_for), (0, ""))
 
 
 class _SlowDisk:
-    """Holds up the first ``fdatasync`` until ``go`` is set."""
+    """Blocks the first ``fdatasync`` until ``release`` is set."""
 
     def __init__(self) -> None:
-        self.go = threading.Event()
+        self.release = threading.Event()
         self._stuck = threading.Event()
         self._sync = os.fdatasync
 
     def sync(self, descriptor: int) -> None:
         if not self._stuck.is_set():
             self._stuck.set()
-            self.go.wait(_LONGEST_S)
+            self.release.wait(_MAX_WAIT_S)
         self._sync(descriptor)
 
     async def wait_stuck(self) -> None:
--- a/tests/test_log_storage.py
+++ b/tests/test_log_storage.py
@@ -1,4 +1,4 @@
-"""Files of a member on a real folder."""
+"""Storage of a member in a real folder."""
 
 import asyncio
 import tempfile
@@ -11,8 +11,8 @@
 
 
 class HardStateTest(unittest.IsolatedAsyncioTestCase):
-    async def test_votes_saved_at_the_same_time_last_in_their_order(self) -> None:
-        """A member lost a file under its hands, 36.5 s into trouble-2 of the canteens."""
+    async def test_votes_saved_concurrently_are_kept_in_order(self) -> None:
+        """Guards against concurrent writes, one of which found its temporary file renamed."""
         with tempfile.TemporaryDirectory() as folder:
             storage = LogStorage(FolderDisk(Path(folder)))
             state = consensus_pb2.HardState(incarnation="i")
--- a/tests/test_membership_growth.py
+++ b/tests/test_membership_growth.py
@@ -1,4 +1,4 @@
-"""Groups that grow from their first members, and members that replace lost ones."""
+"""Groups that grow beyond their initial members, replacement of lost members, and elections."""
 
 import asyncio
 import unittest
@@ -13,13 +13,13 @@
 from support import Group, run_virtual
 
 
-def _bearing_losses(group: Group) -> Group:
+def _with_tolerated_losses(group: Group) -> Group:
     group.timing = ConsensusTiming(1.0, 1000, losses=2)
     return group
 
 
-async def _grown(group: Group, extra: int) -> ConsensusNode[int]:
-    """Start the first members and further ones that ask to be taken in."""
+async def _start_grown_group(group: Group, extra: int) -> ConsensusNode[int]:
+    """Start the initial members and further ones that join; return the leader of all."""
     leader = await group.start_all()
     for number in range(extra):
         await group.start(f"x{number}", joining=True)
@@ -28,14 +28,14 @@
         if len(voters(leader.membership())) == len(group.names) + extra:
             return leader
         await asyncio.sleep(0.1)
-    raise AssertionError(f"did not grow: {leader.membership()}")
+    raise AssertionError(f"the group did not grow within 10 s: {leader.membership()}")
 
 
 class GrowthTest(unittest.TestCase):
-    def test_machines_that_are_no_members_are_taken_in_and_vote(self) -> None:
+    def test_joining_processes_are_added_and_become_voters(self) -> None:
         async def scenario() -> None:
-            group = _bearing_losses(Group())
-            leader = await _grown(group, extra=2)
+            group = _with_tolerated_losses(Group())
+            leader = await _start_grown_group(group, extra=2)
             await leader.propose(b"one")
             await asyncio.sleep(2)
             for name in ("x0", "x1"):
@@ -45,9 +45,9 @@
 
         run_virtual(scenario())
 
-    def test_an_entry_is_committed_only_with_a_copy_more_than_may_be_lost(self) -> None:
+    def test_a_commit_needs_one_copy_more_than_the_tolerated_losses(self) -> None:
         async def scenario() -> None:
-            group = _bearing_losses(Group())
+            group = _with_tolerated_losses(Group())
             leader = await group.start_all()
             await leader.propose(b"with all three")
             other = next(name for name in group.names if name != leader.name)
@@ -59,10 +59,10 @@
 
         run_virtual(scenario())
 
-    def test_a_replacement_takes_the_place_of_a_silent_member(self) -> None:
+    def test_a_new_voter_replaces_a_silent_member(self) -> None:
         async def scenario() -> None:
-            group = _bearing_losses(Group())
-            await _grown(group, extra=2)
+            group = _with_tolerated_losses(Group())
+            await _start_grown_group(group, extra=2)
             await group.crash("x0")
             await group.start("new", joining=True)
             for _ in range(150):
@@ -75,10 +75,10 @@
 
         run_virtual(scenario())
 
-    def test_a_member_removed_while_cut_off_comes_back(self) -> None:
+    def test_a_member_removed_while_partitioned_rejoins(self) -> None:
         async def scenario() -> None:
-            group = _bearing_losses(Group())
-            leader = await _grown(group, extra=2)
+            group = _with_tolerated_losses(Group())
+            leader = await _start_grown_group(group, extra=2)
             away = next(name for name in sorted(group.nodes) if name != leader.name)
             cuts = group.isolate([away])
             await group.start("new", joining=True)
@@ -98,23 +98,23 @@
 
         run_virtual(scenario())
 
-    def test_a_restarted_leader_is_not_removed_by_memberships_before_its_own(self) -> None:
-        """Old memberships in the log are committed anew after a restart of all."""
+    def test_a_restarted_leader_is_not_removed_by_older_memberships(self) -> None:
+        """Old membership entries are committed again after a restart of all members."""
 
         async def scenario() -> None:
-            group = _bearing_losses(Group())
-            earlier_term = (await _grown(group, extra=1)).term
+            group = _with_tolerated_losses(Group())
+            earlier_term = (await _start_grown_group(group, extra=1)).term
             await asyncio.sleep(2)
             names = sorted(group.nodes)
             for name in names:
                 await group.crash(name)
             run_elections = Election.run
 
-            async def only_the_newest_stands(election: Election) -> None:
+            async def only_the_newest_campaigns(election: Election) -> None:
                 if election._node.name == "x0":
                     await run_elections(election)
 
-            with mock.patch.object(Election, "run", only_the_newest_stands):
+            with mock.patch.object(Election, "run", only_the_newest_campaigns):
                 for name in names:
                     await group.start(name, joining=name == "x0")
                 leader = await group.leader()
@@ -129,9 +129,12 @@
         run_virtual(scenario())
 
 
-class StandingTest(unittest.TestCase):
-    def test_a_member_that_voted_since_its_pre_vote_does_not_stand_against(self) -> None:
-        """Locks, hunt-d42f-3: a leader was ended 2 ms after its election, for 2.9 s."""
+class CampaignTest(unittest.TestCase):
+    def test_a_member_that_voted_after_its_pre_vote_does_not_campaign(self) -> None:
+        """Guards against a member that deposes the candidate it has just voted for.
+
+        A leader was deposed 2 ms after its election, and the group had no leader for 2.9 s.
+        """
 
         async def scenario() -> None:
             group = Group()
@@ -160,25 +163,29 @@
 
 
 class RestartTest(unittest.TestCase):
-    _MEAN_S = 0.35  # after the quorum is up; the group's election timeout is 1 s
+    _MEAN_S = 0.35  # from the start of the quorum; the election timeout is 1 s
     _LONGEST_S = 1.0
 
-    def test_a_group_that_starts_again_leads_soon_after_a_quorum_is_up(self) -> None:
-        """Loss of all machines: two vain pre-votes kept 23 gateways waiting (trouble-1)."""
+    def test_a_restarted_group_elects_a_leader_soon_after_a_quorum_is_up(self) -> None:
+        """Guards against a long wait after failed pre-votes.
+
+        After the loss of all machines, two failed pre-votes delayed the election while gateways
+        waited for a leader.
+        """
 
         async def scenario(seed: int) -> float:
             group = Group(size=5, seed=seed)
             await group.start_all()
-            await asyncio.sleep(3)  # all members know one another
+            await asyncio.sleep(3)  # until all members know each other
             for name in group.names:
                 await group.crash(name)
             for name in group.names[:2]:
                 await group.start(name)
-            await asyncio.sleep(0.7)  # these two ask in vain meanwhile
+            await asyncio.sleep(0.7)  # the pre-votes of these two fail meanwhile
             await group.start(group.names[2])
-            began_s = asyncio.get_running_loop().time()
+            started_s = asyncio.get_running_loop().time()
             await group.leader()
-            waited_s = asyncio.get_running_loop().time() - began_s
+            waited_s = asyncio.get_running_loop().time() - started_s
             await group.stop()
             return waited_s
 
@@ -186,15 +193,18 @@
         self.assertLess(sum(waits) / len(waits), self._MEAN_S)
         self.assertLess(max(waits), self._LONGEST_S)
 
-    def test_a_member_that_has_just_voted_gives_no_pre_vote_to_another(self) -> None:
-        """A leader was ended 7 ms after its election, for 2.1 s (trouble-1, trial q1)."""
+    def test_a_member_that_just_voted_grants_no_pre_vote_to_another(self) -> None:
+        """Guards against a second candidate right after an election.
+
+        A leader was deposed 7 ms after its election, and the group had no leader for 2.1 s.
+        """
 
         async def scenario() -> None:
             group = Group()
             leader = await group.start_all()
             voter, candidate = (node for node in group.nodes.values() if node is not leader)
             await group.crash(leader.name)
-            await asyncio.sleep(1.01)  # its silence is noticed
+            await asyncio.sleep(1.01)  # longer than the election timeout
             voter.leader = ""
 
             def request(*, pre_vote: bool) -> consensus_pb2.VoteRequest:
@@ -214,8 +224,8 @@
 
         run_virtual(scenario())
 
-    def test_a_member_that_heard_of_a_leader_since_its_pre_vote_does_not_stand(self) -> None:
-        """A leader was ended by a newer term 0.3 s after its election (trouble-1)."""
+    def test_a_member_that_saw_a_leader_after_its_pre_vote_does_not_campaign(self) -> None:
+        """Guards against a leader that a newer term deposed 0.3 s after its election."""
 
         async def scenario() -> None:
             group = Group()
@@ -225,11 +235,11 @@
                 await group.crash(name)
             term = late.term
 
-            async def heard_meanwhile(*, pre_vote: bool) -> bool:
+            async def leader_seen_meanwhile(*, pre_vote: bool) -> bool:
                 late.leader = "another"
                 return True
 
-            late.election._collect_votes = heard_meanwhile  # type: ignore[method-assign]
+            late.election._collect_votes = leader_seen_meanwhile  # type: ignore[method-assign]
             await asyncio.sleep(6)
             self.assertEqual((late.term, late.is_leader), (term, False))
             await group.stop()
@@ -238,7 +248,7 @@
 
 
 class RefusingDiskTest(unittest.TestCase):
-    def test_a_leader_whose_disk_refuses_leaves_leading_and_comes_back(self) -> None:
+    def test_a_leader_whose_disk_refuses_writes_steps_down_and_recovers(self) -> None:
         async def scenario() -> None:
             group = Group()
             leader = await group.start_all()
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Damaged files: a torn end is dropped, a damaged middle is reported."""
+"""Damaged record files: a torn end is dropped, damage before the end raises an error."""
 
 import random
 import unittest
@@ -14,16 +14,16 @@
 
 
 class ScanTest(unittest.TestCase):
-    def test_a_file_cut_at_any_byte_keeps_the_whole_records_before(self) -> None:
+    def test_a_file_truncated_at_any_byte_keeps_the_complete_records(self) -> None:
         data = b"".join(frame_record(payload) for payload in PAYLOADS)
         ends = [0]
         for payload in PAYLOADS:
             ends.append(ends[-1] + len(frame_record(payload)))
         for size in range(len(data) + 1):
             scan = scan_records(data[:size], "f", last_file=True)
-            whole = sum(1 for end in ends[1:] if end <= size)
-            self.assertEqual(scan.payloads, PAYLOADS[:whole])
-            self.assertEqual(scan.good_size, ends[whole])
+            complete = sum(1 for end in ends[1:] if end <= size)
+            self.assertEqual(scan.payloads, PAYLOADS[:complete])
+            self.assertEqual(scan.good_size, ends[complete])
 
     def test_a_damaged_byte_before_the_last_record_is_reported(self) -> None:
         data = b"".join(frame_record(payload) for payload in PAYLOADS)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,6 +1,6 @@
-"""Open connections that go silent for good, without a reset, while new ones work.
+"""Open connections that go silent permanently, without a reset, while new connections work.
 
-Only a time-out or a keep-alive of ours shows it; each test states how soon.
+Only a timeout or a keep-alive detects this; each test states how soon.
 """
 
 import asyncio
@@ -34,11 +34,11 @@
 from silent_link import SilentLink
 from support import AppendingMachine
 
-_CALL_S = 0.4
-# A ping after a second without data, 1.5 s for its answer, 0.5 s before connecting anew,
-# and as much for a busy machine.
-_KEEP_ALIVE_S = 3.5
-_REPEATABLE_S = 2.0  # patience of 1.2 s, three objectives of 400 ms, and another send
+_CALL_TIMEOUT_S = 0.4
+# A ping after 1 s without data, 1.5 s for its response, 0.5 s before the reconnect, and 0.5 s of
+# margin for a busy machine.
+_KEEP_ALIVE_RECOVERY_S = 3.5
+_RETRIED_RESPONSE_S = 2.0  # attempt timeout of 1.2 s (three objectives of 400 ms) and a retry
 
 
 class _Greeter(ConsensusServicer):
@@ -49,7 +49,7 @@
 
 
 class CallsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_calls_between_daemons_go_on_once_a_keep_alive_was_not_answered(self) -> None:
+    async def test_calls_between_daemons_recover_after_a_keep_alive_timeout(self) -> None:
         (address,) = free_addresses(1)
         server = make_server()
         add_ConsensusServicer_to_server(_Greeter(), server)
@@ -65,14 +65,14 @@
         await stubs.consensus(link.address).Hello(request, timeout=5)
         link.silence()
         clock = asyncio.get_running_loop().time
-        began_s = clock()
-        while clock() - began_s < 2 * _KEEP_ALIVE_S:
+        started_s = clock()
+        while clock() - started_s < 2 * _KEEP_ALIVE_RECOVERY_S:
             try:
-                await stubs.consensus(link.address).Hello(request, timeout=_CALL_S)
+                await stubs.consensus(link.address).Hello(request, timeout=_CALL_TIMEOUT_S)
                 break
             except RPC_ERRORS:
                 await asyncio.sleep(0.05)
-        self.assertLess(clock() - began_s, _KEEP_ALIVE_S)
+        self.assertLess(clock() - started_s, _KEEP_ALIVE_RECOVERY_S)
         self.assertEqual(link.connections, 2)
 
 
@@ -125,19 +125,19 @@
                 pass
             await asyncio.sleep(0.02)
 
-    async def test_a_group_whose_connections_all_go_silent_commits_again_soon(self) -> None:
+    async def test_a_group_whose_connections_all_go_silent_soon_commits_again(self) -> None:
         async with asyncio.timeout(10):
             await self._propose(b"before")
         clock = asyncio.get_running_loop().time
         for link in self.links:
             link.silence()
-        began_s = clock()
+        started_s = clock()
         async with asyncio.timeout(10):
             await self._propose(b"after")
-        self.assertLess(clock() - began_s, _KEEP_ALIVE_S)
+        self.assertLess(clock() - started_s, _KEEP_ALIVE_RECOVERY_S)
 
 
-async def _done(replica: StandInReplica, received: Received) -> bytes:
+async def _respond(replica: StandInReplica, received: Received) -> bytes:
     return answer(received)
 
 
@@ -149,8 +149,8 @@
     async def asyncTearDown(self) -> None:
         await self.fleet.stop()
 
-    async def _behind_link(self, identity: str) -> SilentLink:
-        replica = StandInReplica(identity, _done)
+    async def _start_replica_behind_link(self, identity: str) -> SilentLink:
+        replica = StandInReplica(identity, _respond)
         await replica.start()
         self.fleet.replicas.append(replica)
         link = SilentLink(replica.address)
@@ -158,19 +158,19 @@
         self.addAsyncCleanup(link.stop)
         gateway = self.fleet.gateway.gateway
         assert gateway is not None
-        told = await self.fleet.call(
+        registered = await self.fleet.call(
             self.fleet.control_address,
             "POST",
             f"/api/Replicas.Heartbeat/{identity}",
             replica.heartbeat(address=link.address),
         )
-        self.assertEqual(told.status, 200)
+        self.assertEqual(registered.status, 200)
         async with asyncio.timeout(5):
             while identity not in gateway.replicas._replicas:
                 await asyncio.sleep(0.01)
         return link
 
-    async def test_a_gateway_hears_of_changes_again(self) -> None:
+    async def test_a_gateway_receives_configuration_changes_again(self) -> None:
         link = SilentLink(self.fleet.control_grpc)
         await link.start()
         self.addAsyncCleanup(link.stop)
@@ -182,34 +182,34 @@
                 await asyncio.sleep(0.01)
         link.silence()
         clock = asyncio.get_running_loop().time
-        began_s = clock()
-        got = await self.fleet.replace(configuration(2, route("/safe/"), route("/new/")))
-        self.assertEqual(got.status, 200)
-        while gateway.routes.version < 2 and clock() - began_s < 2 * _KEEP_ALIVE_S:
+        started_s = clock()
+        response = await self.fleet.replace(configuration(2, route("/safe/"), route("/new/")))
+        self.assertEqual(response.status, 200)
+        while gateway.routes.version < 2 and clock() - started_s < 2 * _KEEP_ALIVE_RECOVERY_S:
             await asyncio.sleep(0.01)
-        self.assertLess(clock() - began_s, _KEEP_ALIVE_S)
+        self.assertLess(clock() - started_s, _KEEP_ALIVE_RECOVERY_S)
 
-    async def test_what_may_be_repeated_is_served_though_a_kept_connection_is_silent(self) -> None:
-        link = await self._behind_link("i-1")
+    async def test_repeatable_requests_succeed_despite_a_silent_pooled_connection(self) -> None:
+        link = await self._start_replica_behind_link("i-1")
         self.assertEqual((await self.fleet.request("/safe/")).status, 200)
         link.silence()
-        await self._behind_link("i-2")
+        await self._start_replica_behind_link("i-2")
         clock = asyncio.get_running_loop().time
         for number in range(6):
-            began_s = clock()
-            got = await self.fleet.request("/safe/", Request_Id=f"s{number}")
-            self.assertEqual(got.status, 200)
-            self.assertLess(clock() - began_s, _REPEATABLE_S)
+            started_s = clock()
+            response = await self.fleet.request("/safe/", Request_Id=f"s{number}")
+            self.assertEqual(response.status, 200)
+            self.assertLess(clock() - started_s, _RETRIED_RESPONSE_S)
 
-    async def test_what_must_not_run_twice_never_meets_a_kept_connection(self) -> None:
-        link = await self._behind_link("i-1")
+    async def test_unrepeatable_requests_use_no_pooled_connection(self) -> None:
+        link = await self._start_replica_behind_link("i-1")
         self.assertEqual((await self.fleet.request("/safe/")).status, 200)
         link.silence()
         clock = asyncio.get_running_loop().time
-        began_s = clock()
-        got = await self.fleet.request("/once/", Request_Id="o")
-        self.assertEqual(got.status, 200)
-        self.assertLess(clock() - began_s, 0.5)
+        started_s = clock()
+        response = await self.fleet.request("/once/", Request_Id="o")
+        self.assertEqual(response.status, 200)
+        self.assertLess(clock() - started_s, 0.5)
 
 
 if __name__ == "__main__":
--- a/tests/test_slow_disk_calls.py
+++ b/tests/test_slow_disk_calls.py
@@ -1,4 +1,4 @@
-"""Calls of other members, over gRPC, whose callers give up while this member's disk is slow."""
+"""gRPC calls from other members whose deadline expires while this member's disk is slow."""
 
 import asyncio
 import os
@@ -24,7 +24,7 @@
 from support import AppendingMachine
 
 _DEADLINE_S = 0.3
-_LONGEST_S = 10.0
+_MAX_WAIT_S = 10.0
 
 
 def _append(*, previous: int, command: bytes) -> consensus_pb2.AppendRequest:
@@ -38,7 +38,7 @@
     )
 
 
-class GivenUpCallTest(unittest.IsolatedAsyncioTestCase):
+class ExpiredCallTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -68,40 +68,38 @@
         self.addAsyncCleanup(server.stop, 0)
         self.stub = stubs.consensus(f"127.0.0.1:{port}")
 
-    async def _give_up(self, call: Any, request: Any) -> None:
+    async def _call_until_deadline(self, call: Any, request: Any) -> None:
         with self.assertRaises(grpc.RpcError):
             await call(request, timeout=_DEADLINE_S)
-        await asyncio.sleep(0.1)  # the server's side of the deadline
+        await asyncio.sleep(0.1)  # until the server has noticed the deadline
 
-    async def test_entries_whose_leader_gave_up_are_written_once_and_then_acknowledged(
-        self,
-    ) -> None:
-        """The write lock was let go in mid-write, and each call wrote all of them again."""
+    async def test_entries_of_an_expired_call_are_written_once(self) -> None:
+        """Guards against a write lock that is released too early: each call wrote all again."""
         first = _append(previous=0, command=b"first-command")
-        with _slow("fdatasync") as go:
-            await self._give_up(self.stub.AppendEntries, first)
+        with _slow_disk_call("fdatasync") as release:
+            await self._call_until_deadline(self.stub.AppendEntries, first)
             self.assertTrue(self.node.write_lock.locked())
-            again = asyncio.ensure_future(self.stub.AppendEntries(first, timeout=_LONGEST_S))
+            again = asyncio.ensure_future(self.stub.AppendEntries(first, timeout=_MAX_WAIT_S))
             await asyncio.sleep(0.1)
-            go.set()
+            release.set()
             reply = await again
         self.assertTrue(reply.success)
         later = _append(previous=1, command=b"second-command")
-        self.assertTrue((await self.stub.AppendEntries(later, timeout=_LONGEST_S)).success)
+        self.assertTrue((await self.stub.AppendEntries(later, timeout=_MAX_WAIT_S)).success)
         log = next(self.folder.glob("segment-*")).read_bytes()
         self.assertEqual(log.count(b"first-command"), 1)
         kept = LogStorage(FolderDisk(self.folder)).load().entries
-        self.assertEqual([one.command for one in kept], [b"first-command", b"second-command"])
+        self.assertEqual([entry.command for entry in kept], [b"first-command", b"second-command"])
 
-    async def test_a_snapshot_whose_leader_gave_up_holds_on_disk_and_in_memory(self) -> None:
-        """Its files were written and the log's removed; memory kept the log that was gone."""
-        await self.stub.AppendEntries(_append(previous=0, command=b"x"), timeout=_LONGEST_S)
+    async def test_a_snapshot_of_an_expired_call_is_kept_on_disk_and_in_memory(self) -> None:
+        """Guards against a log in memory whose files the snapshot has removed from disk."""
+        await self.stub.AppendEntries(_append(previous=0, command=b"x"), timeout=_MAX_WAIT_S)
         meta = consensus_pb2.SnapshotMeta(index=7, term=1)
         chunk = consensus_pb2.SnapshotChunk(term=1, leader="m1", meta=meta, data=b"a\nb", last=True)
-        with _slow("fsync") as go:
-            await self._give_up(self.stub.InstallSnapshot, chunk)
-            go.set()
-            async with asyncio.timeout(_LONGEST_S):
+        with _slow_disk_call("fsync") as release:
+            await self._call_until_deadline(self.stub.InstallSnapshot, chunk)
+            release.set()
+            async with asyncio.timeout(_MAX_WAIT_S):
                 while self.node.commit_index < 7:
                     await asyncio.sleep(0.01)
         self.assertEqual((self.node.log.base_index, self.node.log.last_index), (7, 7))
@@ -109,15 +107,15 @@
         assert kept.snapshot is not None
         self.assertEqual((kept.snapshot.meta.index, len(kept.entries)), (7, 0))
 
-    async def test_a_vote_whose_candidate_gave_up_is_not_given_to_another(self) -> None:
+    async def test_a_vote_of_an_expired_call_is_not_granted_to_another(self) -> None:
         request = consensus_pb2.VoteRequest(term=3, candidate="m1", incarnation="i1")
-        with _slow("fsync") as go:
-            await self._give_up(self.stub.RequestVote, request)
+        with _slow_disk_call("fsync") as release:
+            await self._call_until_deadline(self.stub.RequestVote, request)
             request.candidate, request.incarnation = "m2", "i2"
-            other = asyncio.ensure_future(self.stub.RequestVote(request, timeout=_LONGEST_S))
+            other = asyncio.ensure_future(self.stub.RequestVote(request, timeout=_MAX_WAIT_S))
             await asyncio.sleep(0.1)
             self.assertFalse(other.done())
-            go.set()
+            release.set()
             reply = await other
         self.assertFalse(reply.granted)
         kept = LogStorage(FolderDisk(self.folder)).load().hard_state
@@ -125,18 +123,18 @@
 
 
 @contextmanager
-def _slow(call: str) -> Iterator[threading.Event]:
-    """Hold the first call to the disk up until the event is set."""
-    go, begun, real = threading.Event(), threading.Event(), getattr(os, call)
+def _slow_disk_call(call: str) -> Iterator[threading.Event]:
+    """Block the first call of an ``os`` function until the yielded event is set."""
+    release, begun, real = threading.Event(), threading.Event(), getattr(os, call)
 
     def slow(descriptor: int) -> None:
         if not begun.is_set():
             begun.set()
-            go.wait(_LONGEST_S)
+            release.wait(_MAX_WAIT_S)
         real(descriptor)
 
     with mock.patch(f"os.{call}", slow):
-        yield go
+        yield release
 
 
 if __name__ == "__main__":
