--- a/packages/heronladder-consensus/src/heronladder_consensus/timing.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/timing.py
@@ -50,7 +50,10 @@
 
     @property
     def vote_timeout_s(self) -> float:
-        """Shortest timeout of a vote request, in seconds."""
+        """Shortest timeout of a vote request, in seconds.
+
+        After a refusal by a peer, a candidate waits for other votes only ``call_timeout_s``.
+        """
         return self.election_timeout_s * 3 / 2
 
     @property
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -54,8 +54,8 @@
             await group.leader()
             await asyncio.sleep(3)
             for name, machine in group.machines.items():
-                kept = [command for command in machine.commands if command in set(accepted)]
-                self.assertEqual(kept, accepted, name)
+                applied = [command for command in machine.commands if command in set(accepted)]
+                self.assertEqual(applied, accepted, name)
             await group.stop()
 
         for seed in range(5):
@@ -112,10 +112,15 @@
             leader = await group.start_all()
             await leader.propose(b"before")
             await asyncio.sleep(1.0)
-            late = next(node for name, node in group.nodes.items() if name != leader.name)
-            await late.enter_term(late.term + 1, voted_for=late.name)  # it campaigned, and lost
+            failed_candidate = next(
+                node for name, node in group.nodes.items() if name != leader.name
+            )
+            # It campaigned in the next term, and lost.
+            await failed_candidate.enter_term(
+                failed_candidate.term + 1, voted_for=failed_candidate.name
+            )
             async with asyncio.timeout(0.5):
-                while leader.term < late.term:
+                while leader.term < failed_candidate.term:
                     await asyncio.sleep(0.01)
                 while True:
                     leading = await group.leader()
--- a/tests/test_folder_disk.py
+++ b/tests/test_folder_disk.py
@@ -160,8 +160,8 @@
         self.addAsyncCleanup(self.state.tasks.stop)
 
     def _kept(self) -> tuple[int, str]:
-        kept = LogStorage(FolderDisk(self.folder)).load().hard_state
-        return kept.term, kept.voted_for
+        stored = LogStorage(FolderDisk(self.folder)).load().hard_state
+        return stored.term, stored.voted_for
 
     async def test_a_term_is_used_only_once_it_is_durable(self) -> None:
         with _slow_disk() as slow:
--- a/tests/test_late_members.py
+++ b/tests/test_late_members.py
@@ -102,9 +102,8 @@
     def test_a_stalled_leader_steps_down_before_its_successor_relies_on_it(self) -> None:
         """A new leader waits two election timeouts for promises that an earlier leader made."""
         timing = ConsensusTiming(_ELECTION_TIMEOUT_S)
-        elected_s = (
-            timing.election_timeout_s
-        )  # at the earliest, after the last message of the earlier leader
+        # At the earliest, after the last message of the earlier leader.
+        elected_s = timing.election_timeout_s
         stopped_s = timing.max_quorum_timeout_s + timing.heartbeat_s
         self.assertLess(stopped_s - elected_s, 2 * timing.election_timeout_s)
 
--- a/tests/test_log_storage.py
+++ b/tests/test_log_storage.py
@@ -23,8 +23,8 @@
 
             for first in range(0, 400, 8):
                 await asyncio.gather(*(vote(first + number) for number in range(8)))
-                kept = LogStorage(FolderDisk(Path(folder))).load().hard_state
-                self.assertEqual(kept.term, first + 7)
+                stored = LogStorage(FolderDisk(Path(folder))).load().hard_state
+                self.assertEqual(stored.term, first + 7)
 
 
 if __name__ == "__main__":
--- a/tests/test_membership_growth.py
+++ b/tests/test_membership_growth.py
@@ -142,10 +142,10 @@
             names = [name for name in group.names if name != leader.name]
             await group.crash(leader.name)
             await asyncio.sleep(1.0)
-            late, candidate = (group.nodes[name] for name in names)
-            late.election_timer_reset_s = float("-inf")
-            term = late.term
-            reply = await late.election.handle(
+            voter, candidate = (group.nodes[name] for name in names)
+            voter.election_timer_reset_s = float("-inf")
+            term = voter.term
+            reply = await voter.election.handle(
                 consensus_pb2.VoteRequest(
                     term=term + 1,
                     candidate=candidate.name,
@@ -155,8 +155,8 @@
                 )
             )
             self.assertTrue(reply.granted)
-            self.assertFalse(await late.election.campaign(term))
-            self.assertEqual((late.term, late.hard_state.voted_for), (term + 1, candidate.name))
+            self.assertFalse(await voter.election.campaign(term))
+            self.assertEqual((voter.term, voter.hard_state.voted_for), (term + 1, candidate.name))
             await group.stop()
 
         run_virtual(scenario())
@@ -230,18 +230,18 @@
         async def scenario() -> None:
             group = Group()
             leader = await group.start_all()
-            late = next(node for node in group.nodes.values() if node is not leader)
-            for name in [name for name in group.names if name != late.name]:
+            follower = next(node for node in group.nodes.values() if node is not leader)
+            for name in [name for name in group.names if name != follower.name]:
                 await group.crash(name)
-            term = late.term
+            term = follower.term
 
             async def leader_seen_meanwhile(*, pre_vote: bool) -> bool:
-                late.leader = "another"
+                follower.leader = "another"
                 return True
 
-            late.election._collect_votes = leader_seen_meanwhile  # type: ignore[method-assign]
+            follower.election._collect_votes = leader_seen_meanwhile  # type: ignore[method-assign]
             await asyncio.sleep(6)
-            self.assertEqual((late.term, late.is_leader), (term, False))
+            self.assertEqual((follower.term, follower.is_leader), (term, False))
             await group.stop()
 
         run_virtual(scenario())
--- a/tests/test_slow_disk_calls.py
+++ b/tests/test_slow_disk_calls.py
@@ -88,8 +88,8 @@
         self.assertTrue((await self.stub.AppendEntries(later, timeout=_MAX_WAIT_S)).success)
         log = next(self.folder.glob("segment-*")).read_bytes()
         self.assertEqual(log.count(b"first-command"), 1)
-        kept = LogStorage(FolderDisk(self.folder)).load().entries
-        self.assertEqual([entry.command for entry in kept], [b"first-command", b"second-command"])
+        stored = LogStorage(FolderDisk(self.folder)).load().entries
+        self.assertEqual([entry.command for entry in stored], [b"first-command", b"second-command"])
 
     async def test_a_snapshot_of_an_expired_call_is_kept_on_disk_and_in_memory(self) -> None:
         """Guards against a log in memory whose files the snapshot has removed from disk."""
@@ -103,9 +103,9 @@
                 while self.node.commit_index < 7:
                     await asyncio.sleep(0.01)
         self.assertEqual((self.node.log.base_index, self.node.log.last_index), (7, 7))
-        kept = LogStorage(FolderDisk(self.folder)).load()
-        assert kept.snapshot is not None
-        self.assertEqual((kept.snapshot.meta.index, len(kept.entries)), (7, 0))
+        stored = LogStorage(FolderDisk(self.folder)).load()
+        assert stored.snapshot is not None
+        self.assertEqual((stored.snapshot.meta.index, len(stored.entries)), (7, 0))
 
     async def test_a_vote_of_an_expired_call_is_not_granted_to_another(self) -> None:
         request = consensus_pb2.VoteRequest(term=3, candidate="m1", incarnation="i1")
@@ -118,8 +118,8 @@
             release.set()
             reply = await other
         self.assertFalse(reply.granted)
-        kept = LogStorage(FolderDisk(self.folder)).load().hard_state
-        self.assertEqual((kept.term, kept.voted_for), (3, "m1"))
+        stored = LogStorage(FolderDisk(self.folder)).load().hard_state
+        self.assertEqual((stored.term, stored.voted_for), (3, "m1"))
 
 
 @contextmanager
