--- a/packages/heronladder-consensus/src/heronladder_consensus/bootstrap.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/bootstrap.py
@@ -1,11 +1,10 @@
-"""How a member with a new data folder comes to count.
-
-A new folder may belong to a new group or to a member that lost its disk. In
-the second case the member has forgotten what it voted for and which entries it
-had acknowledged, so it must not count until the group has taken it in again.
-The rule: a new folder counts at once only if every other first member is new
-too, or already knows this very folder. Otherwise the leader demotes the member
-to a learner, and promotes it once it has caught up.
+"""Bootstrap of a member with a new data folder: whether it may vote at once.
+
+A new folder belongs either to a new group or to a member that lost its disk. In the second case
+the member no longer knows its votes or the entries it had acknowledged, so it must not vote until
+the group has admitted it again. A member with a new folder may therefore vote at once only if the
+folders of all other initial members are new too, or if those members already know this folder.
+Otherwise the leader demotes the member to a learner, and promotes it once it has caught up.
 """
 
 import asyncio
@@ -15,30 +14,33 @@
 
 from heronladder_consensus.member_state import MemberState
 
-_PAUSE_S = 0.2
+_HELLO_INTERVAL_S = 0.2
 
 
 class Bootstrap:
-    """Forms a new group from its first members.
+    """Forms a new group from its initial members.
 
     Args:
-        node: The member.
-        initial_members: The first members; empty when joining a running group.
+        node: This member.
+        initial_members: The initial members; empty when joining a running group.
+
+    Attributes:
+        forming: Whether it is still unknown if the group is new.
     """
 
     def __init__(self, node: MemberState, initial_members: list[consensus_pb2.Member]) -> None:
         self._node = node
         self._initial = initial_members
-        self.forming = bool(initial_members)  # it is not clear yet whether the group is new
+        self.forming = bool(initial_members)
 
     async def run(self) -> None:
-        """Ask the other first members until it is clear whether the group is new."""
+        """Query the other initial members until it is known whether the group is new."""
         try:
-            await self._find_out()
+            await self._detect_new_group()
         finally:
             self.forming = False
 
-    async def _find_out(self) -> None:
+    async def _detect_new_group(self) -> None:
         node = self._node
         if node.hard_state.voting_allowed or not self._initial:
             return
@@ -46,27 +48,27 @@
         version = node.highest_version
         while len(incarnations) < len(self._initial):
             if node.log.last_index > 0 or node.hard_state.voting_allowed:
-                return  # a leader has taken this member in
+                return  # a leader has admitted this member
             for member in self._initial:
                 if member.name in incarnations:
                     continue
-                reply = await self._ask(member)
+                reply = await self._send_hello(member)
                 if reply is None:
                     continue
-                if self._knows_another_folder(reply):
+                if self._knows_different_folder(reply):
                     node.event_log.warning(
                         "folder_is_new_in_a_running_group",
                         step="bootstrap",
                         peer=member.name,
-                        advice="this member counts again once it has caught up",
+                        advice="this member may vote again once it has caught up with the leader",
                     )
                     return
                 incarnations[member.name] = reply.incarnation
                 version = min(version, reply.highest_version)
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_HELLO_INTERVAL_S)
         await self._form_group(incarnations, version)
 
-    async def _ask(self, member: consensus_pb2.Member) -> consensus_pb2.HelloReply | None:
+    async def _send_hello(self, member: consensus_pb2.Member) -> consensus_pb2.HelloReply | None:
         node = self._node
         try:
             stub = node.stubs.consensus(member.address)
@@ -78,7 +80,7 @@
             return None
         return reply
 
-    def _knows_another_folder(self, reply: consensus_pb2.HelloReply) -> bool:
+    def _knows_different_folder(self, reply: consensus_pb2.HelloReply) -> bool:
         if not reply.voting_allowed:
             return False
         known = [member for member in reply.membership.members if member.name == self._node.name]
@@ -99,8 +101,8 @@
         await node.save_hard_state()
         node.event_log.info("group_formed", step="bootstrap", members=len(incarnations))
 
-    def answer(self) -> consensus_pb2.HelloReply:
-        """Say who this member is and whether its folder is new."""
+    def handle(self) -> consensus_pb2.HelloReply:
+        """Answer a Hello request with the identity of this member and whether it may vote."""
         node = self._node
         return consensus_pb2.HelloReply(
             name=node.name,
