--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -275,7 +275,7 @@
             return False
         order = request.command.set_evacuation
         age_s = request.age_ms / MILLISECONDS_PER_SECOND
-        is_late = self._late_orders.is_overtaken(order.zone, age_s, self._member.node.term)
+        is_late = self._late_orders.is_superseded(order.zone, age_s, self._member.node.term)
         self._member.log.info(
             "evacuation_ordered",
             step="evacuate",
