--- a/packages/heronladder-control/src/heronladder_control/daemon_builds.py
+++ b/packages/heronladder-control/src/heronladder_control/daemon_builds.py
@@ -41,5 +41,5 @@
     def fill(self, session: DaemonSession, frame: control_pb2.ControlFrame) -> None:
         """Add the cluster version to a frame, if the daemon was not told of it."""
         version = self._member.state.cluster_version
-        if version != session.told_version:
-            session.told_version = frame.cluster_version = version
+        if version != session.sent_cluster_version:
+            session.sent_cluster_version = frame.cluster_version = version
--- a/packages/heronladder-control/src/heronladder_control/daemon_session.py
+++ b/packages/heronladder-control/src/heronladder_control/daemon_session.py
@@ -24,9 +24,9 @@
         self.parts_received = 0  # as the daemon says
         self.part_bytes = PART_BYTES  # of the next part
         self.part_sent_s: dict[int, float] = {}  # of those under way, by number
-        self.in_force_told = 0
+        self.in_force_sent = 0
         self.hold_below = 0  # newest order to act by no older revision; 0: none
-        self.hold_told = 0  # newest such order that was sent
+        self.hold_below_sent = 0  # newest such order that was sent
         self.wake = Pulse()
         self.closed = False
         self.answers: list[control_pb2.DaemonAnswer] = []
@@ -36,15 +36,15 @@
         self.renewed = False  # whether that heartbeat renews the freshness lease
         self.prepaid_recalls: set[str] = set()
         self.promises_noted = 0  # newest heartbeat whose promises are in the log
-        self.told_addresses: list[str] = []
-        self.told_routers = 0
-        self.told_version = 0  # cluster version
+        self.sent_addresses: list[str] = []
+        self.sent_router_count = 0
+        self.sent_cluster_version = 0  # cluster version
         self.sent_limits = 0  # changes of replicas' limits up to this number were told
         self.lenders = LenderNews()
         # Whether it is told what others have under way at replicas. Gateways are from the first
         # heartbeat on: one that had nothing under way at its beats was never told, and sent its
         # first burst as if all replicas were idle.
-        self.tells_loads = hello.acts_past_lease
+        self.sends_replica_loads = hello.acts_past_lease
 
     def close(self) -> None:
         """End the stream."""
--- a/packages/heronladder-control/src/heronladder_control/fleet.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet.py
@@ -86,7 +86,7 @@
             if replica.service == service and not (replica.gone or replica.draining):
                 yield replica
 
-    def settled(self, told: resources_pb2.Replica) -> bool:
+    def is_up_to_date(self, told: resources_pb2.Replica) -> bool:
         """Whether what a replica tells is known already, or is late."""
         known = self.replica(told.id)
         if known is None or (known.replaced and not told.gone):
@@ -187,7 +187,7 @@
         if self._at is not None:
             self._at.setdefault(state.address, set()).add(state.id)
 
-    def loaded(self) -> None:
+    def reset_address_index(self) -> None:
         """Note that the resources were replaced by a snapshot's."""
         self._at = None
 
--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -19,7 +19,7 @@
 from heronladder_control.cold_reports import ColdReports
 from heronladder_control.evacuations import LateOrders
 from heronladder_control.heartbeat_spread import HeartbeatSpread, SpreadView
-from heronladder_control.leader_asks import FleetOutcome, LeaderAsks, Standing
+from heronladder_control.leader_requests import FleetOutcome, LeaderRequests, RequestStatus
 from heronladder_control.member_context import MemberContext
 from heronladder_control.order_times import LeaderTimes, OrderTimes
 from heronladder_control.registration_batches import RegistrationBatches
@@ -47,7 +47,7 @@
         self._late_orders = LateOrders(member.environment)
         self._spread = HeartbeatSpread(member.environment)
         member.metrics.gauge("heartbeats_moved", lambda: self._spread.moved)
-        self._asks = LeaderAsks(member, self.carry)
+        self._asks = LeaderRequests(member, self.carry)
         self._batches = RegistrationBatches(member)
         self._rollout_orders = RolloutOrders(member)
 
@@ -73,7 +73,7 @@
         if zones and zone not in zones:
             message = f"there is no zone {zone!r}; known: {', '.join(zones)}"
             result = failure(control_pb2.RESULT_CODE_NOT_FOUND, message)
-            return FleetOutcome(Standing.REFUSED, result)
+            return FleetOutcome(RequestStatus.REFUSED, result)
         request = control_pb2.CarryRequest(
             in_force_wait_ms=int(_IN_FORCE_WAIT_S * MILLISECONDS_PER_SECOND)
         )
@@ -93,7 +93,7 @@
         if not self._member.options.rollout_limits.enabled:
             message = "roll-outs are off: no bound is set on what a version on trial may get"
             result = failure(control_pb2.RESULT_CODE_INVALID, message)
-            return FleetOutcome(Standing.REFUSED, result)
+            return FleetOutcome(RequestStatus.REFUSED, result)
         request = control_pb2.CarryRequest(
             in_force_wait_ms=int(_IN_FORCE_WAIT_S * MILLISECONDS_PER_SECOND)
         )
@@ -128,8 +128,8 @@
             replica.start_ms = recorded.start_ms
         cold_news = self._cold_reports.is_news(replica, recorded)
         # One that leaves is told so only once its leave is in force, however often it asks.
-        if self._member.state.fleet.settled(replica) and not leaves and not cold_news:
-            return FleetOutcome(Standing.DONE)
+        if self._member.state.fleet.is_up_to_date(replica) and not leaves and not cold_news:
+            return FleetOutcome(RequestStatus.DONE)
         request = control_pb2.CarryRequest()
         order = None
         if leaves:
@@ -148,7 +148,7 @@
         command.register_replica.replica.CopyFrom(replica)
         return at_version(command, self._member.state.cluster_version).register_replica.replica
 
-    def unreadable(self, identity: str, why: str) -> None:
+    def note_unreadable_heartbeat(self, identity: str, why: str) -> None:
         """Note a heartbeat that cannot be used; what is known of its replica stays as it is."""
         self._member.metrics.add("heartbeats_unreadable")
         self._member.log.info("heartbeat_unreadable", step="heartbeat", peer=identity, why=why)
@@ -156,7 +156,7 @@
     def heartbeat_address(self, replica: resources_pb2.Replica) -> str:
         """Return where a replica is to send its later heartbeats; "" for anywhere."""
         node = self._member.node
-        passed_over = self._spread.passed_over()
+        excluded_members = self._spread.excluded_members()
         view = SpreadView(
             own=node.name,
             leader=node.leader,
@@ -165,7 +165,7 @@
             silent_s=self._member.environment.monotonic() - node.last_heard_s,
         )
         address = self._spread.name(replica, view)
-        for name in set(self._spread.passed_over()).difference(passed_over):
+        for name in set(self._spread.excluded_members()).difference(excluded_members):
             self._member.metrics.add("members_passed_over")
             self._member.log.info(
                 "member_passed_over", step="heartbeat", peer=name, replica=replica.id
--- a/packages/heronladder-control/src/heronladder_control/heartbeat_spread.py
+++ b/packages/heronladder-control/src/heronladder_control/heartbeat_spread.py
@@ -14,10 +14,12 @@
 from heronladder_runtime.clock import Environment
 from heronladder_schema.v1 import consensus_pb2, resources_pb2
 
-SPREAD_OVER = 256  # replicas: 200 heartbeats a second, 4% of a core (measured: 5,000 are one core)
+MIN_REPLICAS_TO_SPREAD = (
+    256  # replicas: 200 heartbeats a second, 4% of a core (measured: 5,000 are one core)
+)
 # Replicas that one member sends elsewhere in a second: each makes a new connection.
-MOVES_A_SECOND = 50
-PASSED_OVER_S = 30.0  # a member from which a replica came back gets none for so long
+MOVES_PER_SECOND = 50
+EXCLUSION_S = 30.0  # a member from which a replica came back gets none for so long
 _LOST_AFTER_S = 2.0  # a member that heard of no leader for so long sends its replicas on
 _MOST_SENT = 4_096  # replicas remembered as sent elsewhere
 
@@ -52,14 +54,14 @@
         self._environment = environment
         self._sent: OrderedDict[str, tuple[str, float]] = OrderedDict()
         self._passed_over_s: dict[str, float] = {}  # until when, by member
-        self._moves = float(MOVES_A_SECOND)
+        self._moves = float(MOVES_PER_SECOND)
         self._moves_at_s = environment.monotonic()
         self.moved = 0
 
     def name(self, replica: resources_pb2.Replica, view: SpreadView) -> str:
         """Return the address for a replica's later heartbeats; "" for none."""
         addresses = {member.name: member.api_address for member in view.members}
-        if view.replicas < SPREAD_OVER or view.own not in addresses:
+        if view.replicas < MIN_REPLICAS_TO_SPREAD or view.own not in addresses:
             return addresses.get(view.leader, "")
         self._note_return(replica.id)
         home = self._home(replica, view)
@@ -71,7 +73,7 @@
         self.moved += 1
         return addresses[home]
 
-    def passed_over(self) -> list[str]:
+    def excluded_members(self) -> list[str]:
         """Return the members that get no replicas now."""
         now_s = self._environment.monotonic()
         return sorted(name for name, until_s in self._passed_over_s.items() if until_s > now_s)
@@ -80,15 +82,15 @@
         """Pass a member over from which a replica came back: it was not served there."""
         sent = self._sent.pop(identity, None)
         now_s = self._environment.monotonic()
-        if sent is not None and now_s - sent[1] < PASSED_OVER_S:
-            self._passed_over_s[sent[0]] = now_s + PASSED_OVER_S
+        if sent is not None and now_s - sent[1] < EXCLUSION_S:
+            self._passed_over_s[sent[0]] = now_s + EXCLUSION_S
 
     def _home(self, replica: resources_pb2.Replica, view: SpreadView) -> str:
         """Return the member to which a replica belongs, as far as this one knows."""
-        passed_over = set(self.passed_over())
+        excluded_members = set(self.excluded_members())
         if view.own != view.leader and view.silent_s > _LOST_AFTER_S:
-            passed_over.add(view.own)
-        able = [one for one in view.members if one.api_address and one.name not in passed_over]
+            excluded_members.add(view.own)
+        able = [one for one in view.members if one.api_address and one.name not in excluded_members]
         followers = [one for one in able if one.name != view.leader]
         near = [one for one in followers if one.zone == replica.zone]
         near_leader = [one for one in able if one.zone == replica.zone]
@@ -98,8 +100,8 @@
 
     def _may_move(self) -> bool:
         now_s = self._environment.monotonic()
-        gained = (now_s - self._moves_at_s) * MOVES_A_SECOND
-        self._moves = min(float(MOVES_A_SECOND), self._moves + gained)
+        gained = (now_s - self._moves_at_s) * MOVES_PER_SECOND
+        self._moves = min(float(MOVES_PER_SECOND), self._moves + gained)
         self._moves_at_s = now_s
         if self._moves < 1:
             return False
--- a/packages/heronladder-control/src/heronladder_control/leader_asks.py
+++ b/packages/heronladder-control/src/heronladder_control/leader_requests.py
@@ -21,7 +21,7 @@
 Carry = Callable[[control_pb2.CarryRequest], Awaitable[control_pb2.CarryReply]]
 
 
-class Standing(Enum):
+class RequestStatus(Enum):
     """What became of what was asked."""
 
     DONE = "done"
@@ -40,13 +40,13 @@
         rollout: A service's newest roll-out, for a read of it.
     """
 
-    standing: Standing
+    request_status: RequestStatus
     result: control_pb2.CommandResult = field(default_factory=control_pb2.CommandResult)
     configuration: resources_pb2.FleetConfiguration | None = None
     rollout: resources_pb2.Rollout | None = None
 
 
-class LeaderAsks:
+class LeaderRequests:
     """Asks the leader until there is a clear answer, or for as long as the caller waits.
 
     Args:
@@ -73,9 +73,11 @@
             order: Whose waits are told; None: nobody's.
         """
         reply = await self._ask_until_clear(request, patience_s, order)
-        outcome = self._outcome(reply) if reply is not None else FleetOutcome(Standing.UNCLEAR)
+        outcome = self._outcome(reply) if reply is not None else FleetOutcome(RequestStatus.UNCLEAR)
         if order is not None:
-            order.report(self._member.log, self._member.metrics, outcome.standing.value, reply)
+            order.report(
+                self._member.log, self._member.metrics, outcome.request_status.value, reply
+            )
         return outcome
 
     async def _ask_until_clear(
@@ -159,9 +161,9 @@
     @staticmethod
     def _outcome(reply: control_pb2.CarryReply) -> FleetOutcome:
         if reply.unclear:
-            return FleetOutcome(Standing.UNCLEAR, reply.result)
+            return FleetOutcome(RequestStatus.UNCLEAR, reply.result)
         if reply.result.code != control_pb2.RESULT_CODE_OK:
-            return FleetOutcome(Standing.REFUSED, reply.result)
+            return FleetOutcome(RequestStatus.REFUSED, reply.result)
         held = reply.configuration if reply.HasField("configuration") else None
         rollout = reply.rollout if reply.HasField("rollout") else None
-        return FleetOutcome(Standing.DONE, reply.result, held, rollout)
+        return FleetOutcome(RequestStatus.DONE, reply.result, held, rollout)
--- a/packages/heronladder-control/src/heronladder_control/member.py
+++ b/packages/heronladder-control/src/heronladder_control/member.py
@@ -29,7 +29,7 @@
 from heronladder_control.prepaid_watch import HolderKey
 from heronladder_control.promise_notes import PromiseNotes
 from heronladder_control.rollouts.conductor import RolloutConductor
-from heronladder_control.sessions import ControlService, SessionParts
+from heronladder_control.sessions import ControlService, SessionServices
 from heronladder_control.state import ControlState
 
 _CHORE_INTERVAL_S = 0.5
@@ -84,7 +84,7 @@
         self.allotments = AllotmentKeeper(self)
         self.service = ControlService(
             self,
-            SessionParts(self.promise_notes, self.rollouts, self.fleet_service, self.allotments),
+            SessionServices(self.promise_notes, self.rollouts, self.fleet_service, self.allotments),
         )
         self.consensus_service = ConsensusService(self.node)
         self.state.listeners.append(self._applied)
--- a/packages/heronladder-control/src/heronladder_control/registration_batches.py
+++ b/packages/heronladder-control/src/heronladder_control/registration_batches.py
@@ -21,9 +21,13 @@
 
 # Between two entries, a router: 0.3 s with 300, a third of what a replica that leaves waits at
 # most, and 3 ms with 3. The first after a pause goes at once.
-PAUSE_S = 0.001
-MOST_AT_ONCE = 512  # one entry is applied without a break: 0.1 s (0.19 ms each, test machine)
-MOST_WAITING = 4_096  # some five entries; who asks over it is told at once to ask again
+PAUSE_PER_ROUTER_S = 0.001
+MAX_BATCH_REGISTRATIONS = (
+    512  # one entry is applied without a break: 0.1 s (0.19 ms each, test machine)
+)
+MAX_WAITING_REGISTRATIONS = (
+    4_096  # some five entries; who asks over it is told at once to ask again
+)
 _Answer: TypeAlias = "asyncio.Future[control_pb2.CommandResult]"
 
 
@@ -56,10 +60,10 @@
         self._member.node.require_leader("register_replica")
         if self._is_known(order):
             return success()
-        if len(self._waiting) >= MOST_WAITING:
+        if len(self._waiting) >= MAX_WAITING_REGISTRATIONS:
             self._member.metrics.add("registrations_refused")
             raise LeadershipLostError(
-                f"{MOST_WAITING} registrations wait already",
+                f"{MAX_WAITING_REGISTRATIONS} registrations wait already",
                 step="register_replica",
                 peer=order.replica.id,
             )
@@ -83,7 +87,7 @@
         """Whether it changes nothing: many ask while a log that tells of them is read again."""
         told = order.replica
         is_news = order.cold_news or order.returns or told.draining or told.gone
-        return not is_news and self._member.state.fleet.settled(told)
+        return not is_news and self._member.state.fleet.is_up_to_date(told)
 
     async def _run(self) -> None:
         clock = self._member.environment
@@ -94,7 +98,9 @@
                     await asyncio.sleep(pause_s)
                 taken = self._take()
                 if taken:
-                    self._next_s = clock.monotonic() + PAUSE_S * len(self._member.sessions)
+                    self._next_s = clock.monotonic() + PAUSE_PER_ROUTER_S * len(
+                        self._member.sessions
+                    )
                     await self._propose(taken)
         except BaseException as error:
             self._tell_all(list(self._waiting), self._unclear(error))
@@ -112,7 +118,7 @@
         if self._leaving:
             leaving = set(self._leaving.values())
             live.sort(key=lambda entry: entry[1].replica.id not in leaving)
-        taken = dict(live[:MOST_AT_ONCE])
+        taken = dict(live[:MAX_BATCH_REGISTRATIONS])
         for answer in taken or list(self._waiting):
             self._forget(answer)
         return taken
--- a/packages/heronladder-control/src/heronladder_control/registration_relay.py
+++ b/packages/heronladder-control/src/heronladder_control/registration_relay.py
@@ -15,7 +15,10 @@
 from heronladder_schema.v1 import control_pb2
 
 from heronladder_control.member_context import MemberContext
-from heronladder_control.registration_batches import MOST_AT_ONCE, MOST_WAITING
+from heronladder_control.registration_batches import (
+    MAX_BATCH_REGISTRATIONS,
+    MAX_WAITING_REGISTRATIONS,
+)
 
 _GATHER_S = 0.02  # while another call is under way
 _CALLS = 4  # under way at once: a leader answers a call in up to 0.3 s before 300 routers
@@ -45,7 +48,7 @@
         Returns:
             Its answer; None if there was none in time, or too many wait.
         """
-        if len(self._waiting) >= MOST_WAITING:
+        if len(self._waiting) >= MAX_WAITING_REGISTRATIONS:
             self._member.metrics.add("registrations_refused")
             return None
         answer: asyncio.Future[control_pb2.CarryReply | None] = (
@@ -68,7 +71,7 @@
                 if self._calls < _CALLS:
                     taken = [
                         self._waiting.popleft()
-                        for _ in range(min(MOST_AT_ONCE, len(self._waiting)))
+                        for _ in range(min(MAX_BATCH_REGISTRATIONS, len(self._waiting)))
                     ]
                     taken = [entry for entry in taken if not entry[1].done()]
                     if taken:
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class SessionParts:
+class SessionServices:
     """Parts of a member that streams of daemons are served with.
 
     Attributes:
@@ -57,7 +57,7 @@
         parts: What it passes words of daemons on to.
     """
 
-    def __init__(self, member: MemberContext, parts: SessionParts) -> None:
+    def __init__(self, member: MemberContext, parts: SessionServices) -> None:
         self._member = member
         self._parts = parts
         self.sessions = member.sessions
@@ -196,7 +196,7 @@
                 frame.freshness_ms = int(self._member.freshness_s * MILLISECONDS_PER_SECOND)
             frame.control_time_ms = self._now_ms()
             session.heartbeat_ack = 0
-            if session.tells_loads:
+            if session.sends_replica_loads:
                 self._replica_loads.fill(session.record.name, frame)
             self._parts.rollouts.fill(session, frame)
             self.replica_limits.fill(session, frame)
@@ -228,11 +228,11 @@
         self._builds.fill(session, frame)
         members = self._member.node.membership().members
         addresses = sorted(member.address for member in members)
-        if addresses != session.told_addresses:
-            session.told_addresses = addresses
+        if addresses != session.sent_addresses:
+            session.sent_addresses = addresses
             frame.control_addresses.extend(addresses)
-        if self._routers != session.told_routers:
-            session.told_routers = self._routers
+        if self._routers != session.sent_router_count:
+            session.sent_router_count = self._routers
             frame.routers = self._routers
 
     def _count_routers(self) -> None:
@@ -243,13 +243,13 @@
         """Tell what is in force, at once where it is not held, and what may not be acted by."""
         in_force = self._member.state.in_force_revision
         is_behind = self._member.in_force.is_behind(session.record.name, in_force)
-        if session.in_force_told < in_force and (is_behind or session.heartbeat_ack):
-            session.in_force_told = in_force
+        if session.in_force_sent < in_force and (is_behind or session.heartbeat_ack):
+            session.in_force_sent = in_force
             frame.in_force_revision = in_force
             age_s = self._member.environment.monotonic() - self._member.in_force_since_s
             frame.in_force_age_ms = int(age_s * MILLISECONDS_PER_SECOND)
-        if session.hold_told < session.hold_below:
-            session.hold_told = session.hold_below
+        if session.hold_below_sent < session.hold_below:
+            session.hold_below_sent = session.hold_below
             frame.hold_below = session.hold_below
 
     # ---- frames from the daemon -------------------------------------------
@@ -284,8 +284,8 @@
         if session.record.role == ROLE_ROUTER:
             self._parts.promise_notes.heartbeat(session, heartbeat)
         self.replica_limits.observe(name, heartbeat.replica_limits)
-        if heartbeat.replica_loads or session.tells_loads:
-            session.tells_loads = True
+        if heartbeat.replica_loads or session.sends_replica_loads:
+            session.sends_replica_loads = True
             self._replica_loads.observe(name, heartbeat.replica_loads)
         in_force = self._member.state.in_force_revision
         applied = heartbeat.applied_revision
--- a/packages/heronladder-control/src/heronladder_control/state.py
+++ b/packages/heronladder-control/src/heronladder_control/state.py
@@ -315,7 +315,7 @@
         self.applied_index = snapshot.applied_index
         self.in_force_revision = snapshot.in_force_revision
         self.resources.load(snapshot)
-        self.fleet.loaded()
+        self.fleet.reset_address_index()
         self.ledger.load(snapshot)
         self.claims.load(snapshot)
         self.daemons.load(snapshot)
--- a/packages/heronladder-tools/src/heronladder_tools/crowd_member.py
+++ b/packages/heronladder-tools/src/heronladder_tools/crowd_member.py
@@ -16,7 +16,7 @@
 from types import FrameType
 
 from aiohttp import web
-from heronladder_control.leader_asks import Standing
+from heronladder_control.leader_requests import RequestStatus
 from heronladder_control.member import ControlMember
 from heronladder_daemon.daemon import Daemon
 from heronladder_runtime.settings import load
@@ -69,7 +69,7 @@
     async def register(request: web.Request) -> web.Response:
         replica = resources_pb2.Replica.FromString(await request.read())
         outcome = await member.fleet_service.register(replica)
-        status = 200 if outcome.standing is Standing.DONE else 503
+        status = 200 if outcome.request_status is RequestStatus.DONE else 503
         return web.Response(status=status, text=member.fleet_service.heartbeat_address(replica))
 
     application = web.Application()
--- a/tests/test_cluster_version.py
+++ b/tests/test_cluster_version.py
@@ -11,7 +11,7 @@
 from heronladder_control.cluster_version import Holdup, find_holdups
 from heronladder_control.daemon_builds import DaemonBuilds
 from heronladder_control.daemons import ROLE_ROUTER
-from heronladder_control.leader_asks import Standing
+from heronladder_control.leader_requests import RequestStatus
 from heronladder_control.member import ControlMember
 from heronladder_control.state import ControlState
 from heronladder_runtime.cluster_versions import LATEST_VERSION, ClusterVersionError
@@ -116,7 +116,7 @@
             for sequence in range(2, 12):
                 replica.sequence = sequence
                 outcome = await self.leader.fleet_service.register(replica)
-                self.assertEqual(outcome.standing, Standing.DONE)
+                self.assertEqual(outcome.request_status, RequestStatus.DONE)
         self.assertLessEqual(self.leader.node.log.last_index - index, 1)  # what is in force
 
     async def test_an_unsupported_command_is_refused_and_nothing_appended(self) -> None:
--- a/tests/test_crowd_of_replicas.py
+++ b/tests/test_crowd_of_replicas.py
@@ -10,7 +10,7 @@
 from control_group import ControlGroup
 from heronladder_consensus.errors import LeadershipLostError, NotLeaderError
 from heronladder_consensus.storage import LogStorage
-from heronladder_control.leader_asks import FleetOutcome, Standing
+from heronladder_control.leader_requests import FleetOutcome, RequestStatus
 from heronladder_control.member import ControlMember
 from heronladder_control.results import success
 from heronladder_control.returning_replicas import RETURNS_AFTER_S
@@ -93,7 +93,7 @@
         assert member is not None
         before = member.node.log.last_index
         outcomes = await _register_all(member, 400)
-        self.assertEqual({outcome.standing for outcome in outcomes}, {Standing.DONE})
+        self.assertEqual({outcome.request_status for outcome in outcomes}, {RequestStatus.DONE})
         self.assertEqual(len(member.state.resources.resources["replica"]), 400)
         self.assertLess(member.node.log.last_index - before, 20)
 
@@ -139,7 +139,7 @@
         assert gateway is not None
         known = {one.id: one.gone for one in gateway.link.configuration.replicas()}
         self.assertTrue(known["leaves"])
-        self.assertEqual({outcome.standing for outcome in await crowd}, {Standing.DONE})
+        self.assertEqual({outcome.request_status for outcome in await crowd}, {RequestStatus.DONE})
 
     async def test_an_entry_of_many_that_is_cut_at_any_byte_is_whole_or_not_there(self) -> None:
         command = control_pb2.Command()
@@ -192,7 +192,7 @@
 
         with mock.patch.object(self.leader.fleet_service, "carry", counted):
             outcomes = await _register_all(self.follower, 300)
-        self.assertEqual({outcome.standing for outcome in outcomes}, {Standing.DONE})
+        self.assertEqual({outcome.request_status for outcome in outcomes}, {RequestStatus.DONE})
         self.assertLess(calls, 30)
         revisions = [outcome.result.revision for outcome in outcomes]
         self.assertTrue(all(revisions))
@@ -214,10 +214,10 @@
         unclear = [
             number
             for number, outcome in enumerate(outcomes)
-            if outcome.standing is Standing.UNCLEAR
+            if outcome.request_status is RequestStatus.UNCLEAR
         ]
         self.assertEqual(unclear, [7, 8])
-        done = [outcome for outcome in outcomes if outcome.standing is Standing.DONE]
+        done = [outcome for outcome in outcomes if outcome.request_status is RequestStatus.DONE]
         self.assertEqual(len(done), 38)
 
     async def test_an_answer_that_lacks_results_acknowledges_nobody(self) -> None:
@@ -230,8 +230,8 @@
 
         with mock.patch.object(self.leader.fleet_service, "carry", cut_short):
             outcomes = await _register_all(self.follower, 40)
-        standings = {outcome.standing for outcome in outcomes}
-        self.assertEqual(standings, {Standing.UNCLEAR})
+        standings = {outcome.request_status for outcome in outcomes}
+        self.assertEqual(standings, {RequestStatus.UNCLEAR})
 
     async def test_a_leader_that_does_not_answer_is_told_of_once_and_counted(self) -> None:
         async def breaks(_request: control_pb2.CarryRequest) -> control_pb2.CarryReply:
@@ -242,7 +242,7 @@
             self.assertLogs("heronladder", "WARNING") as logs,
         ):
             outcomes = await _register_all(self.follower, 5)
-        self.assertEqual({outcome.standing for outcome in outcomes}, {Standing.UNCLEAR})
+        self.assertEqual({outcome.request_status for outcome in outcomes}, {RequestStatus.UNCLEAR})
         told = [line for line in logs.output if "event=registrations_not_passed_on" in line]
         self.assertEqual(len(told), 1, told)
         self.assertIn(b"registration_calls_failed", self.follower.metrics.page())
@@ -283,7 +283,7 @@
         while not crowd.done():
             await asyncio.sleep(0.01)
         outcomes = await crowd
-        self.assertEqual({outcome.standing for outcome in outcomes}, {Standing.UNCLEAR})
+        self.assertEqual({outcome.request_status for outcome in outcomes}, {RequestStatus.UNCLEAR})
         self.assertLess(time.monotonic() - began_s, 2.5)  # 5.2 s, with 0.9 s of patience each
 
     async def test_an_operator_goes_before_a_crowd_and_nobody_in_it_is_starved(self) -> None:
@@ -294,13 +294,13 @@
         operator = asyncio.create_task(self.member.fleet_service.apply(wanted))
         for number in (1, 2):
             await self.group.start_member(number)
-        self.assertEqual((await operator).standing, Standing.DONE)
+        self.assertEqual((await operator).request_status, RequestStatus.DONE)
         for _ in range(20):  # as replicas do, which ask again
             outcomes = await crowd
-            if {outcome.standing for outcome in outcomes} == {Standing.DONE}:
+            if {outcome.request_status for outcome in outcomes} == {RequestStatus.DONE}:
                 break
             crowd = asyncio.create_task(_register_all(self.member, 600))
-        self.assertEqual({outcome.standing for outcome in outcomes}, {Standing.DONE})
+        self.assertEqual({outcome.request_status for outcome in outcomes}, {RequestStatus.DONE})
 
 
 if __name__ == "__main__":
--- a/tests/test_heartbeat_spread.py
+++ b/tests/test_heartbeat_spread.py
@@ -4,9 +4,9 @@
 from collections import Counter
 
 from heronladder_control.heartbeat_spread import (
-    MOVES_A_SECOND,
-    PASSED_OVER_S,
-    SPREAD_OVER,
+    MOVES_PER_SECOND,
+    EXCLUSION_S,
+    MIN_REPLICAS_TO_SPREAD,
     HeartbeatSpread,
     SpreadView,
 )
@@ -61,7 +61,7 @@
         return moves
 
     def test_few_replicas_all_beat_at_the_leader(self) -> None:
-        view = _view("m1", replicas=SPREAD_OVER - 1)
+        view = _view("m1", replicas=MIN_REPLICAS_TO_SPREAD - 1)
         self.assertEqual(self.spreads["m1"].name(_replica(1), view), "m0:80")
 
     def test_many_settle_at_near_members_and_the_leader_has_none(self) -> None:
@@ -76,7 +76,7 @@
     def test_a_member_moves_only_so_many_in_a_second(self) -> None:
         spread = self.spreads["m0"]
         told = [spread.name(_replica(n), _view("m0")) for n in range(500)]
-        self.assertEqual(sum(one != "m0:80" for one in told), MOVES_A_SECOND)
+        self.assertEqual(sum(one != "m0:80" for one in told), MOVES_PER_SECOND)
 
     def test_a_member_that_goes_is_passed_over_until_long_after(self) -> None:
         """It was named again and again: each heartbeat then failed once."""
@@ -88,9 +88,9 @@
             self.clock.now_s -= 1.2
             self.clock.now_s += 1.0
         lasted = sum(at == "m2" for at in self.at.values())
-        self.assertLess(failed, 2 * 200 + MOVES_A_SECOND, "each fails once, some once more")
+        self.assertLess(failed, 2 * 200 + MOVES_PER_SECOND, "each fails once, some once more")
         self.assertEqual(lasted, 0)
-        self.clock.now_s += PASSED_OVER_S
+        self.clock.now_s += EXCLUSION_S
         self._rounds(20, 600)
         self.assertGreater(sum(at == "m2" for at in self.at.values()), 100, "it came back")
 
--- a/tests/test_registration_batches.py
+++ b/tests/test_registration_batches.py
@@ -9,9 +9,9 @@
 
 from heronladder_consensus.errors import LeadershipLostError
 from heronladder_control.registration_batches import (
-    MOST_AT_ONCE,
-    MOST_WAITING,
-    PAUSE_S,
+    MAX_BATCH_REGISTRATIONS,
+    MAX_WAITING_REGISTRATIONS,
+    PAUSE_PER_ROUTER_S,
     RegistrationBatches,
 )
 from heronladder_control.results import success
@@ -38,7 +38,7 @@
         self.tasks = TaskGroupOwner(self.log)
         self.node = mock.Mock()
         self.sessions = range(_STREAMS)
-        fleet = SimpleNamespace(settled=lambda told: False)  # nothing is known yet
+        fleet = SimpleNamespace(is_up_to_date=lambda told: False)  # nothing is known yet
         self.state = SimpleNamespace(applied_index=0, fleet=fleet, cluster_version=LATEST_VERSION)
         self.registered: list[str] = []
         self.commit_s = 0.1
@@ -85,7 +85,9 @@
 
         async def scenario(_member: _Member, batches: RegistrationBatches) -> None:
             crowd = [asyncio.create_task(replica(batches, n)) for n in range(_REPLICAS)]
-            _, late = await asyncio.wait(crowd, timeout=2 * _REPLICAS / MOST_AT_ONCE * 0.4)
+            _, late = await asyncio.wait(
+                crowd, timeout=2 * _REPLICAS / MAX_BATCH_REGISTRATIONS * 0.4
+            )
             for task in late:
                 task.cancel()
             self.assertFalse(len(late))
@@ -97,7 +99,8 @@
             member.commit_s = 0.0
             await batches.propose(_order("first"))
             gone = [
-                asyncio.create_task(batches.propose(_order(f"g{n}"))) for n in range(MOST_WAITING)
+                asyncio.create_task(batches.propose(_order(f"g{n}")))
+                for n in range(MAX_WAITING_REGISTRATIONS)
             ]
             await asyncio.sleep(0.01)
             for task in gone:
@@ -106,7 +109,7 @@
             began_s = member.environment.monotonic()
             await batches.propose(_order("lives"))
             took_s = member.environment.monotonic() - began_s
-            self.assertLess(took_s, 1.1 * PAUSE_S * _STREAMS)
+            self.assertLess(took_s, 1.1 * PAUSE_PER_ROUTER_S * _STREAMS)
             self.assertEqual(member.registered, ["first", "lives"])
 
         _run(scenario)
@@ -117,7 +120,7 @@
         async def scenario(member: _Member, batches: RegistrationBatches) -> None:
             first = asyncio.create_task(batches.propose(_order("first")))
             await asyncio.sleep(0.01)
-            names = [f"r{number}" for number in range(2 * MOST_AT_ONCE)]
+            names = [f"r{number}" for number in range(2 * MAX_BATCH_REGISTRATIONS)]
             crowd = [asyncio.create_task(batches.propose(_order(name))) for name in names]
             await asyncio.sleep(0.01)
             await batches.propose(_order(names[-1], gone=True))
@@ -135,7 +138,7 @@
             member.failure = ValueError("broken")
             asked = [
                 asyncio.create_task(batches.propose(_order(f"r{number}")))
-                for number in range(MOST_AT_ONCE + 5)
+                for number in range(MAX_BATCH_REGISTRATIONS + 5)
             ]
             done, waiting = await asyncio.wait(asked, timeout=5)
             for task in waiting:
--- a/tests/test_replica_incarnations.py
+++ b/tests/test_replica_incarnations.py
@@ -112,7 +112,7 @@
         known = self.fleet.replica("a")
         assert known is not None
         self.assertEqual((known.address, known.start_ms, known.draining), ("10.0.0.2:80", 2, False))
-        self.assertTrue(self.fleet.settled(_told("a", address="10.0.0.1:80", start_ms=1)))
+        self.assertTrue(self.fleet.is_up_to_date(_told("a", address="10.0.0.1:80", start_ms=1)))
 
     def test_one_that_deregistered_comes_back_as_a_later_start_and_not_as_the_same(self) -> None:
         self._register(_told("left", start_ms=1))
