--- a/packages/heronladder-control/src/heronladder_control/api.py
+++ b/packages/heronladder-control/src/heronladder_control/api.py
@@ -33,11 +33,11 @@
 CHANGE_ID_HEADER = "Heronladder-Change-Id"
 _FORWARDED_HEADER = "Heronladder-Forwarded-By"
 _SCHEME = "Bearer "
-_LONGEST_WAIT_S = 60.0
-_LEADER_TRIES = 20
-_LEADER_PAUSE_S = 0.25
-_WATCH_IDLE_S = 10.0
-_MAXIMUM_BODY_BYTES = 4 * 1024 * 1024
+_MAX_WAIT_S = 60.0
+_MAX_LEADER_ATTEMPTS = 20
+_LEADER_RETRY_INTERVAL_S = 0.25
+_WATCH_BOOKMARK_INTERVAL_S = 10.0
+_MAX_BODY_BYTES = 4 * 1024 * 1024
 _STATUS_OF_CODE = {
     control_pb2.RESULT_CODE_OK: 200,
     control_pb2.RESULT_CODE_VERSION_CONFLICT: 409,
@@ -73,7 +73,7 @@
         """Return the application that serves the API."""
         application = web.Application(
             middlewares=[self._authorize, self._forward_to_leader],
-            client_max_size=_MAXIMUM_BODY_BYTES,
+            client_max_size=_MAX_BODY_BYTES,
         )
         routes = application.router
         routes.add_get("/v1/status", self._status)
@@ -121,7 +121,7 @@
         self, request: web.Request, handler: _Handler
     ) -> web.StreamResponse:
         """Answer here while leading; otherwise pass the call on to the leader."""
-        for _ in range(_LEADER_TRIES):
+        for _ in range(_MAX_LEADER_ATTEMPTS):
             if self._member.node.is_leader:
                 try:
                     return await handler(request)
@@ -137,13 +137,15 @@
             if leader is not None and leader.name != self._member.options.name:
                 if _FORWARDED_HEADER in request.headers:
                     return _error(503, "no_leader", "leadership is changing; try again")
-                passed = await self._pass_on(request, leader.api_address)
+                passed = await self._proxy_to_leader(request, leader.api_address)
                 if passed is not None:
                     return passed
-            await asyncio.sleep(_LEADER_PAUSE_S)
+            await asyncio.sleep(_LEADER_RETRY_INTERVAL_S)
         return _error(503, "no_leader", "no leader is known; try again")
 
-    async def _pass_on(self, request: web.Request, address: str) -> web.StreamResponse | None:
+    async def _proxy_to_leader(
+        self, request: web.Request, address: str
+    ) -> web.StreamResponse | None:
         if self._client is None:
             self._client = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=None))
         headers = {
@@ -298,7 +300,7 @@
                         yield _event_document(event)
                 revision = in_force
                 yield {"type": "bookmark", "revision": revision}
-            if not await member.in_force_changed.wait(_WATCH_IDLE_S):
+            if not await member.in_force_changed.wait(_WATCH_BOOKMARK_INTERVAL_S):
                 yield {"type": "bookmark", "revision": revision}
 
     # ---- status, members, ledger ------------------------------------------
@@ -361,7 +363,7 @@
 
 def _seconds(text: str) -> float:
     try:
-        return min(max(float(text), 0.0), _LONGEST_WAIT_S)
+        return min(max(float(text), 0.0), _MAX_WAIT_S)
     except ValueError:
         return 0.0
 
--- a/packages/heronladder-control/src/heronladder_control/config_feed.py
+++ b/packages/heronladder-control/src/heronladder_control/config_feed.py
@@ -23,18 +23,18 @@
 
 # Parts that a daemon has not confirmed yet. What else is to be said waits behind so many on
 # a thin link: 1.6 s at 5 kB/s: one alone would halve the speed of a link.
-_PARTS_UNDER_WAY = 2
+_MAX_UNCONFIRMED_PARTS = 2
 # A part that is confirmed so soon is followed by one twice as large, up to the most; after one
 # that took long they are small again. 100 kB to each of 300 routers that begin anew were 15,000
 # frames. The most is 50 ms of a link of 5 Mbit/s; a part twice as large as a quick one still
 # ends within a router's patience of 0.9 s.
-_QUICK_S = 0.25
-_SLOW_S = 0.5
-_MOST_PART_BYTES = 32 * 1024
+_QUICK_CONFIRMATION_S = 0.25
+_SLOW_CONFIRMATION_S = 0.5
+_MAX_PART_BYTES = 32 * 1024
 # Orders and answers to heartbeats wait behind parts: over a thin link two parts of 4 KiB each took
 # as long as a stream may be silent.
-_LEAST_PART_BYTES = 1024
-_UPDATES_KEPT = 8  # packed; a whole one is some 100 kB at 3,000 replicas
+_MIN_PART_BYTES = 1024
+_MAX_CACHED_UPDATES = 8  # packed; a whole one is some 100 kB at 3,000 replicas
 _ROUTER_KINDS = frozenset(
     {
         "tenant",
@@ -50,7 +50,7 @@
 )
 
 
-def wants(record: ledger_pb2.DaemonRecord, event: control_pb2.ConfigEvent) -> bool:
+def is_relevant(record: ledger_pb2.DaemonRecord, event: control_pb2.ConfigEvent) -> bool:
     """Whether a daemon acts on this kind of resource."""
     if record.role == ROLE_ROUTER:
         return event.kind in _ROUTER_KINDS
@@ -81,7 +81,7 @@
         Returns:
             None if the daemon lacks nothing, or has not confirmed earlier parts yet.
         """
-        if session.parts_sent - session.parts_received >= _PARTS_UNDER_WAY:
+        if session.parts_sent - session.parts_received >= _MAX_UNCONFIRMED_PARTS:
             return None
         if session.update is None:
             revision = self._member.state.resources.revision
@@ -105,12 +105,10 @@
         parts = min(parts, session.parts_sent)
         for number in range(session.parts_received + 1, parts + 1):
             took_s = now_s - session.part_sent_s.pop(number, now_s)
-            if took_s <= _QUICK_S:
-                session.part_bytes = min(2 * session.part_bytes, _MOST_PART_BYTES)
-            elif took_s > _SLOW_S:
-                session.part_bytes = max(
-                    _LEAST_PART_BYTES, min(session.part_bytes // 2, PART_BYTES)
-                )
+            if took_s <= _QUICK_CONFIRMATION_S:
+                session.part_bytes = min(2 * session.part_bytes, _MAX_PART_BYTES)
+            elif took_s > _SLOW_CONFIRMATION_S:
+                session.part_bytes = max(_MIN_PART_BYTES, min(session.part_bytes // 2, PART_BYTES))
         session.parts_received = max(session.parts_received, parts)
 
     def _update_for(self, session: DaemonSession) -> control_pb2.ConfigUpdate:
@@ -124,12 +122,12 @@
         update = control_pb2.ConfigUpdate(snapshot=events is None, revision=resources.revision)
         if events is None:
             events = resources.all_as_events()
-        wanted = (event for event in events if wants(session.record, event))
+        wanted = (event for event in events if is_relevant(session.record, event))
         if not is_router:
             update.events.extend(wanted)
             return update
         update.events.extend(without_document(event) for event in wanted)
         packed = self._router_updates[key] = pack(update)
-        if len(self._router_updates) > _UPDATES_KEPT:
+        if len(self._router_updates) > _MAX_CACHED_UPDATES:
             self._router_updates.popitem(last=False)
         return packed
--- a/packages/heronladder-control/src/heronladder_control/daemons.py
+++ b/packages/heronladder-control/src/heronladder_control/daemons.py
@@ -7,7 +7,7 @@
 
 ROLE_ROUTER = "router"
 ROLE_AGENT = "agent"
-_PREVIOUS_KEPT = 16
+_MAX_PREVIOUS_INCARNATIONS = 16
 
 
 class DaemonTable:
@@ -45,7 +45,9 @@
                 return success()
             if not known.gone:
                 self._retire(known)
-            record.previous.extend([*known.previous, known.incarnation][-_PREVIOUS_KEPT:])
+            record.previous.extend(
+                [*known.previous, known.incarnation][-_MAX_PREVIOUS_INCARNATIONS:]
+            )
         self.daemons[wanted.name] = record
         return success()
 
--- a/packages/heronladder-control/src/heronladder_control/fleet.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet.py
@@ -31,7 +31,9 @@
         self._rollouts = rollouts or RolloutTable(resources)
         self._resources = resources
         self._prepaid = prepaid
-        self._at: dict[str, set[str]] | None = None  # ids by address; None: to be read anew
+        self._ids_by_address: dict[str, set[str]] | None = (
+            None  # ids by address; None: to be read anew
+        )
 
     # ---- configuration ----------------------------------------------------
 
@@ -147,7 +149,7 @@
             watches = order.watch_newcomers and not (state.gone or state.draining)
             versions = self._rollouts.versions(state.service) if watches else set()
             if not order.keeps_others:
-                self._end_others_at(index, state)
+                self._end_others_at_address(index, state)
             self._write(index, state)
             if watches:
                 self._rollouts.watch_newcomer(index, state.service, state.software, versions)
@@ -162,7 +164,7 @@
 
         Else a heartbeat that a cut held up would displace the replica that runs there.
         """
-        others = (self.replica(name) for name in self._ids_at(told.address))
+        others = (self.replica(name) for name in self._ids_at_address(told.address))
         return any(
             other is not None
             and other.id != told.id
@@ -184,26 +186,26 @@
         resource = resources_pb2.Resource()
         resource.replica.CopyFrom(state)
         self._resources.write(index, REPLICA_KIND, state.id, resource)
-        if self._at is not None:
-            self._at.setdefault(state.address, set()).add(state.id)
+        if self._ids_by_address is not None:
+            self._ids_by_address.setdefault(state.address, set()).add(state.id)
 
     def reset_address_index(self) -> None:
         """Note that the resources were replaced by a snapshot's."""
-        self._at = None
+        self._ids_by_address = None
 
-    def _ids_at(self, address: str) -> list[str]:
+    def _ids_at_address(self, address: str) -> list[str]:
         """Return the replicas that ever were at an address, and may be there."""
-        if self._at is None:
-            self._at = {}
+        if self._ids_by_address is None:
+            self._ids_by_address = {}
             for name, resource in self._resources.resources[REPLICA_KIND].items():
-                self._at.setdefault(resource.replica.address, set()).add(name)
-        return sorted(self._at.get(address, ()))
+                self._ids_by_address.setdefault(resource.replica.address, set()).add(name)
+        return sorted(self._ids_by_address.get(address, ()))
 
-    def _end_others_at(self, index: int, state: resources_pb2.Replica) -> None:
+    def _end_others_at_address(self, index: int, state: resources_pb2.Replica) -> None:
         """End those that had the address: their late heartbeats must not bring them back."""
         if state.gone:
             return
-        for name in self._ids_at(state.address):
+        for name in self._ids_at_address(state.address):
             other = self.replica(name)
             if other is None or name == state.id or other.gone or other.address != state.address:
                 continue
@@ -232,9 +234,9 @@
         return success()
 
     def _forget_address(self, replica: resources_pb2.Replica) -> None:
-        if self._at is None:
+        if self._ids_by_address is None:
             return
-        ids = self._at.get(replica.address, set())
+        ids = self._ids_by_address.get(replica.address, set())
         ids.discard(replica.id)
         if not ids:
-            self._at.pop(replica.address, None)
+            self._ids_by_address.pop(replica.address, None)
--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -28,9 +28,9 @@
 from heronladder_control.rollouts.orders import RolloutOrders
 
 _IN_FORCE_WAIT_S = 3.0
-_APPLY_PATIENCE_S = 3.5
-_REGISTER_PATIENCE_S = 0.9
-_READ_PATIENCE_S = 1.5
+_APPLY_TIMEOUT_S = 3.5
+_REGISTER_TIMEOUT_S = 0.9
+_READ_TIMEOUT_S = 1.5
 
 
 class FleetService:
@@ -44,10 +44,10 @@
         self._member = member
         self._returning = ReturningReplicas(member.environment)
         self._cold_reports = ColdReports(member.environment)
-        self._late_orders = LateOrders(member.environment)
+        self._overtaken_evacuations = LateOrders(member.environment)
         self._spread = HeartbeatSpread(member.environment)
         member.metrics.gauge("heartbeats_moved", lambda: self._spread.moved)
-        self._asks = LeaderRequests(member, self.carry)
+        self._leader_requests = LeaderRequests(member, self.carry)
         self._batches = RegistrationBatches(member)
         self._rollout_orders = RolloutOrders(member)
 
@@ -59,8 +59,8 @@
             in_force_wait_ms=int(_IN_FORCE_WAIT_S * MILLISECONDS_PER_SECOND)
         )
         request.command.apply_configuration.configuration.CopyFrom(configuration)
-        order = self._order("configuration", str(configuration.version))
-        return await self._asks.ask(request, _APPLY_PATIENCE_S, order)
+        order = self._order_timing("configuration", str(configuration.version))
+        return await self._leader_requests.ask(request, _APPLY_TIMEOUT_S, order)
 
     async def evacuate(self, zone: str, *, ended: bool) -> FleetOutcome:
         """Evacuate a zone, or take that back; done once it is in force.
@@ -79,8 +79,8 @@
         )
         request.command.set_evacuation.zone = zone
         request.command.set_evacuation.ended = ended
-        order = self._order("evacuation", f"{zone} {'ended' if ended else 'begun'}")
-        return await self._asks.ask(request, _APPLY_PATIENCE_S, order)
+        order = self._order_timing("evacuation", f"{zone} {'ended' if ended else 'begun'}")
+        return await self._leader_requests.ask(request, _APPLY_TIMEOUT_S, order)
 
     async def start_rollout(self, service: str, target: str, duration_s: float) -> FleetOutcome:
         """Move a service to a version; done once the order is in force.
@@ -101,18 +101,18 @@
         command.service = service
         command.target = target
         command.duration_ms = int(duration_s * MILLISECONDS_PER_SECOND)
-        order = self._order("rollout", f"{service} to {target}")
-        return await self._asks.ask(request, _APPLY_PATIENCE_S, order)
+        order = self._order_timing("rollout", f"{service} to {target}")
+        return await self._leader_requests.ask(request, _APPLY_TIMEOUT_S, order)
 
     async def read_rollout(self, service: str) -> FleetOutcome:
         """Return a service's newest roll-out, confirmed by a quorum."""
-        return await self._asks.ask(
-            control_pb2.CarryRequest(read_rollout=service), _READ_PATIENCE_S
+        return await self._leader_requests.ask(
+            control_pb2.CarryRequest(read_rollout=service), _READ_TIMEOUT_S
         )
 
     async def read(self) -> FleetOutcome:
         """Return the newest configuration, confirmed by a quorum."""
-        return await self._asks.ask(control_pb2.CarryRequest(), _READ_PATIENCE_S)
+        return await self._leader_requests.ask(control_pb2.CarryRequest(), _READ_TIMEOUT_S)
 
     async def register(self, replica: resources_pb2.Replica) -> FleetOutcome:
         """Take what a replica tells of itself.
@@ -133,14 +133,14 @@
         request = control_pb2.CarryRequest()
         order = None
         if leaves:
-            order = self._order("leave", replica.id)
-            request.in_force_wait_ms = int(_REGISTER_PATIENCE_S * MILLISECONDS_PER_SECOND)
+            order = self._order_timing("leave", replica.id)
+            request.in_force_wait_ms = int(_REGISTER_TIMEOUT_S * MILLISECONDS_PER_SECOND)
         request.command.register_replica.replica.CopyFrom(replica)
         request.command.register_replica.cold_news = cold_news
         request.command.register_replica.watch_newcomers = (
             self._member.options.rollout_limits.enabled
         )
-        return await self._asks.ask(request, _REGISTER_PATIENCE_S, order)
+        return await self._leader_requests.ask(request, _REGISTER_TIMEOUT_S, order)
 
     def _as_recorded(self, replica: resources_pb2.Replica) -> resources_pb2.Replica:
         """Return what the log may hold of a replica: the rest would count as news each time."""
@@ -174,7 +174,7 @@
 
     # ---- at the leader ----------------------------------------------------
 
-    def _order(self, kind: str, about: str) -> OrderTimes:
+    def _order_timing(self, kind: str, about: str) -> OrderTimes:
         return OrderTimes(kind, about, self._member.environment)
 
     async def carry(self, request: control_pb2.CarryRequest) -> control_pb2.CarryReply:
@@ -184,9 +184,9 @@
             if not request.HasField("command"):
                 return await self._read_as_leader(request.read_rollout)
             is_replica = request.command.HasField("register_replica")
-            if is_replica and self._is_late(request.command.register_replica):
+            if is_replica and self._is_from_replaced_replica(request.command.register_replica):
                 return control_pb2.CarryReply(result=success())
-            if is_replica and self._names_an_earlier_start(request.command.register_replica):
+            if is_replica and self._names_earlier_start(request.command.register_replica):
                 return control_pb2.CarryReply(unclear=True)
             if self._is_overtaken(request):
                 return control_pb2.CarryReply(unclear=True)
@@ -217,7 +217,7 @@
         return reply
 
     async def _register_one(self, order: control_pb2.RegisterReplica) -> control_pb2.CommandResult:
-        if self._is_late(order):
+        if self._is_from_replaced_replica(order):
             return success()
         try:
             return await self._batches.propose(order)
@@ -226,7 +226,7 @@
         except LeadershipLostError as error:
             return failure(control_pb2.RESULT_CODE_UNCLEAR, str(error))
 
-    def _is_late(self, order: control_pb2.RegisterReplica) -> bool:
+    def _is_from_replaced_replica(self, order: control_pb2.RegisterReplica) -> bool:
         """Whether a heartbeat is of a replica whose address another incarnation has.
 
         If it is proved to run all the same, the order is marked to bring it back.
@@ -245,7 +245,7 @@
         )
         return not order.returns
 
-    def _names_an_earlier_start(self, order: control_pb2.RegisterReplica) -> bool:
+    def _names_earlier_start(self, order: control_pb2.RegisterReplica) -> bool:
         """Whether a deregistration was given an earlier start than the one known here.
 
         The member that was asked may lag: acknowledged, it would have ended nothing, and the
@@ -275,7 +275,7 @@
             return False
         order = request.command.set_evacuation
         age_s = request.age_ms / MILLISECONDS_PER_SECOND
-        is_late = self._late_orders.is_late(order.zone, age_s, self._member.node.term)
+        is_late = self._overtaken_evacuations.is_late(order.zone, age_s, self._member.node.term)
         self._member.log.info(
             "evacuation_ordered",
             step="evacuate",
@@ -291,7 +291,7 @@
 
     def begin_term(self) -> None:
         """Begin as the leader."""
-        self._late_orders.begin(self._member.node.term)
+        self._overtaken_evacuations.begin(self._member.node.term)
         self._rollout_orders.begin()
 
     def applied(self, command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
@@ -300,21 +300,21 @@
         if body == "set_evacuation":
             zone = command.set_evacuation.zone
             if result.revision == self._member.state.applied_index:  # else nothing changed
-                self._late_orders.changed(zone)
+                self._overtaken_evacuations.changed(zone)
                 self._report_evacuation(zone, ended=command.set_evacuation.ended)
         elif body in ("start_rollout", "advance_rollout"):
             self._rollout_orders.applied(command, result)
         elif body == "put_resource" and command.put_resource.kind == EVACUATION_KIND:
-            self._late_orders.changed(command.put_resource.resource.metadata.name)
+            self._overtaken_evacuations.changed(command.put_resource.resource.metadata.name)
         elif body == "delete_resource" and command.delete_resource.kind == EVACUATION_KIND:
-            self._late_orders.changed(command.delete_resource.name)
+            self._overtaken_evacuations.changed(command.delete_resource.name)
         elif body == "register_replica":
-            self._note_cold(command.register_replica)
+            self._note_cold_report(command.register_replica)
         elif body == "register_replicas":
             for order in command.register_replicas.orders:
-                self._note_cold(order)
+                self._note_cold_report(order)
 
-    def _note_cold(self, order: control_pb2.RegisterReplica) -> None:
+    def _note_cold_report(self, order: control_pb2.RegisterReplica) -> None:
         recorded = self._member.state.fleet.replica(order.replica.id)
         if recorded is None:
             return
--- a/packages/heronladder-control/src/heronladder_control/heartbeat_spread.py
+++ b/packages/heronladder-control/src/heronladder_control/heartbeat_spread.py
@@ -20,8 +20,8 @@
 # Replicas that one member sends elsewhere in a second: each makes a new connection.
 MOVES_PER_SECOND = 50
 EXCLUSION_S = 30.0  # a member from which a replica came back gets none for so long
-_LOST_AFTER_S = 2.0  # a member that heard of no leader for so long sends its replicas on
-_MOST_SENT = 4_096  # replicas remembered as sent elsewhere
+_LEADER_LOST_AFTER_S = 2.0  # a member that heard of no leader for so long sends its replicas on
+_MAX_REMEMBERED_MOVES = 4_096  # replicas remembered as sent elsewhere
 
 
 @dataclass(frozen=True)
@@ -53,7 +53,7 @@
     def __init__(self, environment: Environment) -> None:
         self._environment = environment
         self._sent: OrderedDict[str, tuple[str, float]] = OrderedDict()
-        self._passed_over_s: dict[str, float] = {}  # until when, by member
+        self._excluded_until_s: dict[str, float] = {}  # until when, by member
         self._moves = float(MOVES_PER_SECOND)
         self._moves_at_s = environment.monotonic()
         self.moved = 0
@@ -64,11 +64,11 @@
         if view.replicas < MIN_REPLICAS_TO_SPREAD or view.own not in addresses:
             return addresses.get(view.leader, "")
         self._note_return(replica.id)
-        home = self._home(replica, view)
+        home = self._preferred_member(replica, view)
         if home == view.own or not self._may_move():
             return addresses[view.own]
         self._sent[replica.id] = (home, self._environment.monotonic())
-        while len(self._sent) > _MOST_SENT:
+        while len(self._sent) > _MAX_REMEMBERED_MOVES:
             self._sent.popitem(last=False)
         self.moved += 1
         return addresses[home]
@@ -76,19 +76,19 @@
     def excluded_members(self) -> list[str]:
         """Return the members that get no replicas now."""
         now_s = self._environment.monotonic()
-        return sorted(name for name, until_s in self._passed_over_s.items() if until_s > now_s)
+        return sorted(name for name, until_s in self._excluded_until_s.items() if until_s > now_s)
 
     def _note_return(self, identity: str) -> None:
         """Pass a member over from which a replica came back: it was not served there."""
         sent = self._sent.pop(identity, None)
         now_s = self._environment.monotonic()
         if sent is not None and now_s - sent[1] < EXCLUSION_S:
-            self._passed_over_s[sent[0]] = now_s + EXCLUSION_S
+            self._excluded_until_s[sent[0]] = now_s + EXCLUSION_S
 
-    def _home(self, replica: resources_pb2.Replica, view: SpreadView) -> str:
+    def _preferred_member(self, replica: resources_pb2.Replica, view: SpreadView) -> str:
         """Return the member to which a replica belongs, as far as this one knows."""
         excluded_members = set(self.excluded_members())
-        if view.own != view.leader and view.silent_s > _LOST_AFTER_S:
+        if view.own != view.leader and view.silent_s > _LEADER_LOST_AFTER_S:
             excluded_members.add(view.own)
         able = [one for one in view.members if one.api_address and one.name not in excluded_members]
         followers = [one for one in able if one.name != view.leader]
--- a/packages/heronladder-control/src/heronladder_control/leader_requests.py
+++ b/packages/heronladder-control/src/heronladder_control/leader_requests.py
@@ -17,7 +17,7 @@
 from heronladder_control.registration_relay import RegistrationRelay
 from heronladder_control.results import failure
 
-_VERSION_LOOK_S = 0.1  # between two looks whether the cluster version allows an order
+_VERSION_CHECK_INTERVAL_S = 0.1  # between two looks whether the cluster version allows an order
 Carry = Callable[[control_pb2.CarryRequest], Awaitable[control_pb2.CarryReply]]
 
 
@@ -72,7 +72,7 @@
             patience_s: Longest time in all, in seconds.
             order: Whose waits are told; None: nobody's.
         """
-        reply = await self._ask_until_clear(request, patience_s, order)
+        reply = await self._send_until_clear(request, patience_s, order)
         outcome = self._outcome(reply) if reply is not None else FleetOutcome(RequestStatus.UNCLEAR)
         if order is not None:
             order.report(
@@ -80,7 +80,7 @@
             )
         return outcome
 
-    async def _ask_until_clear(
+    async def _send_until_clear(
         self, request: control_pb2.CarryRequest, patience_s: float, order: OrderTimes | None
     ) -> control_pb2.CarryReply | None:
         asked = SilenceWatch(self._member.environment)
@@ -92,20 +92,20 @@
             request.age_ms = int(waited.silent_s * MILLISECONDS_PER_SECOND)
             if order is not None:
                 order.sent()
-            reply = await self._ask_once(request, left_s)
+            reply = await self._send_once(request, left_s)
             if reply is not None and not (reply.not_leader or self._is_too_early(reply)):
                 return reply
             left_s = asked.silence().left_s(patience_s)
             if reply is not None and self._is_too_early(reply):
-                if left_s <= _VERSION_LOOK_S:
+                if left_s <= _VERSION_CHECK_INTERVAL_S:
                     return reply
-                await asyncio.sleep(_VERSION_LOOK_S)
+                await asyncio.sleep(_VERSION_CHECK_INTERVAL_S)
                 continue
             is_replica = request.command.HasField("register_replica")
             if not await self._member.admission.ask(max(0.0, left_s), first=not is_replica):
                 return None
 
-    async def _ask_once(
+    async def _send_once(
         self, request: control_pb2.CarryRequest, left_s: float
     ) -> control_pb2.CarryReply | None:
         if self._member.node.is_leader:
@@ -119,10 +119,10 @@
         if request.HasField("command"):
             version = self._member.state.cluster_version
             if not is_allowed(request.command, version):
-                return self._not_in_force(request.command)
+                return self._version_too_low_reply(request.command)
             if self._may_be_batched(request, version):
                 return await self._relay.ask(request.command.register_replica, left_s)
-            request = self._at_version(request, version)
+            request = self._reduced_to_version(request, version)
         try:
             stub = self._member.stubs.control(address)
             reply: control_pb2.CarryReply = await stub.Carry(request, timeout=left_s)
@@ -143,7 +143,9 @@
         return is_replica and not request.in_force_wait_ms and is_allowed(batch, version)
 
     @staticmethod
-    def _at_version(request: control_pb2.CarryRequest, version: int) -> control_pb2.CarryRequest:
+    def _reduced_to_version(
+        request: control_pb2.CarryRequest, version: int
+    ) -> control_pb2.CarryRequest:
         """Return a request that an earlier build at the other end writes into the log as it is."""
         reduced = control_pb2.CarryRequest()
         reduced.CopyFrom(request)
@@ -151,7 +153,7 @@
         return reduced
 
     @staticmethod
-    def _not_in_force(command: control_pb2.Command) -> control_pb2.CarryReply:
+    def _version_too_low_reply(command: control_pb2.Command) -> control_pb2.CarryReply:
         kind = command.WhichOneof("body") or ""
         message = f"{kind} needs a later cluster version than the one in force; nothing was done"
         return control_pb2.CarryReply(
--- a/packages/heronladder-control/src/heronladder_control/member.py
+++ b/packages/heronladder-control/src/heronladder_control/member.py
@@ -32,13 +32,13 @@
 from heronladder_control.sessions import ControlService, SessionServices
 from heronladder_control.state import ControlState
 
-_CHORE_INTERVAL_S = 0.5
+_LEADER_LOOP_TIMEOUT_S = 0.5
 # Between two rounds of what costs with the number of daemons, holders and replicas: each
 # heartbeat woke them, 1,000 a second of 300 gateways.
-_CHORE_PAUSE_S = 0.1
-_IN_FORCE_PAUSE_S = 0.00005  # a daemon, between two looks at all of them: 15 ms at 300
-_CLOSED_AT_ONCE = 32  # holders; what puts changes in force waits for one such round
-_LEFT_OUT_NAMED = 8  # daemons named in a log line, so that it stays short
+_CLEANUP_INTERVAL_S = 0.1
+_IN_FORCE_PAUSE_PER_DAEMON_S = 0.00005  # a daemon, between two looks at all of them: 15 ms at 300
+_MAX_CONCURRENT_CLOSES = 32  # holders; what puts changes in force waits for one such round
+_MAX_LOGGED_DAEMONS = 8  # daemons named in a log line, so that it stays short
 _CLAIM_AGE_MS = 24 * 3600 * 1000
 _CLAIM_DROP_INTERVAL_S = 600.0
 
@@ -88,14 +88,14 @@
         )
         self.consensus_service = ConsensusService(self.node)
         self.state.listeners.append(self._applied)
-        self.state.restored = self._check_group
+        self.state.restored = self._check_group_name
         self.state.refused = self._report_refusal
 
     async def start(self) -> None:
         """Start the member's tasks."""
         await self.node.start()
-        self._check_group()
-        self.tasks.start("leader_chores", self._tend_leadership())
+        self._check_group_name()
+        self.tasks.start("leader_chores", self._run_leader_tasks())
         self.tasks.start("promise_notes", self.promise_notes.run())
 
     async def stop(self) -> None:
@@ -108,7 +108,7 @@
     def _applied(self, command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
         body = command.WhichOneof("body")
         if body == "name_group":
-            self._check_group()
+            self._check_group_name()
         if body == "set_cluster_version":
             self.log.info(
                 "cluster_version_in_force",
@@ -144,23 +144,23 @@
 
     # ---- the leader's chores ----------------------------------------------
 
-    async def _tend_leadership(self) -> None:
+    async def _run_leader_tasks(self) -> None:
         while True:
             if not self.node.is_leader:
                 await self.node.changed.wait()
                 continue
             try:
                 await self.node.read_barrier()
-                self._begin_term()
-                refusing = self.tasks.start("refusals", self._refuse_crashing())
+                self._start_term()
+                refusing = self.tasks.start("refusals", self._propose_crash_refusals())
                 try:
-                    await self._lead()
+                    await self._run_leader_loop()
                 finally:
                     refusing.cancel()
             except HeronladderError as error:
                 self.log.info("leader_chores_ended", step=error.step, reason=error.message)
 
-    async def _refuse_crashing(self) -> None:
+    async def _propose_crash_refusals(self) -> None:
         """Refuse requests that crash replicas, apart from the other chores.
 
         Each of those waits for the log: meanwhile the request would crash more replicas.
@@ -172,7 +172,7 @@
                 self.log.info("refusals_not_noted", step=error.step, reason=error.message)
             await self.refusals.reported.wait(self.refusals.look_s)
 
-    def _check_group(self) -> None:
+    def _check_group_name(self) -> None:
         """End if the log names another group: this member's state would not be the others'."""
         named = self.state.named_group
         if named and named != self.options.group:
@@ -189,7 +189,7 @@
         await self.propose(command)
         self.log.info("group_named", step="name_group", peer=self.options.group)
 
-    def _begin_term(self) -> None:
+    def _start_term(self) -> None:
         """Begin as the leader: what an earlier term knew beside the log is void."""
         self.cluster_versions.begin()
         self.in_force.begin(
@@ -203,7 +203,7 @@
         for session in self.sessions.values():
             self.service.note_connected(session)
 
-    async def _lead(self) -> None:
+    async def _run_leader_loop(self) -> None:
         next_chores_s = 0.0
         next_drop_s = self.environment.monotonic() + _CLAIM_DROP_INTERVAL_S
         ended = EndedReplicas(self.environment)
@@ -214,16 +214,16 @@
             await self._put_in_force()
             await self.rollouts.tend()
             if self.environment.monotonic() >= next_chores_s:
-                next_chores_s = self.environment.monotonic() + _CHORE_PAUSE_S
-                await self._declare_silent_gone()
+                next_chores_s = self.environment.monotonic() + _CLEANUP_INTERVAL_S
+                await self._declare_silent_routers_gone()
                 await self._close_prepaid_holders()
                 await self._forget_ended_replicas(ended)
             if self.environment.monotonic() >= next_drop_s:
                 next_drop_s += _CLAIM_DROP_INTERVAL_S
                 await self._drop_old_claims()
-            await asyncio.sleep(_IN_FORCE_PAUSE_S * len(self.in_force.daemons))
+            await asyncio.sleep(_IN_FORCE_PAUSE_PER_DAEMON_S * len(self.in_force.daemons))
             if self.progress.given == seen:
-                await self.progress.wait(self.cluster_versions.look_s or _CHORE_INTERVAL_S)
+                await self.progress.wait(self.cluster_versions.look_s or _LEADER_LOOP_TIMEOUT_S)
 
     async def _put_in_force(self) -> None:
         committed = self.state.resources.revision
@@ -267,10 +267,10 @@
             waited_s=waited_s,
             counted=len(self.in_force.daemons) - len(left_out),
             left_out=len(left_out),
-            who=",".join(str(daemon) for daemon in left_out[:_LEFT_OUT_NAMED]),
+            who=",".join(str(daemon) for daemon in left_out[:_MAX_LOGGED_DAEMONS]),
         )
 
-    async def _declare_silent_gone(self) -> None:
+    async def _declare_silent_routers_gone(self) -> None:
         oldest = self.environment.monotonic() - self.options.gone_after_s
         for name in sorted(self.in_force.daemons):
             progress = self.in_force.daemons[name]
@@ -294,7 +294,7 @@
                 continue
             if not self.prepaid_watch.must_wait(holder):
                 due.append(holder)
-        closed = (self._close_prepaid_holder(holder) for holder in due[:_CLOSED_AT_ONCE])
+        closed = (self._close_prepaid_holder(holder) for holder in due[:_MAX_CONCURRENT_CLOSES])
         for outcome in await asyncio.gather(*closed, return_exceptions=True):
             if isinstance(outcome, BaseException):
                 raise outcome
--- a/packages/heronladder-control/src/heronladder_control/registration_batches.py
+++ b/packages/heronladder-control/src/heronladder_control/registration_batches.py
@@ -28,7 +28,7 @@
 MAX_WAITING_REGISTRATIONS = (
     4_096  # some five entries; who asks over it is told at once to ask again
 )
-_Answer: TypeAlias = "asyncio.Future[control_pb2.CommandResult]"
+_ResultFuture: TypeAlias = "asyncio.Future[control_pb2.CommandResult]"
 
 
 class RegistrationBatches:
@@ -40,8 +40,10 @@
 
     def __init__(self, member: MemberContext) -> None:
         self._member = member
-        self._waiting: dict[_Answer, control_pb2.RegisterReplica] = {}  # in the order they came
-        self._leaving: dict[_Answer, str] = {}  # ids of those among them that leave
+        self._waiting: dict[
+            _ResultFuture, control_pb2.RegisterReplica
+        ] = {}  # in the order they came
+        self._leaving: dict[_ResultFuture, str] = {}  # ids of those among them that leave
         self._next_s = float("-inf")
         self._running = False
 
@@ -58,7 +60,7 @@
             LeadershipLostError: If it is not known whether it was committed, or too many wait.
         """
         self._member.node.require_leader("register_replica")
-        if self._is_known(order):
+        if self._changes_nothing(order):
             return success()
         if len(self._waiting) >= MAX_WAITING_REGISTRATIONS:
             self._member.metrics.add("registrations_refused")
@@ -67,7 +69,7 @@
                 step="register_replica",
                 peer=order.replica.id,
             )
-        answer: _Answer = asyncio.get_running_loop().create_future()
+        answer: _ResultFuture = asyncio.get_running_loop().create_future()
         self._waiting[answer] = order
         if order.replica.draining or order.replica.gone:
             self._leaving[answer] = order.replica.id
@@ -79,11 +81,11 @@
         finally:  # one whose caller gave up takes no place of others
             self._forget(answer)
 
-    def _forget(self, answer: _Answer) -> None:
+    def _forget(self, answer: _ResultFuture) -> None:
         self._waiting.pop(answer, None)
         self._leaving.pop(answer, None)
 
-    def _is_known(self, order: control_pb2.RegisterReplica) -> bool:
+    def _changes_nothing(self, order: control_pb2.RegisterReplica) -> bool:
         """Whether it changes nothing: many ask while a log that tells of them is read again."""
         told = order.replica
         is_news = order.cold_news or order.returns or told.draining or told.gone
@@ -96,19 +98,19 @@
                 pause_s = self._next_s - clock.monotonic()
                 if pause_s > 0:
                     await asyncio.sleep(pause_s)
-                taken = self._take()
+                taken = self._take_batch()
                 if taken:
                     self._next_s = clock.monotonic() + PAUSE_PER_ROUTER_S * len(
                         self._member.sessions
                     )
-                    await self._propose(taken)
+                    await self._propose_batch(taken)
         except BaseException as error:
-            self._tell_all(list(self._waiting), self._unclear(error))
+            self._fail_all(list(self._waiting), self._unclear(error))
             raise
         finally:
             self._running = False
 
-    def _take(self) -> dict[_Answer, control_pb2.RegisterReplica]:
+    def _take_batch(self) -> dict[_ResultFuture, control_pb2.RegisterReplica]:
         """Take the next orders that somebody waits for.
 
         Replicas that leave go first: their requests end with the process. What one told
@@ -134,7 +136,7 @@
         singly = [control_pb2.Command(register_replica=order) for order in orders]
         return await asyncio.gather(*(self._member.propose(command) for command in singly))
 
-    async def _propose(self, taken: dict[_Answer, control_pb2.RegisterReplica]) -> None:
+    async def _propose_batch(self, taken: dict[_ResultFuture, control_pb2.RegisterReplica]) -> None:
         began_s = self._member.environment.monotonic()
         try:
             each = await self._replicate(list(taken.values()))
@@ -142,10 +144,10 @@
                 if not answer.done():
                     answer.set_result(own)
         except HeronladderError as error:
-            self._tell_all(taken, error)
+            self._fail_all(taken, error)
             return
         except BaseException as error:
-            self._tell_all(taken, self._unclear(error))
+            self._fail_all(taken, self._unclear(error))
             raise
         self._report(len(taken), self._member.environment.monotonic() - began_s)
 
@@ -154,7 +156,7 @@
         return LeadershipLostError(f"registering failed: {error!r}", step="register_replica")
 
     @staticmethod
-    def _tell_all(answers: Iterable[_Answer], error: HeronladderError) -> None:
+    def _fail_all(answers: Iterable[_ResultFuture], error: HeronladderError) -> None:
         for answer in answers:
             if not answer.done():
                 answer.set_exception(error)
--- a/packages/heronladder-control/src/heronladder_control/registration_relay.py
+++ b/packages/heronladder-control/src/heronladder_control/registration_relay.py
@@ -20,9 +20,11 @@
     MAX_WAITING_REGISTRATIONS,
 )
 
-_GATHER_S = 0.02  # while another call is under way
-_CALLS = 4  # under way at once: a leader answers a call in up to 0.3 s before 300 routers
-_CALL_S = 0.9  # what a replica waits at most
+_GATHER_INTERVAL_S = 0.02  # while another call is under way
+_MAX_CALLS_IN_FLIGHT = (
+    4  # under way at once: a leader answers a call in up to 0.3 s before 300 routers
+)
+_CALL_TIMEOUT_S = 0.9  # what a replica waits at most
 _Waiting = tuple[control_pb2.RegisterReplica, "asyncio.Future[control_pb2.CarryReply | None]"]
 
 
@@ -67,8 +69,8 @@
         try:
             while self._waiting:
                 if self._calls:
-                    await asyncio.sleep(_GATHER_S)
-                if self._calls < _CALLS:
+                    await asyncio.sleep(_GATHER_INTERVAL_S)
+                if self._calls < _MAX_CALLS_IN_FLIGHT:
                     taken = [
                         self._waiting.popleft()
                         for _ in range(min(MAX_BATCH_REGISTRATIONS, len(self._waiting)))
@@ -115,16 +117,16 @@
             return [control_pb2.CarryReply(not_leader=True) for _ in taken]
         request = control_pb2.CarryRequest()
         request.command.register_replicas.orders.extend(order for order, _ in taken)
-        reply = await self._member.stubs.control(address).Carry(request, timeout=_CALL_S)
+        reply = await self._member.stubs.control(address).Carry(request, timeout=_CALL_TIMEOUT_S)
         is_refused = reply.result.code != control_pb2.RESULT_CODE_OK
         if reply.not_leader or reply.unclear or is_refused:
             return [reply for _ in taken]
         if len(reply.result.each) != len(taken):
             return [None for _ in taken]  # it says nothing of any one of them
-        return [self._own(result) for result in reply.result.each]
+        return [self._reply_of(result) for result in reply.result.each]
 
     @staticmethod
-    def _own(result: control_pb2.CommandResult) -> control_pb2.CarryReply:
+    def _reply_of(result: control_pb2.CommandResult) -> control_pb2.CarryReply:
         """Return the answer to one of those passed on."""
         return control_pb2.CarryReply(
             result=result,
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -27,9 +27,9 @@
 from heronladder_control.replica_loads import ReplicaLoads
 from heronladder_control.rollouts.conductor import RolloutConductor
 
-_IDLE_CHECK_S = 1.0
+_IDLE_CHECK_INTERVAL_S = 1.0
 # Routers; with more, each learns of a lender with its next heartbeat.
-_LENDERS_TOLD_AT_ONCE = 64
+_MAX_SESSIONS_FOR_IMMEDIATE_LENDERS = 64
 
 
 @dataclass(frozen=True)
@@ -92,7 +92,7 @@
             while not session.closed and self._member.node.is_leader:
                 frame = self._next_frame(session)
                 if frame is None:
-                    await session.wake.wait(_IDLE_CHECK_S)
+                    await session.wake.wait(_IDLE_CHECK_INTERVAL_S)
                     continue
                 yield frame
             if not session.closed:
@@ -140,13 +140,15 @@
         other_role = ROLE_ROUTER if hello.daemon.role == ROLE_AGENT else ROLE_AGENT
         for record in self._member.state.daemons.daemons.values():
             if record.role == other_role:
-                self._notice(session, record.name, record.incarnation, record.gone)
+                self._add_notice(session, record.name, record.incarnation, record.gone)
         if hello.daemon.lending_address:
             session.lenders.know_all(self._member.state.daemons.daemons.values())
         if hello.daemon.role == ROLE_AGENT:
             for collection in self._member.state.daemons.collections.values():
                 if name in collection.awaited_agents:
-                    self._notice(session, collection.router, collection.router_incarnation, True)
+                    self._add_notice(
+                        session, collection.router, collection.router_incarnation, True
+                    )
         return session
 
     def note_connected(self, session: DaemonSession) -> None:
@@ -171,7 +173,7 @@
         return True
 
     @staticmethod
-    def _notice(session: DaemonSession, name: str, incarnation: str, gone: bool) -> None:
+    def _add_notice(session: DaemonSession, name: str, incarnation: str, gone: bool) -> None:
         session.notices[f"{name}/{incarnation}"] = control_pb2.DaemonNotice(
             name=name, incarnation=incarnation, gone=gone
         )
@@ -213,7 +215,7 @@
         if session.promises_noted:
             frame.promises_noted = session.promises_noted
             session.promises_noted = 0
-        self._add_group(session, frame)
+        self._add_membership(session, frame)
         session.lenders.fill(frame)
         if frame.ByteSize():
             return frame
@@ -223,7 +225,7 @@
     def _now_ms(self) -> int:
         return int(self._member.environment.monotonic() * MILLISECONDS_PER_SECOND)
 
-    def _add_group(self, session: DaemonSession, frame: control_pb2.ControlFrame) -> None:
+    def _add_membership(self, session: DaemonSession, frame: control_pb2.ControlFrame) -> None:
         """Tell the cluster version, which members there are, and how many routers there are."""
         self._builds.fill(session, frame)
         members = self._member.node.membership().members
@@ -265,7 +267,7 @@
                 if frame.HasField("heartbeat"):
                     self._heartbeat(session, frame.heartbeat)
                 for call in frame.calls:
-                    self._member.tasks.start("daemon_call", self._carry_out(session, call))
+                    self._member.tasks.start("daemon_call", self._execute_call(session, call))
                 if frame.leaving:
                     await self._leave(session)
                     break
@@ -301,7 +303,7 @@
         session.wake.give()
         self._member.progress.give()
 
-    async def _carry_out(self, session: DaemonSession, call: control_pb2.DaemonCall) -> None:
+    async def _execute_call(self, session: DaemonSession, call: control_pb2.DaemonCall) -> None:
         try:
             result = await self._member.propose(call.command)
         except HeronladderError:
@@ -329,19 +331,19 @@
         elif body == "register_daemon" and result.code == control_pb2.RESULT_CODE_OK:
             record = command.register_daemon.daemon
             self._member.prepaid_watch.replaced(record.name, record.incarnation)
-            self._tell_others(record.role, record.name, record.incarnation, gone=False)
-            self._tell_lenders(record.name)
+            self._notify_other_role(record.role, record.name, record.incarnation, gone=False)
+            self._update_lenders(record.name)
         elif body == "declare_gone" and result.code == control_pb2.RESULT_CODE_OK:
             order = command.declare_gone
             role = self._member.state.daemons.daemons[order.name].role
-            self._tell_others(role, order.name, order.incarnation, gone=True)
-            self._tell_lenders(order.name)
+            self._notify_other_role(role, order.name, order.incarnation, gone=True)
+            self._update_lenders(order.name)
         elif body == "set_cluster_version":
             self._builds.version_raised()
         elif body in FLEET_COMMANDS:
             self._wake_all()
         elif body == "set_in_force":
-            self._wake_those_behind(command.set_in_force.revision)
+            self._wake_lagging(command.set_in_force.revision)
         elif body == "draw_tokens" and result.code == control_pb2.RESULT_CODE_EXHAUSTED:
             recall_prepaid(self.sessions.values(), command.draw_tokens, result)
         elif body == "grant_lease" and result.code == control_pb2.RESULT_CODE_EXHAUSTED:
@@ -352,27 +354,27 @@
         for session in self.sessions.values():
             session.wake.give()
 
-    def _wake_those_behind(self, in_force_revision: int) -> None:
+    def _wake_lagging(self, in_force_revision: int) -> None:
         for name in self._member.in_force.behind(in_force_revision):
             session = self.sessions.get(name)
             if session is not None:
                 session.wake.give()
 
-    def _tell_others(self, role: str, name: str, incarnation: str, *, gone: bool) -> None:
+    def _notify_other_role(self, role: str, name: str, incarnation: str, *, gone: bool) -> None:
         for session in self.sessions.values():
             if session.record.role == role:
                 continue
-            self._notice(session, name, incarnation, gone)
+            self._add_notice(session, name, incarnation, gone)
             if role == ROLE_ROUTER and not gone:
                 previous = self._member.state.daemons.daemons[name].previous
                 if previous:
-                    self._notice(session, name, previous[-1], True)
+                    self._add_notice(session, name, previous[-1], True)
             session.wake.give()
 
-    def _tell_lenders(self, name: str) -> None:
+    def _update_lenders(self, name: str) -> None:
         """Tell routers that lend of another one that came, changed or went."""
         record = self._member.state.daemons.daemons[name]
-        few = len(self.sessions) <= _LENDERS_TOLD_AT_ONCE
+        few = len(self.sessions) <= _MAX_SESSIONS_FOR_IMMEDIATE_LENDERS
         for session in self.sessions.values():
             if session.record.lending_address and session.lenders.know(record) and few:
                 session.wake.give()
--- a/packages/heronladder-control/src/heronladder_control/state.py
+++ b/packages/heronladder-control/src/heronladder_control/state.py
@@ -32,7 +32,7 @@
 
 # No message begins with it: a build that knows no cluster version can't read such a snapshot, where
 # it would take it for one without a version and apply what follows by other rules.
-_VERSIONED = b"\x00"
+_VERSIONED_PREFIX = b"\x00"
 _AppliedListener = Callable[[control_pb2.Command, control_pb2.CommandResult], None]
 _RefusalListener = Callable[[control_pb2.Command, RefusedByInvariantError], None]
 
@@ -299,7 +299,7 @@
         self.rollouts.save(snapshot)
         self.crashes.save(snapshot)
         data = snapshot.SerializeToString(deterministic=True)
-        return data if self.cluster_version == FIRST_VERSION else _VERSIONED + data
+        return data if self.cluster_version == FIRST_VERSION else _VERSIONED_PREFIX + data
 
     def digests(self) -> dict[str, str]:
         """Return a digest of the prepaid accounts: equal at members that agree on them."""
@@ -310,7 +310,7 @@
 
     def restore(self, data: bytes) -> None:
         """Replace the whole state by a snapshot's."""
-        snapshot = control_pb2.StateSnapshot.FromString(data.removeprefix(_VERSIONED))
+        snapshot = control_pb2.StateSnapshot.FromString(data.removeprefix(_VERSIONED_PREFIX))
         self._set_cluster_version(snapshot.cluster_version)
         self.applied_index = snapshot.applied_index
         self.in_force_revision = snapshot.in_force_revision
--- a/tests/test_heartbeat_spread.py
+++ b/tests/test_heartbeat_spread.py
@@ -4,9 +4,9 @@
 from collections import Counter
 
 from heronladder_control.heartbeat_spread import (
-    MOVES_PER_SECOND,
     EXCLUSION_S,
     MIN_REPLICAS_TO_SPREAD,
+    MOVES_PER_SECOND,
     HeartbeatSpread,
     SpreadView,
 )
