--- a/packages/heronladder-control/src/heronladder_control/__init__.py
+++ b/packages/heronladder-control/src/heronladder_control/__init__.py
@@ -1,1 +1,1 @@
-"""Control role: resources, ledger, claims, membership."""
+"""The control role: resources, ledger, claims and group membership."""
--- a/packages/heronladder-control/src/heronladder_control/fleet.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's whole configuration and its replicas, as the log carries them."""
+"""The fleet's configuration and its replicas in the replicated state."""
 
 from collections.abc import Iterable
 
@@ -14,12 +14,12 @@
 
 
 class FleetTable:
-    """Applies whole configurations and registrations of replicas.
+    """Applies complete configurations and registrations of replicas.
 
     Args:
-        resources: Where they are kept.
-        prepaid: Takes the tenants' limits.
-        rollouts: Told of versions that a service did not have; its own if none is given.
+        resources: Table that holds the configuration and the replicas.
+        prepaid: Receives the tenants' limits.
+        rollouts: Notified of versions that are new to a service; by default a new table.
     """
 
     def __init__(
@@ -31,24 +31,30 @@
         self._rollouts = rollouts or RolloutTable(resources)
         self._resources = resources
         self._prepaid = prepaid
-        self._ids_by_address: dict[str, set[str]] | None = (
-            None  # ids by address; None: to be read anew
-        )
+        self._ids_by_address: dict[str, set[str]] | None = None  # None: to be rebuilt
 
     # ---- configuration ----------------------------------------------------
 
     def configuration(self) -> resources_pb2.FleetConfiguration | None:
-        """Return the configuration held, or None before the first."""
+        """Return the current configuration, or None before the first one."""
         resource = self._resources.get(FLEET_KIND, FLEET_NAME)
         return resource.fleet_configuration if resource is not None else None
 
     def apply(
         self, index: int, wanted: resources_pb2.FleetConfiguration
     ) -> control_pb2.CommandResult:
-        """Take a configuration if its version is above the one held.
+        """Store a configuration if its version is above the current one.
+
+        A configuration with an older version, or with the same version and content, succeeds
+        without changing anything. The current version with different content is refused.
 
-        One that is not above is taken note of and changes nothing, but for the
-        version held with another content, which is refused.
+        Args:
+            index: Index of the log entry.
+            wanted: The configuration to apply.
+
+        Returns:
+            A result with the revision and version of the configuration that is now current, or a
+            failure with the validation errors or the version conflict.
         """
         errors = validate_fleet(wanted)
         if errors:
@@ -77,74 +83,90 @@
     # ---- replicas ---------------------------------------------------------
 
     def replica(self, identity: str) -> resources_pb2.Replica | None:
-        """Return what is known of a replica, or None."""
+        """Return the record of a replica, or None if there is none."""
         resource = self._resources.get(REPLICA_KIND, identity)
         return resource.replica if resource is not None else None
 
     def live_replicas(self, service: str) -> Iterable[resources_pb2.Replica]:
-        """Give the replicas of a service that are not leaving."""
+        """Yield the replicas of a service that are neither draining nor gone."""
         for resource in self._resources.resources[REPLICA_KIND].values():
             replica = resource.replica
             if replica.service == service and not (replica.gone or replica.draining):
                 yield replica
 
-    def is_up_to_date(self, told: resources_pb2.Replica) -> bool:
-        """Whether what a replica tells is known already, or is late."""
-        known = self.replica(told.id)
-        if known is None or (known.replaced and not told.gone):
-            return False  # the leader has to judge whether it still runs
-        return self._merged(known, told, returns=False) == known
+    def is_up_to_date(self, reported: resources_pb2.Replica) -> bool:
+        """Return whether a replica's report would not change its record."""
+        known = self.replica(reported.id)
+        if known is None or (known.replaced and not reported.gone):
+            return False  # the leader decides whether it still runs
+        return self._merged(known, reported, returns=False) == known
 
-    def is_replaced(self, told: resources_pb2.Replica) -> bool:
-        """Whether another replica registered at the address of this start of one."""
-        known = self.replica(told.id)
-        return known is not None and known.replaced and not is_earlier_start(known, told)
+    def is_replaced(self, reported: resources_pb2.Replica) -> bool:
+        """Return whether another replica took over the address of this replica's incarnation."""
+        known = self.replica(reported.id)
+        return known is not None and known.replaced and not is_earlier_start(known, reported)
 
     @staticmethod
     def _merged(
-        known: resources_pb2.Replica, told: resources_pb2.Replica, *, returns: bool
+        known: resources_pb2.Replica, reported: resources_pb2.Replica, *, returns: bool
     ) -> resources_pb2.Replica:
-        """Return the newer state: a start never comes back from draining or gone.
+        """Return the record that follows from the known one and a report.
+
+        An incarnation that is draining or gone never becomes live again, unless it was only
+        presumed to be replaced and is proved to run.
 
-        But for one that was only taken for replaced, and is proved to run.
+        Args:
+            known: Current record.
+            reported: Report of the replica.
+            returns: Whether a replica that is recorded as replaced is proved to run.
         """
         merged = resources_pb2.Replica()
-        if is_earlier_start(told, known):
+        if is_earlier_start(reported, known):
             merged.CopyFrom(known)
             return merged
-        if is_earlier_start(known, told):
-            merged.CopyFrom(told)
+        if is_earlier_start(known, reported):
+            merged.CopyFrom(reported)
             merged.sequence = 0
-            merged.draining = told.draining or told.gone
+            merged.draining = reported.draining or reported.gone
             return merged
         if known.replaced and not returns:
             merged.CopyFrom(known)
             return merged
-        merged.CopyFrom(known if told.gone else told)
-        merged.draining = told.draining or told.gone or (known.draining and not known.replaced)
-        merged.gone = told.gone or (known.gone and not known.replaced)
+        merged.CopyFrom(known if reported.gone else reported)
+        merged.draining = (
+            reported.draining or reported.gone or (known.draining and not known.replaced)
+        )
+        merged.gone = reported.gone or (known.gone and not known.replaced)
         merged.replaced = False
-        merged.start_ms = max(known.start_ms, told.start_ms)
+        merged.start_ms = max(known.start_ms, reported.start_ms)
         merged.sequence = 0
-        if not told.gone:
+        if not reported.gone:
             merged.cold_ms = known.cold_ms
             merged.cold_revision = known.cold_revision
         return merged
 
     def register(self, index: int, order: control_pb2.RegisterReplica) -> control_pb2.CommandResult:
-        """Take what a replica tells of itself; an address has one replica only."""
-        told = order.replica
-        known = self.replica(told.id)
-        if known is None and told.gone:
-            return success()  # it left before it ever registered
-        if self._is_overtaken(told):
+        """Record a replica's report; an address belongs to one replica only.
+
+        Args:
+            index: Index of the log entry.
+            order: The report, and how it is to be applied.
+
+        Returns:
+            A result with the revision of the replica's record.
+        """
+        reported = order.replica
+        known = self.replica(reported.id)
+        if known is None and reported.gone:
+            return success()  # it left before it was registered
+        if self._is_overtaken(reported):
             return success()
-        starts = known is None or is_earlier_start(known, told)
+        starts = known is None or is_earlier_start(known, reported)
         before = known if known is not None else resources_pb2.Replica()
-        state = self._merged(before, told, returns=order.returns)
-        if (starts or order.cold_news) and not state.gone and not is_earlier_start(told, state):
-            state.cold_ms = told.cold_ms
-            state.cold_revision = index if told.cold_ms else 0
+        state = self._merged(before, reported, returns=order.returns)
+        if (starts or order.cold_news) and not state.gone and not is_earlier_start(reported, state):
+            state.cold_ms = reported.cold_ms
+            state.cold_revision = index if reported.cold_ms else 0
         if known is None or state != known:
             watches = order.watch_newcomers and not (state.gone or state.draining)
             versions = self._rollouts.versions(state.service) if watches else set()
@@ -156,28 +178,29 @@
             else:
                 self._rollouts.watch_left(index, state.service)
         result = success()
-        result.revision = self._resources.resources[REPLICA_KIND][told.id].metadata.revision
+        result.revision = self._resources.resources[REPLICA_KIND][reported.id].metadata.revision
         return result
 
-    def _is_overtaken(self, told: resources_pb2.Replica) -> bool:
-        """Whether a later start has a replica's address: its word came late.
+    def _is_overtaken(self, reported: resources_pb2.Replica) -> bool:
+        """Return whether a replica that started later has the address: the report is late.
 
-        Else a heartbeat that a cut held up would displace the replica that runs there.
+        Without this check a heartbeat that a partition delayed would displace the replica that
+        runs at the address.
         """
-        others = (self.replica(name) for name in self._ids_at_address(told.address))
+        others = (self.replica(name) for name in self._ids_at_address(reported.address))
         return any(
             other is not None
-            and other.id != told.id
-            and other.address == told.address
+            and other.id != reported.id
+            and other.address == reported.address
             and not other.gone
-            and is_earlier_start(told, other)
+            and is_earlier_start(reported, other)
             for other in others
         )
 
     def register_all(
         self, index: int, orders: Iterable[control_pb2.RegisterReplica]
     ) -> control_pb2.CommandResult:
-        """Take what many replicas tell, in their order; each has a result of its own."""
+        """Record the reports of many replicas in order; each has its own result."""
         result = success()
         result.each.extend(self.register(index, order) for order in orders)
         return result
@@ -190,11 +213,11 @@
             self._ids_by_address.setdefault(state.address, set()).add(state.id)
 
     def reset_address_index(self) -> None:
-        """Note that the resources were replaced by a snapshot's."""
+        """Discard the index by address after the resources were restored from a snapshot."""
         self._ids_by_address = None
 
     def _ids_at_address(self, address: str) -> list[str]:
-        """Return the replicas that ever were at an address, and may be there."""
+        """Return the ids of replicas that have or once had an address."""
         if self._ids_by_address is None:
             self._ids_by_address = {}
             for name, resource in self._resources.resources[REPLICA_KIND].items():
@@ -202,7 +225,7 @@
         return sorted(self._ids_by_address.get(address, ()))
 
     def _end_others_at_address(self, index: int, state: resources_pb2.Replica) -> None:
-        """End those that had the address: their late heartbeats must not bring them back."""
+        """Mark other replicas at the address as gone: late heartbeats must not revive them."""
         if state.gone:
             return
         for name in self._ids_at_address(state.address):
@@ -215,17 +238,17 @@
             self._write(index, ended)
 
     def is_declared(self, service: str) -> bool:
-        """Whether a service is declared, or no configuration is yet."""
+        """Return whether a service is declared, or there is no configuration yet."""
         held = self.configuration()
         return held is None or any(one.name == service for one in held.services)
 
     def ended(self) -> list[str]:
-        """Return the replicas that are gone and remembered."""
+        """Return the ids of replicas that are gone but still recorded."""
         kept = self._resources.resources[REPLICA_KIND].items()
         return [name for name, resource in kept if resource.replica.gone]
 
     def forget(self, index: int, ids: Iterable[str]) -> control_pb2.CommandResult:
-        """Forget ends of replicas."""
+        """Erase the records of replicas that are gone."""
         for name in ids:
             known = self.replica(name)
             if known is not None and known.gone:
--- a/packages/heronladder-control/src/heronladder_control/fleet_commands.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_commands.py
@@ -1,4 +1,4 @@
-"""Which commands change what routers act by."""
+"""Sets of commands that change the configuration which routers act on."""
 
 FLEET_COMMANDS = frozenset(
     {
--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -1,7 +1,7 @@
-"""What operators and replicas ask of a fleet, at any member.
+"""Serves the requests of operators and replicas about a fleet, at any member.
 
-A member that does not lead passes the command on to the leader. All commands are
-idempotent, so a caller that got no clear answer may ask again anywhere.
+A member that is not the leader forwards the command to the leader. All commands are idempotent, so
+a caller that got no clear answer may retry at any member.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 
 
 class FleetService:
-    """Carries out what operators and replicas ask.
+    """Executes the requests of operators and replicas.
 
     Args:
-        member: What the parts of the member share.
+        member: What the components of the member share.
     """
 
     def __init__(self, member: MemberContext) -> None:
@@ -51,10 +51,10 @@
         self._batches = RegistrationBatches(member)
         self._rollout_orders = RolloutOrders(member)
 
-    # ---- what is asked ----------------------------------------------------
+    # ---- requests, at any member ------------------------------------------
 
     async def apply(self, configuration: resources_pb2.FleetConfiguration) -> FleetOutcome:
-        """Take a whole configuration; done once it is in force."""
+        """Apply a complete configuration; the request is done once it is in force."""
         request = control_pb2.CarryRequest(
             in_force_wait_ms=int(_IN_FORCE_WAIT_S * MILLISECONDS_PER_SECOND)
         )
@@ -63,11 +63,11 @@
         return await self._leader_requests.ask(request, _APPLY_TIMEOUT_S, order)
 
     async def evacuate(self, zone: str, *, ended: bool) -> FleetOutcome:
-        """Evacuate a zone, or take that back; done once it is in force.
+        """Start or end the evacuation of a zone; the request is done once it is in force.
 
         Args:
-            zone: The zone.
-            ended: Whether its evacuation is taken back.
+            zone: Name of the zone.
+            ended: Whether its evacuation is ended.
         """
         zones = self._member.options.zone_names
         if zones and zone not in zones:
@@ -83,15 +83,15 @@
         return await self._leader_requests.ask(request, _APPLY_TIMEOUT_S, order)
 
     async def start_rollout(self, service: str, target: str, duration_s: float) -> FleetOutcome:
-        """Move a service to a version; done once the order is in force.
+        """Start the rollout of a version; the request is done once the order is in force.
 
         Args:
-            service: The service.
-            target: The version.
-            duration_s: Time within which the version is to take over, in seconds.
+            service: Name of the service.
+            target: Version that the service is moved to.
+            duration_s: Time within which the version takes over all requests, in seconds.
         """
         if not self._member.options.rollout_limits.enabled:
-            message = "roll-outs are off: no bound is set on what a version on trial may get"
+            message = "rollouts are disabled: no limit is set on the requests of a new version"
             result = failure(control_pb2.RESULT_CODE_INVALID, message)
             return FleetOutcome(RequestStatus.REFUSED, result)
         request = control_pb2.CarryRequest(
@@ -105,7 +105,7 @@
         return await self._leader_requests.ask(request, _APPLY_TIMEOUT_S, order)
 
     async def read_rollout(self, service: str) -> FleetOutcome:
-        """Return a service's newest roll-out, confirmed by a quorum."""
+        """Return a service's newest rollout, confirmed by a quorum."""
         return await self._leader_requests.ask(
             control_pb2.CarryRequest(read_rollout=service), _READ_TIMEOUT_S
         )
@@ -115,19 +115,19 @@
         return await self._leader_requests.ask(control_pb2.CarryRequest(), _READ_TIMEOUT_S)
 
     async def register(self, replica: resources_pb2.Replica) -> FleetOutcome:
-        """Take what a replica tells of itself.
+        """Record a replica's report about itself.
 
-        A replica that leaves is done once the routers in touch know.
+        For a replica that leaves, the request is done once all routers connected to control know.
         """
         replica = self._as_recorded(replica)
         leaves = replica.draining or replica.gone
         recorded = self._member.state.fleet.replica(replica.id)
         if replica.gone and recorded is not None:
-            # It tells no start of its own: it ends the one that is known as it comes, not one
-            # that registers while it waits.
+            # A deregistration has no start time. It ends the incarnation that is known when it
+            # arrives, and not one that registers while it waits.
             replica.start_ms = recorded.start_ms
         cold_news = self._cold_reports.is_news(replica, recorded)
-        # One that leaves is told so only once its leave is in force, however often it asks.
+        # A leaving replica gets a success only once its leave is in force, also for a retry.
         if self._member.state.fleet.is_up_to_date(replica) and not leaves and not cold_news:
             return FleetOutcome(RequestStatus.DONE)
         request = control_pb2.CarryRequest()
@@ -143,18 +143,21 @@
         return await self._leader_requests.ask(request, _REGISTER_TIMEOUT_S, order)
 
     def _as_recorded(self, replica: resources_pb2.Replica) -> resources_pb2.Replica:
-        """Return what the log may hold of a replica: the rest would count as news each time."""
+        """Return a replica with only the fields that the cluster version lets the log hold.
+
+        Other fields would count as a change in each heartbeat.
+        """
         command = control_pb2.Command()
         command.register_replica.replica.CopyFrom(replica)
         return at_version(command, self._member.state.cluster_version).register_replica.replica
 
     def note_unreadable_heartbeat(self, identity: str, why: str) -> None:
-        """Note a heartbeat that cannot be used; what is known of its replica stays as it is."""
+        """Count and log a heartbeat that cannot be parsed; the replica's record is unchanged."""
         self._member.metrics.add("heartbeats_unreadable")
         self._member.log.info("heartbeat_unreadable", step="heartbeat", peer=identity, why=why)
 
     def heartbeat_address(self, replica: resources_pb2.Replica) -> str:
-        """Return where a replica is to send its later heartbeats; "" for anywhere."""
+        """Return the address for a replica's later heartbeats; "" if any member will do."""
         node = self._member.node
         excluded_members = self._spread.excluded_members()
         view = SpreadView(
@@ -178,7 +181,7 @@
         return OrderTimes(kind, about, self._member.environment)
 
     async def carry(self, request: control_pb2.CarryRequest) -> control_pb2.CarryReply:
-        """Carry out a command, or read, as the leader."""
+        """Execute a command or a read as the leader."""
         times = LeaderTimes(self._member.environment)
         try:
             if not request.HasField("command"):
@@ -210,7 +213,7 @@
     async def _register_all(
         self, orders: Iterable[control_pb2.RegisterReplica]
     ) -> control_pb2.CarryReply:
-        """Register what a member passed on; each replica has a result of its own."""
+        """Register the replicas that a member forwarded; each has its own result."""
         results = await asyncio.gather(*(self._register_one(order) for order in orders))
         reply = control_pb2.CarryReply(result=success())
         reply.result.each.extend(results)
@@ -227,9 +230,9 @@
             return failure(control_pb2.RESULT_CODE_UNCLEAR, str(error))
 
     def _is_from_replaced_replica(self, order: control_pb2.RegisterReplica) -> bool:
-        """Whether a heartbeat is of a replica whose address another incarnation has.
+        """Return whether a heartbeat is from a replica whose address another one took over.
 
-        If it is proved to run all the same, the order is marked to bring it back.
+        If the replica is proved to run nevertheless, the order is marked to make it live again.
         """
         if order.replica.gone or not self._member.state.fleet.is_replaced(order.replica):
             return False
@@ -246,10 +249,10 @@
         return not order.returns
 
     def _names_earlier_start(self, order: control_pb2.RegisterReplica) -> bool:
-        """Whether a deregistration was given an earlier start than the one known here.
+        """Return whether a deregistration names an earlier incarnation than the known one.
 
-        The member that was asked may lag: acknowledged, it would have ended nothing, and the
-        replica that left would be sent requests.
+        The member that received it may lag behind. If the order were acknowledged, it would have
+        ended nothing, and the replica that left would still be sent requests.
         """
         replica = order.replica
         known = self._member.state.fleet.replica(replica.id)
@@ -266,7 +269,7 @@
         return True
 
     def _is_overtaken(self, request: control_pb2.CarryRequest) -> bool:
-        """Whether an order is older than the newest change of what it is for."""
+        """Return whether an order is older than the newest change of the same object."""
         if request.command.WhichOneof("body") == "start_rollout":
             return self._rollout_orders.is_overtaken(
                 request.command.start_rollout, request.age_ms / MILLISECONDS_PER_SECOND
@@ -287,19 +290,19 @@
         )
         return is_late
 
-    # ---- what was applied -------------------------------------------------
+    # ---- applied commands -------------------------------------------------
 
     def begin_term(self) -> None:
-        """Begin as the leader."""
+        """Start a term as the leader."""
         self._overtaken_evacuations.begin(self._member.node.term)
         self._rollout_orders.begin()
 
     def applied(self, command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
-        """Note a command that was just applied, at any member."""
+        """Process a command that was just applied, at any member."""
         body = command.WhichOneof("body")
         if body == "set_evacuation":
             zone = command.set_evacuation.zone
-            if result.revision == self._member.state.applied_index:  # else nothing changed
+            if result.revision == self._member.state.applied_index:  # otherwise nothing changed
                 self._overtaken_evacuations.changed(zone)
                 self._report_evacuation(zone, ended=command.set_evacuation.ended)
         elif body in ("start_rollout", "advance_rollout"):
@@ -318,10 +321,10 @@
         recorded = self._member.state.fleet.replica(order.replica.id)
         if recorded is None:
             return
-        is_cold_word = recorded.cold_revision == self._member.state.applied_index
-        if is_cold_word or not recorded.cold_ms:
+        is_cold_change = recorded.cold_revision == self._member.state.applied_index
+        if is_cold_change or not recorded.cold_ms:
             self._cold_reports.known(recorded)
-        if (is_cold_word or order.cold_news) and self._member.node.is_leader:
+        if (is_cold_change or order.cold_news) and self._member.node.is_leader:
             self._member.metrics.add("cold_reports", "cold" if recorded.cold_ms else "warm")
             self._member.log.info(
                 "replica_temperature",
--- a/packages/heronladder-control/src/heronladder_control/member.py
+++ b/packages/heronladder-control/src/heronladder_control/member.py
@@ -1,4 +1,7 @@
-"""One control member: replicated state, streams of daemons, and the leader's chores."""
+"""One control member: replicated state, daemon streams, and the leader's background tasks.
+
+This module composes the parts of a member and runs the tasks that only the leader performs.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -33,12 +36,15 @@
 from heronladder_control.state import ControlState
 
 _LEADER_LOOP_TIMEOUT_S = 0.5
-# Between two rounds of what costs with the number of daemons, holders and replicas: each
-# heartbeat woke them, 1,000 a second of 300 gateways.
+# Least interval between two runs of the tasks whose cost grows with the number of daemons,
+# holders and replicas. Without it each heartbeat would trigger a run: 1,000 per second with 300
+# gateways.
 _CLEANUP_INTERVAL_S = 0.1
-_IN_FORCE_PAUSE_PER_DAEMON_S = 0.00005  # a daemon, between two looks at all of them: 15 ms at 300
-_MAX_CONCURRENT_CLOSES = 32  # holders; what puts changes in force waits for one such round
-_MAX_LOGGED_DAEMONS = 8  # daemons named in a log line, so that it stays short
+# Pause per daemon between two checks of the progress of all daemons: 15 ms with 300 daemons.
+_IN_FORCE_PAUSE_PER_DAEMON_S = 0.00005
+# Prepaid holders closed in one run; putting changes in force waits until such a run has ended.
+_MAX_CONCURRENT_CLOSES = 32
+_MAX_LOGGED_DAEMONS = 8  # keeps the log line short
 _CLAIM_AGE_MS = 24 * 3600 * 1000
 _CLAIM_DROP_INTERVAL_S = 600.0
 
@@ -47,11 +53,11 @@
     """A member of a region's control group.
 
     Args:
-        options: Its settings.
-        disk: Its data folder.
-        stubs: Makes stubs to other members.
-        environment: Time and randomness.
-        on_failure: Called when the member can no longer go on.
+        options: Settings of the member.
+        disk: Data folder of the member.
+        stubs: Creates gRPC stubs to other members.
+        environment: Source of time and randomness.
+        on_failure: Called with the error when the member cannot continue.
     """
 
     def __init__(
@@ -92,7 +98,7 @@
         self.state.refused = self._report_refusal
 
     async def start(self) -> None:
-        """Start the member's tasks."""
+        """Start the consensus node and the member's background tasks."""
         await self.node.start()
         self._check_group_name()
         self.tasks.start("leader_chores", self._run_leader_tasks())
@@ -129,7 +135,10 @@
         self.allotments.applied(command, result)
 
     def _report_refusal(self, command: control_pb2.Command, error: RefusedByInvariantError) -> None:
-        """Log a command that this state does not allow: its sender's account may be another."""
+        """Log a command that an invariant of the state refuses.
+
+        The sender's view of the state may differ from the replicated state.
+        """
         body = command.WhichOneof("body") or ""
         self.metrics.add("commands_refused", body)
         if self.node.is_leader:
@@ -142,7 +151,7 @@
                 reason=error.message,
             )
 
-    # ---- the leader's chores ----------------------------------------------
+    # ---- background tasks of the leader -----------------------------------
 
     async def _run_leader_tasks(self) -> None:
         while True:
@@ -161,9 +170,10 @@
                 self.log.info("leader_chores_ended", step=error.step, reason=error.message)
 
     async def _propose_crash_refusals(self) -> None:
-        """Refuse requests that crash replicas, apart from the other chores.
+        """Propose refusals of requests that crash replicas.
 
-        Each of those waits for the log: meanwhile the request would crash more replicas.
+        This runs separately from the other tasks of the leader: each of those waits for the log,
+        and the request would crash more replicas in the meantime.
         """
         while self.node.is_leader:
             try:
@@ -173,10 +183,10 @@
             await self.refusals.reported.wait(self.refusals.look_s)
 
     def _check_group_name(self) -> None:
-        """End if the log names another group: this member's state would not be the others'."""
+        """Fail if the log names another group: the state would differ from the other members'."""
         named = self.state.named_group
         if named and named != self.options.group:
-            problem = f"setting group = {self.options.group!r}: the log is of group {named!r}"
+            problem = f"setting group = {self.options.group!r}: the log belongs to group {named!r}"
             self.node.fail(SettingsError([problem]))
 
     async def _name_group(self) -> None:
@@ -190,7 +200,7 @@
         self.log.info("group_named", step="name_group", peer=self.options.group)
 
     def _start_term(self) -> None:
-        """Begin as the leader: what an earlier term knew beside the log is void."""
+        """Start a term as the leader; discard what earlier terms knew besides the log."""
         self.cluster_versions.begin()
         self.in_force.begin(
             sorted(name for name, record in self.state.daemons.daemons.items() if not record.gone),
@@ -253,7 +263,7 @@
         )
 
     def _report_in_force(self, reached: int, committed: int, waited_s: float) -> None:
-        """Log for whom a change is in force, and who was left out and why."""
+        """Log that a change is in force, and which daemons were left out and why."""
         left_out = list(self.in_force.left_out(reached))
         self.metrics.observe("change_in_force", waited_s)
         if left_out:
@@ -282,10 +292,10 @@
                 await self.declare_gone(record)
 
     async def _close_prepaid_holders(self) -> None:
-        """Charge routers that were replaced or declared gone, and free the rest.
+        """Charge routers that were replaced or declared gone, and release their other tokens.
 
-        Some together, in the log one behind the other: when all gateways come back, 300 of
-        them in a row would each wait for the disks.
+        Several holders are closed concurrently, as consecutive log entries. When all of 300
+        gateways restart, closing them one at a time would wait for the disks 300 times.
         """
         due = []
         for holder in sorted(self.state.prepaid.holders()):
--- a/packages/heronladder-control/src/heronladder_control/member_context.py
+++ b/packages/heronladder-control/src/heronladder_control/member_context.py
@@ -1,6 +1,7 @@
-"""What the parts of a control member share: its settings, state, log and streams.
+"""What the components of a control member share: settings, state, log and daemon streams.
 
-Parts take this, and the member builds them on it: no part imports the member.
+Components depend on this class and not on the member that composes them, which avoids import
+cycles.
 """
 
 from heronladder_consensus.members import find_member
@@ -26,20 +27,22 @@
 
 
 class MemberContext:
-    """The shared parts of one control member.
+    """The objects that the components of one control member share.
 
     Args:
-        options: Its settings.
-        node: Its replicated log, which applies to ``state``.
+        options: Settings of the member.
+        node: Consensus node, whose log is applied to ``state``.
         state: The replicated state.
-        stubs: Makes stubs to other members.
-        environment: Time and randomness.
+        stubs: Creates gRPC stubs to other members.
+        environment: Source of time and randomness.
 
     Attributes:
-        progress: Given when a daemon applied a configuration, or one was committed.
-        in_force_changed: Given when a later revision is in force.
-        in_force_since_s: When this member learned of the revision in force.
-        sessions: Streams of daemons, by name.
+        progress: Pulse that is given when a daemon has applied a configuration, or when a
+            configuration was committed.
+        in_force_changed: Pulse that is given when a later revision is in force.
+        in_force_since_s: Monotonic time when this member learned of the revision in force, in
+            seconds.
+        sessions: Open streams of daemons, by name of the daemon.
     """
 
     def __init__(
@@ -88,11 +91,17 @@
     async def propose(self, command: control_pb2.Command) -> control_pb2.CommandResult:
         """Replicate a command and return its result.
 
-        What the cluster version in force does not allow is refused, and nothing of it is done.
+        A command that the cluster version in force does not allow is refused without any effect.
+
+        Args:
+            command: The command to replicate.
+
+        Returns:
+            The result of applying the command.
 
         Raises:
-            NotLeaderError: If this member does not lead.
-            LeadershipLostError: If the command's fate is unknown.
+            NotLeaderError: If this member is not the leader.
+            LeadershipLostError: If it is not known whether the command was committed.
         """
         body = command.WhichOneof("body") or ""
         version = self.state.cluster_version
@@ -111,7 +120,7 @@
         return result
 
     async def declare_gone(self, record: ledger_pb2.DaemonRecord) -> None:
-        """Take the right to act from a daemon's incarnation; collect a router's leases."""
+        """Declare a daemon's incarnation gone; leases of a router are then collected."""
         command = control_pb2.Command()
         command.declare_gone.name = record.name
         command.declare_gone.incarnation = record.incarnation
--- a/packages/heronladder-control/src/heronladder_control/options.py
+++ b/packages/heronladder-control/src/heronladder_control/options.py
@@ -15,21 +15,24 @@
 
     Attributes:
         name: Name of the member.
-        group: Name of its group, wherever its members stand.
+        group: Name of its group, independent of the members' regions.
         initial_members: First members of a new group; empty when joining one.
-        timing: Times of the replicated log.
+        timing: Time-outs and intervals of the consensus protocol.
         freshness_s: Length of a daemon's freshness lease, in seconds.
         gone_after_s: Silence after which a router is declared gone, in seconds.
         region_addresses: gRPC addresses of the control members of other regions.
-        me: This member's entry, when it may ask to be taken into a running group.
-        contacts: gRPC addresses that it may ask.
-        zone_names: Zones that may be evacuated; empty: any.
-        named: Whether the group's name was set, and is to stand in its log.
-        rollout_limits: What a version on trial may get; none: no roll-outs.
-        earlier_group: Its name until the log names it; empty: ``group``.
+        me: This member's entry, if it may request to join a running group.
+        contacts: gRPC addresses of members that it may send this request to.
+        zone_names: Zones that may be evacuated; empty allows any zone.
+        named: Whether the group's name was set and is recorded in its log.
+        rollout_limits: Limits on the requests of a new version; without limits, rollouts are
+            disabled.
+        earlier_group: Name of the group until the log names it; empty means ``group``.
         most_cluster_version: Highest cluster version that a leader raises to.
-        cluster_version_hold_s: How long all support a version before it is raised, in seconds.
-        region: Where this member stands; empty: the group stands in one region, of its name.
+        cluster_version_hold_s: Time for which all members support a version before it is raised,
+            in seconds.
+        region: Region of this member; empty means that the whole group is in one region, which
+            has the group's name.
     """
 
     name: str
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -1,4 +1,4 @@
-"""Streams of daemons: configuration and orders out, heartbeats and commands in."""
+"""Serves daemon streams: sends configuration and orders, receives heartbeats and commands."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 from heronladder_control.rollouts.conductor import RolloutConductor
 
 _IDLE_CHECK_INTERVAL_S = 1.0
-# Routers; with more, each learns of a lender with its next heartbeat.
+# With more sessions, routers learn of a changed lender with their next heartbeat only.
 _MAX_SESSIONS_FOR_IMMEDIATE_LENDERS = 64
 
 
 @dataclass(frozen=True)
 class SessionServices:
-    """Parts of a member that streams of daemons are served with.
+    """Components of a member that its daemon streams use.
 
     Attributes:
-        promise_notes: Hears the promises of routers.
-        rollouts: Hears what routers tell of roll-outs, and grants sends.
-        fleet_service: Carries out what other members pass on.
-        allotments: Knows whether tokens may come from other regions.
+        promise_notes: Receives the spending promises of routers.
+        rollouts: Receives the rollout reports of routers, and grants requests to a target version.
+        fleet_service: Executes requests that other members forward.
+        allotments: Adds to results whether tokens may come from other regions.
     """
 
     promise_notes: PromiseNotes
@@ -53,15 +53,15 @@
     """The Control service of one member.
 
     Args:
-        member: What it shares with the member's other parts.
-        parts: What it passes words of daemons on to.
+        member: What the components of the member share.
+        parts: Components that reports of daemons are passed to.
     """
 
     def __init__(self, member: MemberContext, parts: SessionServices) -> None:
         self._member = member
         self._parts = parts
         self.sessions = member.sessions
-        self._routers = 0  # streams of routers
+        self._routers = 0  # number of open streams of routers
         self._replica_loads = ReplicaLoads()
         self.replica_limits = SharedReplicaLimits(
             member.environment, lambda: member.node.term, member.metrics, member.log
@@ -76,7 +76,7 @@
     ) -> AsyncIterator[control_pb2.ControlFrame]:
         first = await anext(request_iterator, None)
         if first is None:
-            return  # it was given up before its first word came
+            return  # the stream was closed before its first frame
         if not self._member.leader_address():
             await self._member.admission.stream()
         self._member.in_force.note_contact(first.hello.daemon.name)
@@ -106,7 +106,7 @@
         return control_pb2.ControlFrame(not_leader=True, leader_address=leader)
 
     async def _register(self, hello: control_pb2.Hello) -> control_pb2.ControlFrame | None:
-        """Make the daemon's incarnation known; return a frame that refuses it, or None."""
+        """Register the daemon's incarnation; return a frame that refuses it, or None."""
         record = hello.daemon
         try:
             await self._member.node.read_barrier()
@@ -114,7 +114,7 @@
                 return refusal
             known = self._member.state.daemons.daemons.get(record.name)
             if known is not None and record.incarnation not in known.previous:
-                # Before it is proposed: once that is applied, its predecessor is charged.
+                # Must precede the proposal: once it is applied, the predecessor is charged.
                 process_age_s = hello.process_age_ms / MILLISECONDS_PER_SECOND
                 self._member.prepaid_watch.replaced(record.name, record.incarnation, process_age_s)
             if known is None or known.gone or known.incarnation != record.incarnation:
@@ -152,7 +152,7 @@
         return session
 
     def note_connected(self, session: DaemonSession) -> None:
-        """Have changes wait for a daemon by what it said first on its stream."""
+        """Have changes wait for a daemon, as described by the first frame of its stream."""
         self._member.in_force.connected(
             session.record.name,
             session.hello.applied_revision,
@@ -160,11 +160,7 @@
         )
 
     def hold(self, name: str, revision: int) -> bool:
-        """Order a daemon to act by nothing older than a revision, and to say so.
-
-        Returns:
-            Whether the order is new.
-        """
+        """Order a daemon to act on no older revision; return whether the order is new."""
         session = self.sessions.get(name)
         if session is None or session.hold_below >= revision:
             return False
@@ -189,7 +185,7 @@
             self._parts.promise_notes.forget(session.record.name)
 
     def _next_frame(self, session: DaemonSession) -> control_pb2.ControlFrame | None:
-        """Return what is to be said next: words first, parts of an update after them."""
+        """Return the next frame to send: pending messages before parts of a configuration."""
         frame = control_pb2.ControlFrame()
         self._add_in_force(session, frame)
         if session.heartbeat_ack:
@@ -226,7 +222,7 @@
         return int(self._member.environment.monotonic() * MILLISECONDS_PER_SECOND)
 
     def _add_membership(self, session: DaemonSession, frame: control_pb2.ControlFrame) -> None:
-        """Tell the cluster version, which members there are, and how many routers there are."""
+        """Add the cluster version, the members' addresses and the number of routers."""
         self._builds.fill(session, frame)
         members = self._member.node.membership().members
         addresses = sorted(member.address for member in members)
@@ -238,11 +234,11 @@
             frame.routers = self._routers
 
     def _count_routers(self) -> None:
-        """Count once a change: each frame counted all streams."""
+        """Count the routers' streams when they change rather than for each frame."""
         self._routers = sum(one.record.role == ROLE_ROUTER for one in self.sessions.values())
 
     def _add_in_force(self, session: DaemonSession, frame: control_pb2.ControlFrame) -> None:
-        """Tell what is in force, at once where it is not held, and what may not be acted by."""
+        """Add the revision in force (at once where it is not applied) and the hold order."""
         in_force = self._member.state.in_force_revision
         is_behind = self._member.in_force.is_behind(session.record.name, in_force)
         if session.in_force_sent < in_force and (is_behind or session.heartbeat_ack):
@@ -307,24 +303,24 @@
         try:
             result = await self._member.propose(call.command)
         except HeronladderError:
-            session.close()  # the daemon finds the new leader and sends it again
+            session.close()  # the daemon connects to the new leader and sends the call again
             return
         self._parts.allotments.annotate(call.command, result)
         session.answers.append(control_pb2.DaemonAnswer(call_id=call.call_id, result=result))
         session.wake.give()
 
     async def _leave(self, session: DaemonSession) -> None:
-        if self.sessions.get(session.record.name) is session:  # else a successor has its name
+        if self.sessions.get(session.record.name) is session:  # otherwise a successor has the name
             self._member.in_force.forget(session.record.name)
         try:
             await self._member.declare_gone(session.record)
         except HeronladderError:
-            pass  # the next leader notices the silence
+            pass  # the next leader detects that the daemon is silent
 
-    # ---- what state changes mean for streams ------------------------------
+    # ---- effects of applied commands on streams ---------------------------
 
     def applied(self, command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
-        """Tell daemons what a command that was just applied means for them."""
+        """Notify daemons of the effects of a command that was just applied."""
         body = command.WhichOneof("body")
         if body in RESOURCE_COMMANDS:
             self._wake_all()
@@ -372,11 +368,11 @@
             session.wake.give()
 
     def _update_lenders(self, name: str) -> None:
-        """Tell routers that lend of another one that came, changed or went."""
+        """Update the lender lists of lending routers after a daemon's record changed."""
         record = self._member.state.daemons.daemons[name]
-        few = len(self.sessions) <= _MAX_SESSIONS_FOR_IMMEDIATE_LENDERS
+        at_once = len(self.sessions) <= _MAX_SESSIONS_FOR_IMMEDIATE_LENDERS
         for session in self.sessions.values():
-            if session.record.lending_address and session.lenders.know(record) and few:
+            if session.record.lending_address and session.lenders.know(record) and at_once:
                 session.wake.give()
 
     # ---- members and other regions ----------------------------------------------------
--- a/packages/heronladder-control/src/heronladder_control/state.py
+++ b/packages/heronladder-control/src/heronladder_control/state.py
@@ -1,4 +1,4 @@
-"""The replicated state of a region's control group."""
+"""The replicated state machine of a region's control group."""
 
 import zlib
 from collections.abc import Callable
@@ -30,8 +30,9 @@
 from heronladder_control.rollouts.table import RolloutTable
 from heronladder_control.transfers import TransferTable
 
-# No message begins with it: a build that knows no cluster version can't read such a snapshot, where
-# it would take it for one without a version and apply what follows by other rules.
+# First byte of a snapshot that holds a cluster version. No Protobuf message starts with it, so a
+# build that does not know cluster versions fails to read the snapshot. Otherwise it would ignore
+# the version and apply the following log entries by other rules.
 _VERSIONED_PREFIX = b"\x00"
 _AppliedListener = Callable[[control_pb2.Command, control_pb2.CommandResult], None]
 _RefusalListener = Callable[[control_pb2.Command, RefusedByInvariantError], None]
@@ -39,17 +40,22 @@
 
 def _unknown_fields(order: control_pb2.Command) -> list[int]:
     unknown = UnknownFieldSet(order)
-    return [unknown[place].field_number for place in range(len(unknown))]
+    return [unknown[index].field_number for index in range(len(unknown))]
 
 
 class ControlState(StateMachine[control_pb2.CommandResult]):
     """Applies commands to resources, ledger, claims and daemons.
 
-    It depends on nothing but the commands: no clock and no randomness. Until the log names the
-    group, what is written carries the name of the region, as production's build writes it.
+    The state depends only on the applied commands: no clock and no randomness. Until the log names
+    the group, records carry the name of the region, as builds without named groups write them.
 
     Args:
         region: Name of the region.
+
+    Attributes:
+        listeners: Called with each applied command and its result.
+        restored: Called after a snapshot was restored.
+        refused: Called with a command that an invariant refuses, and with the error.
     """
 
     highest_version = LATEST_VERSION
@@ -58,7 +64,7 @@
         self.region = region
         self.resources = ResourceTable(region)
         self.ledger = Ledger(region)
-        self.named_group = ""  # by the log; empty: the group was never named
+        self.named_group = ""  # name recorded in the log; empty if there is none
         self.claims = ClaimTable(self.ledger)
         self.daemons = DaemonTable(self.ledger)
         self.transfers = TransferTable(self.ledger)
@@ -71,22 +77,30 @@
         self._cluster_version = FIRST_VERSION
         self.applied_index = 0
         self.listeners: list[_AppliedListener] = []
-        self.restored: Callable[[], None] | None = None  # called after a snapshot was taken in
-        self.refused: _RefusalListener | None = None  # called when an invariant refuses a command
+        self.restored: Callable[[], None] | None = None
+        self.refused: _RefusalListener | None = None
 
     @property
     def cluster_version(self) -> int:
-        """What the log may hold, and by which rules it is applied."""
+        """Version that determines which commands the log may hold and how they are applied."""
         return self._cluster_version
 
     def apply(self, index: int, command: bytes) -> control_pb2.CommandResult:
-        """Carry out one committed command."""
+        """Apply one committed command.
+
+        Args:
+            index: Index of its log entry.
+            command: The encoded command.
+
+        Returns:
+            The result of the command.
+        """
         order = decode_command(command)
         self.applied_index = index
         try:
             result = self._dispatch(index, order)
         except RefusedByInvariantError as error:
-            # Every member refuses it alike, and nothing was changed.
+            # All members refuse it in the same way, and the state is unchanged.
             result = failure(control_pb2.RESULT_CODE_INVALID, error.message)
             if self.refused is not None:
                 self.refused(order, error)
@@ -95,7 +109,7 @@
         return result
 
     def describe(self, command: bytes) -> str:
-        """Return the kind of a command; the numbers of its fields where it is not known."""
+        """Return the kind of a command, or its field numbers if the kind is unknown."""
         try:
             order = decode_command(command)
         except (DecodeError, zlib.error) as error:
@@ -243,14 +257,14 @@
         return self.prepaid.draw(order)
 
     def is_current(self, name: str, incarnation: str) -> bool:
-        """Whether a daemon's incarnation is the one that may act."""
+        """Return whether an incarnation is the current one of its daemon and not gone."""
         known = self.daemons.daemons.get(name)
         return known is not None and not known.gone and known.incarnation == incarnation
 
-    def _grant(self, ask: control_pb2.GrantLease) -> control_pb2.CommandResult:
-        if not self.is_current(ask.holder, ask.incarnation):
+    def _grant(self, order: control_pb2.GrantLease) -> control_pb2.CommandResult:
+        if not self.is_current(order.holder, order.incarnation):
             return failure(control_pb2.RESULT_CODE_STALE, "no such incarnation of the holder")
-        return self.ledger.grant(ask)
+        return self.ledger.grant(order)
 
     def _settle(self, order: control_pb2.Settle) -> control_pb2.CommandResult:
         result = success()
@@ -270,7 +284,7 @@
         try:
             return self.ledger.settle(settlement)
         except RefusedByInvariantError:
-            return False  # counted; the others of the batch are settled all the same
+            return False  # counted; the other settlements of the batch are still applied
 
     def _set_in_force(self, revision: int) -> control_pb2.CommandResult:
         invariant(
@@ -283,7 +297,7 @@
         return success()
 
     def snapshot(self) -> bytes:
-        """Return the whole state; the same state always gives the same bytes."""
+        """Return the serialized state; equal states give equal bytes."""
         snapshot = control_pb2.StateSnapshot(
             applied_index=self.applied_index,
             in_force_revision=self.in_force_revision,
@@ -302,14 +316,14 @@
         return data if self.cluster_version == FIRST_VERSION else _VERSIONED_PREFIX + data
 
     def digests(self) -> dict[str, str]:
-        """Return a digest of the prepaid accounts: equal at members that agree on them."""
+        """Return a digest of the prepaid accounts, which is equal at members that agree."""
         accounts = control_pb2.StateSnapshot()
         self.prepaid.save(accounts)
         data = accounts.SerializeToString(deterministic=True)
         return {"accounts": f"{zlib.crc32(data):08x}"}
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot's."""
+        """Replace the whole state with that of a snapshot."""
         snapshot = control_pb2.StateSnapshot.FromString(data.removeprefix(_VERSIONED_PREFIX))
         self._set_cluster_version(snapshot.cluster_version)
         self.applied_index = snapshot.applied_index
