--- a/packages/heronladder-control/src/heronladder_control/api.py
+++ b/packages/heronladder-control/src/heronladder_control/api.py
@@ -1,4 +1,7 @@
-"""The resource API: HTTP and JSON for operators, at any member."""
+"""The HTTP and JSON API for operators, which any member serves.
+
+Members that are not the leader forward requests to the leader.
+"""
 
 import asyncio
 import hashlib
@@ -57,11 +60,11 @@
 
 
 class ResourceApi:
-    """Serves operators.
+    """Serves the resource API to operators.
 
     Args:
-        member: What the parts of the member share.
-        operators: SHA-256 of each operator's token, by the operator's name.
+        member: What the components of the member share.
+        operators: SHA-256 digests of the operators' tokens as hexadecimal text, by operator name.
     """
 
     def __init__(self, member: MemberContext, operators: dict[str, str]) -> None:
@@ -70,7 +73,7 @@
         self._client: aiohttp.ClientSession | None = None
 
     def application(self) -> web.Application:
-        """Return the application that serves the API."""
+        """Return the web application that serves the API."""
         application = web.Application(
             middlewares=[self._authorize, self._forward_to_leader],
             client_max_size=_MAX_BODY_BYTES,
@@ -94,7 +97,7 @@
         if self._client is not None:
             await self._client.close()
 
-    # ---- who asks, and who answers ----------------------------------------
+    # ---- authorization and forwarding -------------------------------------
 
     @web.middleware
     async def _authorize(self, request: web.Request, handler: _Handler) -> web.StreamResponse:
@@ -106,7 +109,9 @@
             if hmac.compare_digest(known_hash, token_hash):
                 operator = name
         if not operator:
-            return _error(401, "invalid_token", "send an operator's token as a bearer token")
+            return _error(
+                401, "invalid_token", "no valid operator token in the Authorization header (bearer)"
+            )
         request["operator"] = operator
         try:
             return await handler(request)
@@ -120,7 +125,7 @@
     async def _forward_to_leader(
         self, request: web.Request, handler: _Handler
     ) -> web.StreamResponse:
-        """Answer here while leading; otherwise pass the call on to the leader."""
+        """Handle a request if this member leads; otherwise forward it to the leader."""
         for _ in range(_MAX_LEADER_ATTEMPTS):
             if self._member.node.is_leader:
                 try:
@@ -131,17 +136,17 @@
                     return _error(
                         503,
                         "outcome_unknown",
-                        "leadership changed meanwhile; send it again with the same change id",
+                        "leadership changed during the request; retry with the same change id",
                     )
             leader = self._member.leader()
             if leader is not None and leader.name != self._member.options.name:
                 if _FORWARDED_HEADER in request.headers:
-                    return _error(503, "no_leader", "leadership is changing; try again")
-                passed = await self._proxy_to_leader(request, leader.api_address)
-                if passed is not None:
-                    return passed
+                    return _error(503, "no_leader", "leadership is changing; retry")
+                response = await self._proxy_to_leader(request, leader.api_address)
+                if response is not None:
+                    return response
             await asyncio.sleep(_LEADER_RETRY_INTERVAL_S)
-        return _error(503, "no_leader", "no leader is known; try again")
+        return _error(503, "no_leader", "no leader is known; retry")
 
     async def _proxy_to_leader(
         self, request: web.Request, address: str
@@ -156,19 +161,19 @@
         headers[_FORWARDED_HEADER] = self._member.options.name
         body = await request.read()
         url = f"http://{address}{request.path_qs}"
-        started: web.StreamResponse | None = None
+        forwarded: web.StreamResponse | None = None
         try:
             async with self._client.request(
                 request.method, url, headers=headers, data=body
-            ) as answer:
-                started = web.StreamResponse(status=answer.status)
-                started.content_type = answer.content_type
-                await started.prepare(request)
-                async for chunk in answer.content.iter_any():
-                    await started.write(chunk)
-                return started
+            ) as response:
+                forwarded = web.StreamResponse(status=response.status)
+                forwarded.content_type = response.content_type
+                await forwarded.prepare(request)
+                async for chunk in response.content.iter_any():
+                    await forwarded.write(chunk)
+                return forwarded
         except (aiohttp.ClientError, OSError):
-            return started
+            return forwarded
 
     # ---- resources --------------------------------------------------------
 
@@ -202,14 +207,14 @@
             return _error(400, "invalid_json", f"the body is not JSON: {error}")
         resource = parse_manifest(manifest)
         if resource.metadata.name != request.match_info["name"]:
-            return _error(422, "invalid", "metadata.name: must be the name in the path")
+            return _error(422, "invalid", "metadata.name: must equal the name in the path")
         zones = self._member.options.zone_names
         if kind == EVACUATION_KIND and zones and resource.metadata.name not in zones:
             known = ", ".join(zones)
-            return _error(422, "invalid", f"metadata.name: there is no such zone; known: {known}")
+            return _error(422, "invalid", f"metadata.name: unknown zone; known zones: {known}")
         if kind == ROLLOUT_KIND:
             if not self._member.options.rollout_limits.enabled:
-                return _error(422, "invalid", "roll-outs are off: see --rollout-share-percent")
+                return _error(422, "invalid", "rollouts are disabled: see --rollout-share-percent")
             held = self._member.state.rollouts.get(resource.metadata.name)
             return await self._change(request, command_of(resource, held))
         command = control_pb2.Command()
@@ -252,19 +257,23 @@
         return _json(document)
 
     async def _wait_in_force(self, request: web.Request, revision: int) -> bool:
-        """Wait, if the caller asked for it, until a change is in force."""
+        """Wait as long as the caller requested until a change is in force.
+
+        Returns:
+            Whether the change is in force.
+        """
         wait_s = _seconds(request.query.get("wait", "0"))
         deadline_s = self._member.environment.monotonic() + wait_s
         while self._member.state.in_force_revision < revision:
-            left_s = deadline_s - self._member.environment.monotonic()
-            if left_s <= 0 or not await self._member.in_force_changed.wait(left_s):
+            remaining_s = deadline_s - self._member.environment.monotonic()
+            if remaining_s <= 0 or not await self._member.in_force_changed.wait(remaining_s):
                 break
         return self._member.state.in_force_revision >= revision
 
     # ---- watching ---------------------------------------------------------
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
-        """Stream changes as they come into force, one JSON document a line."""
+        """Stream changes when they come into force, as one JSON document per line."""
         text = request.query.get("from", "0")
         kind_text = request.query.get("kind", "")
         kind = field_of_kind(kind_text) if kind_text else ""
@@ -281,10 +290,14 @@
         return response
 
     async def watch_events(self, revision: int, kind: str) -> AsyncIterator[dict[str, Any]]:
-        """Yield what comes into force after a revision, while this member leads.
+        """Yield the changes that come into force after a revision, while this member leads.
+
+        Changes that are not in force are not shown. If the requested revision has been compacted,
+        a ``resync`` event precedes all resources.
 
-        Nothing is shown before it is in force. When the revision asked for has
-        been compacted away, a ``resync`` event says so and all resources follow.
+        Args:
+            revision: Revision that the caller already has.
+            kind: Kind of resource to show; "" for all kinds.
         """
         member = self._member
         await member.node.read_barrier()
@@ -323,7 +336,7 @@
         except (ValueError, json_format.ParseError) as error:
             return _error(422, "invalid", str(error))
         if not member.name or not member.address:
-            return _error(422, "invalid", "name and address (IP:port) are needed")
+            return _error(422, "invalid", "name and address (IP:port) are required")
         await self._member.node.membership_keeper.add(member)
         return await self._list_members(request)
 
--- a/packages/heronladder-control/src/heronladder_control/config_feed.py
+++ b/packages/heronladder-control/src/heronladder_control/config_feed.py
@@ -1,4 +1,4 @@
-"""The configuration that a daemon lacks, in parts for its stream."""
+"""Splits the configuration that a daemon lacks into parts for its stream."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
     from heronladder_control.daemon_session import DaemonSession
     from heronladder_control.member_context import MemberContext
 
-# Parts that a daemon has not confirmed yet. What else is to be said waits behind so many on
-# a thin link: 1.6 s at 5 kB/s: one alone would halve the speed of a link.
+# Parts sent to a daemon that it has not confirmed yet. Other frames wait behind them on a slow
+# link: 1.6 s at 5 kB/s. With a single part, the throughput of a link would be halved.
 _MAX_UNCONFIRMED_PARTS = 2
-# A part that is confirmed so soon is followed by one twice as large, up to the most; after one
-# that took long they are small again. 100 kB to each of 300 routers that begin anew were 15,000
-# frames. The most is 50 ms of a link of 5 Mbit/s; a part twice as large as a quick one still
-# ends within a router's patience of 0.9 s.
+# A part that is confirmed quickly is followed by one of twice the size, up to the maximum; after
+# a slow confirmation the size is reduced. With small parts only, 100 kB to each of 300 restarted
+# routers take 15,000 frames. The maximum takes 50 ms on a link of 5 Mbit/s. A part of twice the
+# size of a quick one still ends within a router's time-out of 0.9 s.
 _QUICK_CONFIRMATION_S = 0.25
 _SLOW_CONFIRMATION_S = 0.5
 _MAX_PART_BYTES = 32 * 1024
-# Orders and answers to heartbeats wait behind parts: over a thin link two parts of 4 KiB each took
+# Orders and heartbeat acknowledgements wait behind parts: over a slow link two parts of 4 KiB take
 # as long as a stream may be silent.
 _MIN_PART_BYTES = 1024
-_MAX_CACHED_UPDATES = 8  # packed; a whole one is some 100 kB at 3,000 replicas
+_MAX_CACHED_UPDATES = 8  # packed; a complete one has about 100 kB with 3,000 replicas
 _ROUTER_KINDS = frozenset(
     {
         "tenant",
@@ -51,7 +51,7 @@
 
 
 def is_relevant(record: ledger_pb2.DaemonRecord, event: control_pb2.ConfigEvent) -> bool:
-    """Whether a daemon acts on this kind of resource."""
+    """Return whether a daemon acts on the resource of an event."""
     if record.role == ROLE_ROUTER:
         return event.kind in _ROUTER_KINDS
     if event.kind == "backend":
@@ -60,26 +60,30 @@
 
 
 class ConfigFeed:
-    """Makes updates for the streams of daemons.
+    """Creates configuration updates for the streams of daemons.
 
     Args:
-        member: The control member whose state is told.
+        member: The control member whose state is sent.
     """
 
     def __init__(self, member: MemberContext) -> None:
         self._member = member
-        # By revisions: already sent, reached. Routers that lag by one or two changes are at
-        # different ones: with a single update kept, packing was 16% of a busy leader.
+        # Packed updates by their first (already sent) and last revision. Routers that lag by one
+        # or two changes need different ones: with a single cached update, packing takes 16% of the
+        # processor time of a busy leader.
         self._router_updates: OrderedDict[tuple[int, int], control_pb2.ConfigUpdate] = OrderedDict()
 
     def next_part(self, session: DaemonSession) -> control_pb2.ConfigUpdate | None:
-        """Return the next part of what a daemon lacks.
+        """Return the next part of the update that a daemon lacks.
 
-        A newer update waits until the one under way is whole: else quick changes
-        would keep a daemon on a thin link from ever getting one.
+        A newer update waits until the current one is complete. Otherwise frequent changes would
+        keep a daemon on a slow link from ever completing one.
+
+        Args:
+            session: Stream of the daemon.
 
         Returns:
-            None if the daemon lacks nothing, or has not confirmed earlier parts yet.
+            The part, or None if the daemon lacks nothing or has not confirmed earlier parts yet.
         """
         if session.parts_sent - session.parts_received >= _MAX_UNCONFIRMED_PARTS:
             return None
@@ -89,18 +93,23 @@
                 return None
             session.update = self._update_for(session)
             session.update_offset = 0
-            session.part_bytes = PART_BYTES  # the link may have become thin since the last one
+            session.part_bytes = PART_BYTES  # the link may have slowed down
             session.config_sent = revision
-        made = part(session.update, session.update_offset, session.part_bytes)
+        next_part = part(session.update, session.update_offset, session.part_bytes)
         session.update_offset += session.part_bytes
         session.parts_sent += 1
         session.part_sent_s[session.parts_sent] = self._member.environment.monotonic()
-        if not made.more:
+        if not next_part.more:
             session.update = None
-        return made
+        return next_part
 
     def confirmed(self, session: DaemonSession, parts: int) -> None:
-        """Note that a daemon has parts; the next ones are larger if that was quick."""
+        """Process a daemon's confirmation of parts, and adapt the size of the next ones.
+
+        Args:
+            session: Stream of the daemon.
+            parts: Number of parts that the daemon has received in all.
+        """
         now_s = self._member.environment.monotonic()
         parts = min(parts, session.parts_sent)
         for number in range(session.parts_received + 1, parts + 1):
@@ -112,7 +121,7 @@
         session.parts_received = max(session.parts_received, parts)
 
     def _update_for(self, session: DaemonSession) -> control_pb2.ConfigUpdate:
-        """Return what a daemon lacks; made once for all routers that lack the same."""
+        """Return the update that a daemon lacks; it is shared by routers at the same revision."""
         resources = self._member.state.resources
         is_router = session.record.role == ROLE_ROUTER
         key = (session.config_sent, resources.revision)
--- a/packages/heronladder-control/src/heronladder_control/daemon_session.py
+++ b/packages/heronladder-control/src/heronladder_control/daemon_session.py
@@ -1,4 +1,4 @@
-"""One daemon's stream to the leader: what it was told, and what is to be said on it."""
+"""State of one daemon's stream at the leader: what was sent on it and what is pending."""
 
 from heronladder_runtime.config_packing import PART_BYTES
 from heronladder_runtime.pulse import Pulse
@@ -8,25 +8,25 @@
 
 
 class DaemonSession:
-    """One daemon's stream: what is to be sent on it.
+    """State of one daemon's stream.
 
     Args:
-        hello: What the daemon said first: who it is, and what it already holds.
+        hello: First message of the daemon: its identity and the revision it has applied.
     """
 
     def __init__(self, hello: control_pb2.Hello) -> None:
         self.hello = hello
         self.record = hello.daemon
         self.config_sent = hello.applied_revision
-        self.update: control_pb2.ConfigUpdate | None = None  # being sent, in parts
+        self.update: control_pb2.ConfigUpdate | None = None  # currently sent in parts
         self.update_offset = 0
         self.parts_sent = 0
-        self.parts_received = 0  # as the daemon says
-        self.part_bytes = PART_BYTES  # of the next part
-        self.part_sent_s: dict[int, float] = {}  # of those under way, by number
+        self.parts_received = 0  # as confirmed by the daemon
+        self.part_bytes = PART_BYTES  # size of the next part
+        self.part_sent_s: dict[int, float] = {}  # times of unconfirmed parts, by number
         self.in_force_sent = 0
-        self.hold_below = 0  # newest order to act by no older revision; 0: none
-        self.hold_below_sent = 0  # newest such order that was sent
+        self.hold_below = 0  # newest order to act on no older revision; 0: none
+        self.hold_below_sent = 0  # newest hold order that was sent
         self.wake = Pulse()
         self.closed = False
         self.answers: list[control_pb2.DaemonAnswer] = []
@@ -35,18 +35,18 @@
         self.heartbeat_ack = 0
         self.renewed = False  # whether that heartbeat renews the freshness lease
         self.prepaid_recalls: set[str] = set()
-        self.promises_noted = 0  # newest heartbeat whose promises are in the log
+        self.promises_noted = 0  # newest heartbeat whose promises are in the log; 0: none
         self.sent_addresses: list[str] = []
         self.sent_router_count = 0
-        self.sent_cluster_version = 0  # cluster version
-        self.sent_limits = 0  # changes of replicas' limits up to this number were told
+        self.sent_cluster_version = 0
+        self.sent_limits = 0  # changes of replica limits up to this number were sent
         self.lenders = LenderNews()
-        # Whether it is told what others have under way at replicas. Gateways are from the first
-        # heartbeat on: one that had nothing under way at its beats was never told, and sent its
-        # first burst as if all replicas were idle.
+        # Whether the daemon is sent the number of requests that others have in flight at replicas.
+        # Gateways are sent it from the first heartbeat on: a gateway without requests of its own
+        # would otherwise treat all replicas as idle in its first burst.
         self.sends_replica_loads = hello.acts_past_lease
 
     def close(self) -> None:
-        """End the stream."""
+        """Close the stream, and wake the task that sends on it."""
         self.closed = True
         self.wake.give()
--- a/packages/heronladder-control/src/heronladder_control/daemons.py
+++ b/packages/heronladder-control/src/heronladder_control/daemons.py
@@ -1,4 +1,4 @@
-"""Daemons known to control, and the collection of what a lost router held."""
+"""Daemons known to control, and the collection of the leases and bills of lost routers."""
 
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
@@ -14,7 +14,11 @@
     """Routers and agents of a region, by name.
 
     Args:
-        ledger: Holds the leases of routers.
+        ledger: Ledger with the leases of routers.
+
+    Attributes:
+        daemons: Records of daemons, by name.
+        collections: Collections in progress, by the router's name and incarnation.
     """
 
     def __init__(self, ledger: Ledger) -> None:
@@ -23,7 +27,12 @@
         self.collections: dict[tuple[str, str], ledger_pb2.Collection] = {}
 
     def register(self, index: int, wanted: ledger_pb2.DaemonRecord) -> control_pb2.CommandResult:
-        """Take in a new incarnation of a daemon; an earlier one may not come back."""
+        """Register a new incarnation of a daemon; earlier incarnations are refused.
+
+        Args:
+            index: Index of the log entry, which becomes the record's revision.
+            wanted: Record of the daemon.
+        """
         known = self.daemons.get(wanted.name)
         record = ledger_pb2.DaemonRecord()
         record.CopyFrom(wanted)
@@ -52,7 +61,7 @@
         return success()
 
     def declare_gone(self, order: control_pb2.DeclareGone) -> control_pb2.CommandResult:
-        """Take the right to act from an incarnation, for good."""
+        """Permanently revoke an incarnation's right to act."""
         known = self.daemons.get(order.name)
         if known is None or known.incarnation != order.incarnation:
             return failure(control_pb2.RESULT_CODE_STALE, "no such incarnation")
@@ -62,7 +71,7 @@
         return success()
 
     def confirm(self, order: control_pb2.ConfirmAgent) -> control_pb2.CommandResult:
-        """Note that a router has settled all it had at earlier incarnations of an agent."""
+        """Record that a router settled all its requests at earlier incarnations of an agent."""
         known = self.daemons.get(order.router)
         if known is None or known.incarnation != order.router_incarnation or known.gone:
             return failure(control_pb2.RESULT_CODE_STALE, "no such incarnation of the router")
@@ -70,10 +79,10 @@
         return success()
 
     def confirm_settled(self, order: control_pb2.ConfirmSettled) -> control_pb2.CommandResult:
-        """Note that a router's incarnation has settled all it ever reserved.
+        """Record that a router's incarnation has settled all its reservations.
 
-        Nothing can have been forgotten then: its leases are closed at once, and
-        what stayed charged on its account is freed.
+        No settlement can be missing then: its leases are closed at once, and what stayed charged
+        on its account is released.
         """
         key = (order.router, order.router_incarnation)
         known = self.daemons.get(order.router)
@@ -86,7 +95,7 @@
         return success()
 
     def forget_agent(self, name: str) -> None:
-        """Wait no more for an agent whose back end the operator deleted."""
+        """Stop waiting for an agent whose backend was deleted by the operator."""
         if self.daemons.pop(name, None) is None:
             return
         for key in sorted(self.collections):
@@ -97,7 +106,7 @@
                 self._close_if_collected(collection)
 
     def _retire(self, record: ledger_pb2.DaemonRecord) -> None:
-        """Fence a router's leases and begin to collect what agents ran under them."""
+        """Fence a router's leases and start to collect the usage that agents have under them."""
         if record.role != ROLE_ROUTER:
             return
         self._ledger.fence(record.name, record.incarnation)
@@ -110,7 +119,7 @@
         if record.settled:
             self._ledger.close(record.name, record.incarnation, records_lost=False)
             return
-        # Also when no tokens are left: an agent may still hold bills of the router.
+        # Agents are awaited even if no tokens are left: they may still hold bills of the router.
         collection.awaited_agents.extend(
             name for name in sorted(self.daemons) if self.daemons[name].role == ROLE_AGENT
         )
@@ -118,16 +127,16 @@
         self._close_if_collected(collection)
 
     def collected(self, order: control_pb2.CollectedRouter) -> control_pb2.CommandResult:
-        """Note that an agent owes nothing more for a router that is gone."""
+        """Record that an agent has reported everything for a router that is gone."""
         collection = self.collections.get((order.router, order.router_incarnation))
         agent = self.daemons.get(order.agent)
         if collection is None or order.agent not in collection.awaited_agents:
             return success()
         if agent is None or agent.incarnation != order.agent_incarnation:
             return failure(control_pb2.RESULT_CODE_STALE, "no such incarnation of the agent")
-        # An agent that restarted after the router registered may have run
-        # requests of that router and forgotten them, unless the router said
-        # after the restart that it had settled all.
+        # An agent that restarted after the router registered may have run requests of that router
+        # and lost their records, unless the router confirmed after the restart that it had settled
+        # all of them.
         restarted = agent.revision > collection.router_revision and bool(agent.previous)
         confirmed = collection.confirmed.get(agent.name, "") == agent.incarnation
         if restarted and not confirmed and not agent.journal:
@@ -144,12 +153,12 @@
         self.collections.pop(key, None)
 
     def save(self, snapshot: control_pb2.StateSnapshot) -> None:
-        """Write all into a snapshot."""
+        """Write the table into a snapshot."""
         snapshot.daemons.extend(self.daemons[name] for name in sorted(self.daemons))
         snapshot.collections.extend(self.collections[key] for key in sorted(self.collections))
 
     def load(self, snapshot: control_pb2.StateSnapshot) -> None:
-        """Take all from a snapshot."""
+        """Restore the table from a snapshot."""
         self.daemons = {record.name: record for record in snapshot.daemons}
         self.collections = {
             (collection.router, collection.router_incarnation): collection
--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -368,8 +368,8 @@
         clock = self._member.environment
         deadline_s = clock.monotonic() + wait_s
         while self._member.state.in_force_revision < revision:
-            left_s = deadline_s - clock.monotonic()
-            if left_s <= 0 or not self._member.node.is_leader:
+            remaining_s = deadline_s - clock.monotonic()
+            if remaining_s <= 0 or not self._member.node.is_leader:
                 return False
-            await self._member.in_force_changed.wait(left_s)
+            await self._member.in_force_changed.wait(remaining_s)
         return True
--- a/packages/heronladder-control/src/heronladder_control/heartbeat_spread.py
+++ b/packages/heronladder-control/src/heronladder_control/heartbeat_spread.py
@@ -1,9 +1,10 @@
-"""Where a replica is told to send its later heartbeats.
+"""Selects the member to which a replica sends its later heartbeats.
 
-A heartbeat that changes nothing can be answered by any member. While there are few replicas all
-beat at the leader, which spares a hop when they do change. A crowd is spread over the members: near
-ones first, the leader, which has the streams of all routers, last. Nobody tells the members which
-of them run: each learns it from replicas that it sent to one and that came back.
+Any member can answer a heartbeat that changes nothing. With few replicas all heartbeats go to the
+leader, which saves a hop when a replica does change. Many replicas are spread over the members:
+members of the replica's zone are preferred, and the leader, which has the streams of all routers,
+is used last. Members are not informed which others are running: a member infers that another one
+is down when replicas that it moved there return.
 """
 
 import hashlib
@@ -14,26 +15,27 @@
 from heronladder_runtime.clock import Environment
 from heronladder_schema.v1 import consensus_pb2, resources_pb2
 
-MIN_REPLICAS_TO_SPREAD = (
-    256  # replicas: 200 heartbeats a second, 4% of a core (measured: 5,000 are one core)
-)
-# Replicas that one member sends elsewhere in a second: each makes a new connection.
+# 256 replicas send 200 heartbeats per second, which take 4% of a core; 5,000 per second take one.
+MIN_REPLICAS_TO_SPREAD = 256
+# Replicas that one member moves to others per second: each move opens a new connection.
 MOVES_PER_SECOND = 50
-EXCLUSION_S = 30.0  # a member from which a replica came back gets none for so long
-_LEADER_LOST_AFTER_S = 2.0  # a member that heard of no leader for so long sends its replicas on
-_MAX_REMEMBERED_MOVES = 4_096  # replicas remembered as sent elsewhere
+# Time for which a member gets no replicas after one that was moved there has returned.
+EXCLUSION_S = 30.0
+# A member without leader contact for longer moves its replicas to other members.
+_LEADER_LOST_AFTER_S = 2.0
+_MAX_REMEMBERED_MOVES = 4_096  # bounds the memory for replicas that were moved
 
 
 @dataclass(frozen=True)
 class SpreadView:
-    """What is known when a heartbeat is answered.
+    """State of the group when a heartbeat is answered.
 
     Attributes:
-        own: This member's name.
-        leader: The leader's name; "" if none is known.
-        members: The group.
-        replicas: How many replicas there are.
-        silent_s: Time since this member heard of a leader.
+        own: Name of this member.
+        leader: Name of the leader; "" if none is known.
+        members: Members of the group.
+        replicas: Number of replicas.
+        silent_s: Time since the last leader contact of this member, in seconds.
     """
 
     own: str
@@ -44,22 +46,25 @@
 
 
 class HeartbeatSpread:
-    """Names members for heartbeats.
+    """Selects members for heartbeats.
 
     Args:
-        environment: Time.
+        environment: Source of time.
+
+    Attributes:
+        moved: Number of replicas that were moved to other members.
     """
 
     def __init__(self, environment: Environment) -> None:
         self._environment = environment
         self._sent: OrderedDict[str, tuple[str, float]] = OrderedDict()
-        self._excluded_until_s: dict[str, float] = {}  # until when, by member
+        self._excluded_until_s: dict[str, float] = {}  # end of the exclusion, by member
         self._moves = float(MOVES_PER_SECOND)
         self._moves_at_s = environment.monotonic()
         self.moved = 0
 
     def name(self, replica: resources_pb2.Replica, view: SpreadView) -> str:
-        """Return the address for a replica's later heartbeats; "" for none."""
+        """Return the address for a replica's later heartbeats; "" if there is none."""
         addresses = {member.name: member.api_address for member in view.members}
         if view.replicas < MIN_REPLICAS_TO_SPREAD or view.own not in addresses:
             return addresses.get(view.leader, "")
@@ -74,27 +79,29 @@
         return addresses[home]
 
     def excluded_members(self) -> list[str]:
-        """Return the members that get no replicas now."""
+        """Return the names of members that currently get no replicas."""
         now_s = self._environment.monotonic()
         return sorted(name for name, until_s in self._excluded_until_s.items() if until_s > now_s)
 
     def _note_return(self, identity: str) -> None:
-        """Pass a member over from which a replica came back: it was not served there."""
+        """Exclude the member from which a replica returned: it was not served there."""
         sent = self._sent.pop(identity, None)
         now_s = self._environment.monotonic()
         if sent is not None and now_s - sent[1] < EXCLUSION_S:
             self._excluded_until_s[sent[0]] = now_s + EXCLUSION_S
 
     def _preferred_member(self, replica: resources_pb2.Replica, view: SpreadView) -> str:
-        """Return the member to which a replica belongs, as far as this one knows."""
+        """Return the member that a replica is assigned to, as far as this member knows."""
         excluded_members = set(self.excluded_members())
         if view.own != view.leader and view.silent_s > _LEADER_LOST_AFTER_S:
             excluded_members.add(view.own)
-        able = [one for one in view.members if one.api_address and one.name not in excluded_members]
-        followers = [one for one in able if one.name != view.leader]
-        near = [one for one in followers if one.zone == replica.zone]
-        near_leader = [one for one in able if one.zone == replica.zone]
-        chosen = near or near_leader or followers or able
+        eligible = [
+            one for one in view.members if one.api_address and one.name not in excluded_members
+        ]
+        followers = [one for one in eligible if one.name != view.leader]
+        local_followers = [one for one in followers if one.zone == replica.zone]
+        local_members = [one for one in eligible if one.zone == replica.zone]
+        chosen = local_followers or local_members or followers or eligible
         names = [one.name for one in chosen] or [view.own]
         return max(names, key=lambda name: _weight(name, replica.id))
 
@@ -110,5 +117,8 @@
 
 
 def _weight(member: str, replica: str) -> bytes:
-    """Return a member's weight for a replica: a member that goes moves its own ones only."""
+    """Return a member's weight for a replica (rendezvous hashing).
+
+    If a member is lost, only the replicas that were assigned to it are moved.
+    """
     return hashlib.blake2b(f"{member}/{replica}".encode(), digest_size=8).digest()
--- a/packages/heronladder-control/src/heronladder_control/leader_requests.py
+++ b/packages/heronladder-control/src/heronladder_control/leader_requests.py
@@ -1,4 +1,4 @@
-"""Asking the leader: carried out here where this member leads, else passed on to it."""
+"""Sends requests to the leader: executed here if this member leads, otherwise forwarded."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from heronladder_control.registration_relay import RegistrationRelay
 from heronladder_control.results import failure
 
-_VERSION_CHECK_INTERVAL_S = 0.1  # between two looks whether the cluster version allows an order
+_VERSION_CHECK_INTERVAL_S = 0.1  # between checks whether the cluster version allows an order
 Carry = Callable[[control_pb2.CarryRequest], Awaitable[control_pb2.CarryReply]]
 
 
 class RequestStatus(Enum):
-    """What became of what was asked."""
+    """Outcome of a request."""
 
     DONE = "done"
     REFUSED = "refused"
-    UNCLEAR = "unclear"  # it may have been done, or still be
+    UNCLEAR = "unclear"  # it may have been executed, or may be later
 
 
 @dataclass
 class FleetOutcome:
-    """The answer to an operator or a replica.
+    """The response to an operator or a replica.
 
     Attributes:
-        standing: What became of it.
-        result: The result of the command, once there is one.
-        configuration: The newest configuration, for a read.
-        rollout: A service's newest roll-out, for a read of it.
+        request_status: Outcome of the request.
+        result: Result of the command, if there is one.
+        configuration: The newest configuration, if the request reads it.
+        rollout: A service's newest rollout, if the request reads it.
     """
 
     request_status: RequestStatus
@@ -47,11 +47,11 @@
 
 
 class LeaderRequests:
-    """Asks the leader until there is a clear answer, or for as long as the caller waits.
+    """Sends requests to the leader until it gives a clear answer or the caller's time is over.
 
     Args:
-        member: What the parts of the member share.
-        carry: Carries out a request as the leader.
+        member: What the components of the member share.
+        carry: Executes a request as the leader.
     """
 
     def __init__(self, member: MemberContext, carry: Carry) -> None:
@@ -62,17 +62,20 @@
     async def ask(
         self,
         request: control_pb2.CarryRequest,
-        patience_s: float,
+        timeout_s: float,
         order: OrderTimes | None = None,
     ) -> FleetOutcome:
-        """Ask, and report how long an order waited.
+        """Send a request to the leader, and report the waiting times of an order.
 
         Args:
-            request: What is asked.
-            patience_s: Longest time in all, in seconds.
-            order: Whose waits are told; None: nobody's.
+            request: The request; its age is updated before each attempt.
+            timeout_s: Longest time for all attempts together, in seconds.
+            order: Records the waiting times of the order; None if they are not reported.
+
+        Returns:
+            The outcome, which is unclear if there was no clear answer in time.
         """
-        reply = await self._send_until_clear(request, patience_s, order)
+        reply = await self._send_until_clear(request, timeout_s, order)
         outcome = self._outcome(reply) if reply is not None else FleetOutcome(RequestStatus.UNCLEAR)
         if order is not None:
             order.report(
@@ -81,36 +84,36 @@
         return outcome
 
     async def _send_until_clear(
-        self, request: control_pb2.CarryRequest, patience_s: float, order: OrderTimes | None
+        self, request: control_pb2.CarryRequest, timeout_s: float, order: OrderTimes | None
     ) -> control_pb2.CarryReply | None:
         asked = SilenceWatch(self._member.environment)
         while True:
             waited = asked.silence()
-            left_s = waited.left_s(patience_s)
-            if left_s <= 0:
+            remaining_s = waited.left_s(timeout_s)
+            if remaining_s <= 0:
                 return None
             request.age_ms = int(waited.silent_s * MILLISECONDS_PER_SECOND)
             if order is not None:
                 order.sent()
-            reply = await self._send_once(request, left_s)
+            reply = await self._send_once(request, remaining_s)
             if reply is not None and not (reply.not_leader or self._is_too_early(reply)):
                 return reply
-            left_s = asked.silence().left_s(patience_s)
+            remaining_s = asked.silence().left_s(timeout_s)
             if reply is not None and self._is_too_early(reply):
-                if left_s <= _VERSION_CHECK_INTERVAL_S:
+                if remaining_s <= _VERSION_CHECK_INTERVAL_S:
                     return reply
                 await asyncio.sleep(_VERSION_CHECK_INTERVAL_S)
                 continue
             is_replica = request.command.HasField("register_replica")
-            if not await self._member.admission.ask(max(0.0, left_s), first=not is_replica):
+            if not await self._member.admission.ask(max(0.0, remaining_s), first=not is_replica):
                 return None
 
     async def _send_once(
-        self, request: control_pb2.CarryRequest, left_s: float
+        self, request: control_pb2.CarryRequest, remaining_s: float
     ) -> control_pb2.CarryReply | None:
         if self._member.node.is_leader:
             try:
-                return await within(self._member.environment, left_s, self._carry(request))
+                return await within(self._member.environment, remaining_s, self._carry(request))
             except TimeoutError:
                 return None
         address = self._member.leader_address()
@@ -121,23 +124,26 @@
             if not is_allowed(request.command, version):
                 return self._version_too_low_reply(request.command)
             if self._may_be_batched(request, version):
-                return await self._relay.ask(request.command.register_replica, left_s)
+                return await self._relay.ask(request.command.register_replica, remaining_s)
             request = self._reduced_to_version(request, version)
         try:
             stub = self._member.stubs.control(address)
-            reply: control_pb2.CarryReply = await stub.Carry(request, timeout=left_s)
+            reply: control_pb2.CarryReply = await stub.Carry(request, timeout=remaining_s)
         except RPC_ERRORS:
             return None
         return reply
 
     @staticmethod
     def _is_too_early(reply: control_pb2.CarryReply) -> bool:
-        """Whether the cluster version does not allow it yet: it is raised soon after a start."""
+        """Return whether the cluster version does not allow the order yet.
+
+        The version is raised soon after a start.
+        """
         return reply.result.code == control_pb2.RESULT_CODE_VERSION_TOO_LOW
 
     @staticmethod
     def _may_be_batched(request: control_pb2.CarryRequest, version: int) -> bool:
-        """Whether the leader surely knows registrations that are passed on together."""
+        """Return whether a registration may be forwarded in a batch that the leader supports."""
         batch = control_pb2.Command(register_replicas=control_pb2.RegisterReplicas())
         is_replica = request.command.HasField("register_replica")
         return is_replica and not request.in_force_wait_ms and is_allowed(batch, version)
@@ -146,7 +152,10 @@
     def _reduced_to_version(
         request: control_pb2.CarryRequest, version: int
     ) -> control_pb2.CarryRequest:
-        """Return a request that an earlier build at the other end writes into the log as it is."""
+        """Return a request reduced to a cluster version.
+
+        A leader of an earlier build writes the command into the log as it receives it.
+        """
         reduced = control_pb2.CarryRequest()
         reduced.CopyFrom(request)
         reduced.command.CopyFrom(at_version(request.command, version))
--- a/packages/heronladder-control/src/heronladder_control/registration_batches.py
+++ b/packages/heronladder-control/src/heronladder_control/registration_batches.py
@@ -1,8 +1,8 @@
-"""Registrations of replicas that come together go into the log as one entry.
+"""Combines registrations of replicas that arrive together into one log entry.
 
-Each entry that changes replicas is told to each router: 3,000 replicas that register one by one
-with 300 routers are 900,000 frames. The pause between two entries grows with the routers, so what
-a crowd costs the leader does not grow with both.
+Each log entry that changes replicas is sent to each router: 3,000 replicas that register one by one
+with 300 routers cause 900,000 frames. The pause between two entries is proportional to the number
+of routers, so that the leader's cost does not grow with the product of both numbers.
 """
 
 from __future__ import annotations
@@ -19,45 +19,40 @@
 from heronladder_control.member_context import MemberContext
 from heronladder_control.results import success
 
-# Between two entries, a router: 0.3 s with 300, a third of what a replica that leaves waits at
-# most, and 3 ms with 3. The first after a pause goes at once.
+# Pause per router between two entries: 3 ms with 3 routers, and 0.3 s with 300, which is a third of
+# the longest wait of a replica that leaves. The first entry after a pause is proposed at once.
 PAUSE_PER_ROUTER_S = 0.001
-MAX_BATCH_REGISTRATIONS = (
-    512  # one entry is applied without a break: 0.1 s (0.19 ms each, test machine)
-)
-MAX_WAITING_REGISTRATIONS = (
-    4_096  # some five entries; who asks over it is told at once to ask again
-)
+MAX_BATCH_REGISTRATIONS = 512  # applying an entry blocks the event loop: 0.1 s at 0.19 ms each
+MAX_WAITING_REGISTRATIONS = 4_096  # 8 entries; further callers are told at once to retry
 _ResultFuture: TypeAlias = "asyncio.Future[control_pb2.CommandResult]"
 
 
 class RegistrationBatches:
-    """Proposes registrations in the order in which they came, replicas that leave first.
+    """Proposes registrations in their order of arrival; replicas that leave come first.
 
     Args:
-        member: What the parts of the member share, which leads.
+        member: What the components of the member share. The member is the leader.
     """
 
     def __init__(self, member: MemberContext) -> None:
         self._member = member
-        self._waiting: dict[
-            _ResultFuture, control_pb2.RegisterReplica
-        ] = {}  # in the order they came
-        self._leaving: dict[_ResultFuture, str] = {}  # ids of those among them that leave
+        self._waiting: dict[_ResultFuture, control_pb2.RegisterReplica] = {}  # by order of arrival
+        self._leaving: dict[_ResultFuture, str] = {}  # ids of waiting replicas that leave
         self._next_s = float("-inf")
         self._running = False
 
     @property
     def waiting(self) -> int:
-        """How many registrations are not in the log yet."""
+        """Number of registrations that are not in the log yet."""
         return len(self._waiting)
 
     async def propose(self, order: control_pb2.RegisterReplica) -> control_pb2.CommandResult:
-        """Replicate a registration; return its own result.
+        """Replicate a registration and return its own result.
 
         Raises:
-            NotLeaderError: If this member does not lead.
-            LeadershipLostError: If it is not known whether it was committed, or too many wait.
+            NotLeaderError: If this member is not the leader.
+            LeadershipLostError: If it is not known whether the registration was committed, or if
+                too many registrations are waiting.
         """
         self._member.node.require_leader("register_replica")
         if self._changes_nothing(order):
@@ -65,7 +60,7 @@
         if len(self._waiting) >= MAX_WAITING_REGISTRATIONS:
             self._member.metrics.add("registrations_refused")
             raise LeadershipLostError(
-                f"{MAX_WAITING_REGISTRATIONS} registrations wait already",
+                f"too many registrations are waiting (limit {MAX_WAITING_REGISTRATIONS})",
                 step="register_replica",
                 peer=order.replica.id,
             )
@@ -78,7 +73,7 @@
             self._member.tasks.start("registrations", self._run())
         try:
             return await answer
-        finally:  # one whose caller gave up takes no place of others
+        finally:  # an abandoned registration must not count against the limit
             self._forget(answer)
 
     def _forget(self, answer: _ResultFuture) -> None:
@@ -86,10 +81,13 @@
         self._leaving.pop(answer, None)
 
     def _changes_nothing(self, order: control_pb2.RegisterReplica) -> bool:
-        """Whether it changes nothing: many ask while a log that tells of them is read again."""
-        told = order.replica
-        is_news = order.cold_news or order.returns or told.draining or told.gone
-        return not is_news and self._member.state.fleet.is_up_to_date(told)
+        """Return whether a registration changes nothing.
+
+        After a start many replicas register that the log, which is still being read, already holds.
+        """
+        replica = order.replica
+        is_change = order.cold_news or order.returns or replica.draining or replica.gone
+        return not is_change and self._member.state.fleet.is_up_to_date(replica)
 
     async def _run(self) -> None:
         clock = self._member.environment
@@ -111,10 +109,10 @@
             self._running = False
 
     def _take_batch(self) -> dict[_ResultFuture, control_pb2.RegisterReplica]:
-        """Take the next orders that somebody waits for.
+        """Remove and return the next orders whose callers still wait.
 
-        Replicas that leave go first: their requests end with the process. What one told
-        before it left stays before it, or it would be taken up after it was gone.
+        Replicas that leave come first, because their requests end with the process. Earlier
+        reports of a leaving replica stay before its leave, or else they would be applied after it.
         """
         live = [entry for entry in self._waiting.items() if not entry[0].done()]
         if self._leaving:
@@ -128,7 +126,11 @@
     async def _replicate(
         self, orders: list[control_pb2.RegisterReplica]
     ) -> Iterable[control_pb2.CommandResult]:
-        """Return the result of each: of one entry of the log where it may hold them together."""
+        """Replicate orders, as one log entry if the cluster version allows it.
+
+        Returns:
+            The result of each order.
+        """
         command = control_pb2.Command()
         command.register_replicas.orders.extend(orders)
         if len(orders) > 1 and is_allowed(command, self._member.state.cluster_version):
@@ -153,7 +155,7 @@
 
     @staticmethod
     def _unclear(error: BaseException) -> LeadershipLostError:
-        return LeadershipLostError(f"registering failed: {error!r}", step="register_replica")
+        return LeadershipLostError(f"registration failed: {error!r}", step="register_replica")
 
     @staticmethod
     def _fail_all(answers: Iterable[_ResultFuture], error: HeronladderError) -> None:
--- a/packages/heronladder-control/src/heronladder_control/registration_relay.py
+++ b/packages/heronladder-control/src/heronladder_control/registration_relay.py
@@ -1,8 +1,8 @@
-"""Passes registrations of replicas on to the leader, many with one call.
+"""Forwards registrations of replicas to the leader, many with one call.
 
-A crowd of new replicas meets members that do not lead for the most part. With a call for each,
-1,000 that came at once cost a member and the leader a second of processor time each, their
-answers came too late, and all came again.
+When many new replicas start, most of them reach members that are not the leader. With a call for
+each, 1,000 simultaneous registrations take a second of processor time at the member and another
+one at the leader; the responses come too late, and all replicas retry.
 """
 
 from __future__ import annotations
@@ -20,19 +20,17 @@
     MAX_WAITING_REGISTRATIONS,
 )
 
-_GATHER_INTERVAL_S = 0.02  # while another call is under way
-_MAX_CALLS_IN_FLIGHT = (
-    4  # under way at once: a leader answers a call in up to 0.3 s before 300 routers
-)
-_CALL_TIMEOUT_S = 0.9  # what a replica waits at most
+_GATHER_INTERVAL_S = 0.02  # wait for further registrations while a call is in flight
+_MAX_CALLS_IN_FLIGHT = 4  # a leader with 300 routers takes up to 0.3 s for a call
+_CALL_TIMEOUT_S = 0.9  # the longest that a replica waits
 _Waiting = tuple[control_pb2.RegisterReplica, "asyncio.Future[control_pb2.CarryReply | None]"]
 
 
 class RegistrationRelay:
-    """Registrations at a member that does not lead.
+    """Forwards the registrations at a member that is not the leader.
 
     Args:
-        member: What the parts of the member share.
+        member: What the components of the member share.
     """
 
     def __init__(self, member: MemberContext) -> None:
@@ -43,12 +41,16 @@
         self._is_failing = False
 
     async def ask(
-        self, order: control_pb2.RegisterReplica, left_s: float
+        self, order: control_pb2.RegisterReplica, remaining_s: float
     ) -> control_pb2.CarryReply | None:
         """Have the leader register a replica.
 
+        Args:
+            order: The registration.
+            remaining_s: Longest time to wait for the reply, in seconds.
+
         Returns:
-            Its answer; None if there was none in time, or too many wait.
+            The leader's reply, or None if there was none in time or too many registrations wait.
         """
         if len(self._waiting) >= MAX_WAITING_REGISTRATIONS:
             self._member.metrics.add("registrations_refused")
@@ -61,7 +63,7 @@
             self._running = True
             self._member.tasks.start("registration_relay", self._run())
         try:
-            return await within(self._member.environment, left_s, answer)
+            return await within(self._member.environment, remaining_s, answer)
         except TimeoutError:
             return None
 
@@ -88,7 +90,7 @@
             replies = await self._replies(taken)
             self._is_failing = False
         except RPC_ERRORS as error:
-            # They are tried again for as long as those who ask wait.
+            # LeaderRequests retries the registrations for as long as their callers wait.
             self._report_failure(len(taken), error)
         finally:
             self._calls -= 1
@@ -97,7 +99,7 @@
                     answer.set_result(reply)
 
     def _report_failure(self, count: int, error: BaseException) -> None:
-        """Count a call without an answer; a line for the first one since the last answer."""
+        """Count a failed call; log only the first one after a call that succeeded."""
         self._member.metrics.add("registration_calls_failed")
         if self._is_failing:
             return
@@ -122,12 +124,12 @@
         if reply.not_leader or reply.unclear or is_refused:
             return [reply for _ in taken]
         if len(reply.result.each) != len(taken):
-            return [None for _ in taken]  # it says nothing of any one of them
+            return [None for _ in taken]  # the results cannot be assigned to the orders
         return [self._reply_of(result) for result in reply.result.each]
 
     @staticmethod
     def _reply_of(result: control_pb2.CommandResult) -> control_pb2.CarryReply:
-        """Return the answer to one of those passed on."""
+        """Return the reply to one of the forwarded registrations."""
         return control_pb2.CarryReply(
             result=result,
             not_leader=result.code == control_pb2.RESULT_CODE_NOT_LEADER,
--- a/packages/heronladder-control/src/heronladder_control/status.py
+++ b/packages/heronladder-control/src/heronladder_control/status.py
@@ -1,4 +1,4 @@
-"""What an operator sees of a control group and its daemons."""
+"""Status document of a control group and its daemons, as shown to operators."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 def status_document(member: MemberContext) -> dict[str, Any]:
-    """Return the state of the group as the leader knows it."""
+    """Return the status of the group as this member knows it; the leader's is complete."""
     node = member.node
     state = member.state
     committed = state.resources.revision
@@ -47,7 +47,7 @@
 
 
 def highest_version(member: MemberContext, name: str) -> int | None:
-    """Return the cluster version that a member's build supports; None if it does not answer."""
+    """Return the highest cluster version that a member supports; None if it is not known."""
     node = member.node
     return node.highest_version if name == node.name else node.replication.highest_version(name)
 
