--- a/tests/control_group.py
+++ b/tests/control_group.py
@@ -13,9 +13,9 @@
 from heronladder_tools.demo_fleet import free_addresses
 from platform_stand_ins import settings_document, with_rollouts
 
-_ADDRESSES = 4  # of each member: gRPC, its API, its metrics, operators and replicas
-_PATIENCE_S = 15.0
-_LOOK_S = 0.02
+_ADDRESSES_PER_MEMBER = 4  # of each member: gRPC, its API, its metrics, operators and replicas
+_START_TIMEOUT_S = 15.0
+_CHECK_INTERVAL_S = 0.02
 
 
 class ControlGroup:
@@ -33,7 +33,7 @@
 
     def __init__(self, size: int, *, has_rollouts: bool = False) -> None:
         self._has_rollouts = has_rollouts
-        addresses = free_addresses(size * _ADDRESSES)
+        addresses = free_addresses(size * _ADDRESSES_PER_MEMBER)
         self.grpc = addresses[:size]
         self.operators = addresses[size : 2 * size]
         self._api = addresses[2 * size : 3 * size]
@@ -67,9 +67,9 @@
         """Start all members; return once one leads and the cluster version is in force at all."""
         for number in range(self.size):
             await self.start_member(number)
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_START_TIMEOUT_S):
             while self.leader is None or not self._is_version_in_force:
-                await asyncio.sleep(_LOOK_S)
+                await asyncio.sleep(_CHECK_INTERVAL_S)
 
     @property
     def _is_version_in_force(self) -> bool:
--- a/tests/mixed_group.py
+++ b/tests/mixed_group.py
@@ -15,11 +15,11 @@
 from heronladder_runtime.errors import HeronladderError
 from heronladder_schema.v1 import consensus_pb2, control_pb2, resources_pb2
 
-_HOLD_S = 1.0
-_ASK_EACH_S = 0.25
-_DOWN_S = (0.1, 1.5)
-_GAP_S = (0.3, 2.0)
-_SETTLES_S = 8.0
+_VERSION_HOLD_S = 1.0
+_REGISTER_INTERVAL_S = 0.25
+_DOWNTIME_RANGE_S = (0.1, 1.5)
+_GAP_RANGE_S = (0.3, 2.0)
+_SETTLE_TIME_S = 8.0
 
 
 class MixedGroup:
@@ -38,7 +38,7 @@
     def __init__(self, seed: int, size: int) -> None:
         self.source = Random(seed)
         self.failures: list[str] = []
-        self.in_old_logs: list[str] = []
+        self.unsupported_commands: list[str] = []
         self.registered = 0
         self._network = MemoryNetwork(self.source, Weather())
         self._environment = Environment(self.source, virtual=True)
@@ -62,7 +62,7 @@
             named=True,
             earlier_group="r1",
             most_cluster_version=FIRST_VERSION if is_old else LATEST_VERSION,
-            cluster_version_hold_s=_HOLD_S,
+            cluster_version_hold_s=_VERSION_HOLD_S,
         )
 
         def failed(error: HeronladderError) -> None:
@@ -72,23 +72,23 @@
         disk = self._disks[name].handle()
         member = ControlMember(options, disk, stubs, self._environment, failed)
         if is_old:
-            self._make_old(member)
+            self._limit_to_first_version(member)
         servers = {"consensus": member.consensus_service, "control": member.service}
         self._network.start(name, Place(name, name), servers)
         await member.start()
         self.running[name] = member
 
-    def _make_old(self, member: ControlMember) -> None:
+    def _limit_to_first_version(self, member: ControlMember) -> None:
         """Have a member support version 0 only, and note what it could not read."""
         member.state.highest_version = FIRST_VERSION
 
         def note(command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
             if required_version(command) != FIRST_VERSION:
-                self.in_old_logs.append(command.WhichOneof("body") or "")
+                self.unsupported_commands.append(command.WhichOneof("body") or "")
 
         member.state.listeners.append(note)
 
-    async def _lose(self, name: str) -> None:
+    async def _crash(self, name: str) -> None:
         member = self.running.pop(name)
         self._disks[name].crash()
         self._network.kill(name)
@@ -101,35 +101,35 @@
         for name in self._names:
             await self._start(name)
         await asyncio.sleep(3.0)
-        asking = asyncio.create_task(self._ask_always())
+        asking = asyncio.create_task(self._register_repeatedly())
         for name in self.source.sample(self._names, len(self._names)):
             if self.source.random() < 0.4:
                 await self._replace(self.source.choice(self._names))
             self._is_old[name] = False
             await self._replace(name)
-        await asyncio.sleep(_SETTLES_S)
+        await asyncio.sleep(_SETTLE_TIME_S)
         asking.cancel()
         await asyncio.sleep(1.0)
 
     async def _replace(self, name: str) -> None:
-        await self._lose(name)
-        await asyncio.sleep(self.source.uniform(*_DOWN_S))
+        await self._crash(name)
+        await asyncio.sleep(self.source.uniform(*_DOWNTIME_RANGE_S))
         await self._start(name)
-        await asyncio.sleep(self.source.uniform(*_GAP_S))
+        await asyncio.sleep(self.source.uniform(*_GAP_RANGE_S))
 
     async def stop(self) -> None:
         """End all members."""
         for name in list(self.running):
-            await self._lose(name)
+            await self._crash(name)
 
-    async def _ask_always(self) -> None:
+    async def _register_repeatedly(self) -> None:
         number = 0
         while True:
             number += 1
             if self.running:
                 member = self.source.choice(list(self.running.values()))
                 asyncio.ensure_future(self._register(member, number))
-            await asyncio.sleep(_ASK_EACH_S)
+            await asyncio.sleep(_REGISTER_INTERVAL_S)
 
     async def _register(self, member: ControlMember, number: int) -> None:
         replica = resources_pb2.Replica(
--- a/tests/test_crowd_of_replicas.py
+++ b/tests/test_crowd_of_replicas.py
@@ -21,7 +21,7 @@
 
 _FEW = 500
 _MANY = 4_000
-_MOST_TIMES = 4.0  # dearer, a registration among eight times as many; it was eight times
+_MAX_COST_RATIO = 4.0  # dearer, a registration among eight times as many; it was eight times
 
 
 def _replica(number: int, address: str = "") -> resources_pb2.Replica:
@@ -50,7 +50,7 @@
 
 
 class CostTest(unittest.TestCase):
-    def test_a_registration_costs_the_same_however_many_there_are(self) -> None:
+    def test_the_cost_of_a_registration_is_independent_of_their_number(self) -> None:
         """Each read all replicas and all kept events: a crowd of 3,000 kept its leader busy
         for seconds, and each member that read its log at a start as well."""
         state = ControlState("r")
@@ -62,11 +62,11 @@
             for number in range(start, end):
                 _register(state, number)
             took_s.append(time.process_time() - began_s)
-        self.assertLess(took_s[1], _MOST_TIMES * took_s[0])
+        self.assertLess(took_s[1], _MAX_COST_RATIO * took_s[0])
 
 
 class SnapshotTest(unittest.TestCase):
-    def test_what_was_known_of_addresses_and_events_outlives_a_snapshot(self) -> None:
+    def test_addresses_and_events_are_kept_by_a_snapshot(self) -> None:
         state = ControlState("r")
         for number in range(20):
             _register(state, number)
@@ -84,7 +84,7 @@
 
 
 class BatchTest(unittest.IsolatedAsyncioTestCase):
-    async def test_registrations_that_come_together_are_few_entries_of_the_log(self) -> None:
+    async def test_simultaneous_registrations_share_few_log_entries(self) -> None:
         """Each was one, told to each gateway: 3,000 before 300 gateways are 900,000 frames."""
         group = ControlGroup(1)
         await group.start()
@@ -97,7 +97,7 @@
         self.assertEqual(len(member.state.resources.resources["replica"]), 400)
         self.assertLess(member.node.log.last_index - before, 20)
 
-    async def test_one_that_is_known_by_the_time_it_is_let_in_writes_nothing(self) -> None:
+    async def test_a_registration_that_is_known_when_admitted_writes_nothing(self) -> None:
         """After a start all replicas asked before the log was read, and were written again."""
         group = ControlGroup(1)
         await group.start()
@@ -116,7 +116,7 @@
         record = member.state.resources.resources["replica"]["replica-1"]
         self.assertEqual(record.metadata.revision, written)
 
-    async def test_a_leave_among_a_crowd_holds_at_the_gateways_when_it_is_acknowledged(
+    async def test_an_acknowledged_leave_among_many_registrations_holds_at_the_gateways(
         self,
     ) -> None:
         fleet = await start_fleet(configuration(1))
@@ -141,7 +141,7 @@
         self.assertTrue(known["leaves"])
         self.assertEqual({outcome.request_status for outcome in await crowd}, {RequestStatus.DONE})
 
-    async def test_an_entry_of_many_that_is_cut_at_any_byte_is_whole_or_not_there(self) -> None:
+    async def test_a_truncated_entry_of_many_registrations_is_complete_or_missing(self) -> None:
         command = control_pb2.Command()
         for number in range(12):
             command.register_replicas.orders.add().replica.CopyFrom(_replica(number))
@@ -180,7 +180,7 @@
         assert member is not None
         return member
 
-    async def test_a_crowd_passes_with_few_calls_and_each_has_its_own_answer(self) -> None:
+    async def test_many_registrations_are_forwarded_in_few_calls_with_own_results(self) -> None:
         """Each was a call of its own: 1,000 took the leader a second of processor time."""
         calls = 0
         carry = self.leader.fleet_service.carry
@@ -197,7 +197,7 @@
         revisions = [outcome.result.revision for outcome in outcomes]
         self.assertTrue(all(revisions))
 
-    async def test_an_order_that_fails_takes_none_of_those_passed_on_with_it_along(self) -> None:
+    async def test_a_failed_order_does_not_fail_others_of_its_batch(self) -> None:
         """One refused order was the answer of up to 511 others as well."""
         batches = self.leader.fleet_service._batches
         propose = batches.propose
@@ -220,7 +220,7 @@
         done = [outcome for outcome in outcomes if outcome.request_status is RequestStatus.DONE]
         self.assertEqual(len(done), 38)
 
-    async def test_an_answer_that_lacks_results_acknowledges_nobody(self) -> None:
+    async def test_a_reply_that_lacks_results_acknowledges_no_registration(self) -> None:
         """It was taken for the answer of each."""
 
         async def cut_short(_request: control_pb2.CarryRequest) -> control_pb2.CarryReply:
@@ -233,7 +233,7 @@
         standings = {outcome.request_status for outcome in outcomes}
         self.assertEqual(standings, {RequestStatus.UNCLEAR})
 
-    async def test_a_leader_that_does_not_answer_is_told_of_once_and_counted(self) -> None:
+    async def test_an_unresponsive_leader_is_logged_once_and_counted(self) -> None:
         async def breaks(_request: control_pb2.CarryRequest) -> control_pb2.CarryReply:
             raise ConnectionError("broken")
 
@@ -247,7 +247,7 @@
         self.assertEqual(len(told), 1, told)
         self.assertIn(b"registration_calls_failed", self.follower.metrics.page())
 
-    async def test_one_taken_for_replaced_comes_back_over_a_member_that_does_not_lead(
+    async def test_a_replica_presumed_replaced_returns_through_a_follower(
         self,
     ) -> None:
         """The leader alone judges late heartbeats, also those that another member passes on."""
@@ -274,7 +274,7 @@
         assert member is not None
         self.member = member
 
-    async def test_a_crowd_that_waits_for_a_leader_leaves_the_loop_free(self) -> None:
+    async def test_many_callers_that_wait_for_a_leader_do_not_block_the_event_loop(self) -> None:
         """Each looked by itself, 20 times a second: votes came too late, and there was no
         leader for longer."""
         asyncio.get_running_loop().set_debug(False)
@@ -286,7 +286,7 @@
         self.assertEqual({outcome.request_status for outcome in outcomes}, {RequestStatus.UNCLEAR})
         self.assertLess(time.monotonic() - began_s, 2.5)  # 5.2 s, with 0.9 s of patience each
 
-    async def test_an_operator_goes_before_a_crowd_and_nobody_in_it_is_starved(self) -> None:
+    async def test_an_operator_precedes_many_replicas_and_no_replica_starves(self) -> None:
         asyncio.get_running_loop().set_debug(False)
         crowd = asyncio.create_task(_register_all(self.member, 600))
         await asyncio.sleep(0.05)
--- a/tests/test_gateway_behind.py
+++ b/tests/test_gateway_behind.py
@@ -13,7 +13,7 @@
 from platform_stand_ins import start_fleet as start
 
 _KNOWN, _UNKNOWN = "/known/", "/unknown/"
-_GRACE_S = 1.0  # for which it goes on by what it holds
+_GRACE_PERIOD_S = 1.0  # for which it goes on by what it holds
 _MANY_ROUTES = 1_500
 
 
@@ -52,7 +52,7 @@
     def _next_revision(self) -> int:
         return self.gateway.link.configuration.revision + 1
 
-    async def test_it_claims_nothing_of_what_it_does_not_know(self) -> None:
+    async def test_it_gives_no_final_response_about_what_it_does_not_know(self) -> None:
         """A 404 turned callers away from a route that had just been added."""
         self.assertEqual((await self.fleet.request(_UNKNOWN)).status, 404)
         self._standing.note_in_force(self._next_revision, 0)
@@ -63,9 +63,9 @@
         self.assertEqual((wrong_key.status, _code(wrong_key)), (503, "configuration_unconfirmed"))
         self.assertEqual((await self.fleet.request(_KNOWN)).status, 200)
 
-    async def test_it_refuses_all_and_is_not_ready_once_its_grace_is_over(self) -> None:
+    async def test_it_refuses_all_requests_and_is_not_ready_after_the_grace_period(self) -> None:
         self._standing.note_in_force(self._next_revision, 0)
-        await asyncio.sleep(_GRACE_S)
+        await asyncio.sleep(_GRACE_PERIOD_S)
         refused = await self.fleet.request(_KNOWN)
         self.assertEqual((refused.status, _code(refused)), (503, "configuration_behind"))
         self.assertIn("Retry-After", refused.headers)
@@ -75,7 +75,7 @@
         self.assertEqual((await self.fleet.request(_KNOWN)).status, 200)
         self.assertEqual(await self._readiness(), 200)
 
-    async def test_it_holds_at_once_when_told_to_and_control_has_its_word(self) -> None:
+    async def test_a_hold_order_takes_effect_at_once_and_is_confirmed_to_control(self) -> None:
         below = self._next_revision
         assert self.fleet.control.control is not None
         service = self.fleet.control.control.service
@@ -88,14 +88,14 @@
         refused = await self.fleet.request(_KNOWN)
         self.assertEqual((refused.status, _code(refused)), (503, "configuration_behind"))
 
-    async def test_a_request_under_way_is_sent_no_further(self) -> None:
+    async def test_a_request_in_flight_is_not_retried(self) -> None:
         """It was tried at a further replica, by a list that was known to be superseded."""
         self.reject = True
         refused = await self.fleet.request(_KNOWN, Deadline_Ms="400")
         self.assertEqual(refused.status, 503)
         self.assertEqual(len(self.received), 1)
 
-    async def test_a_late_goodbye_does_not_forget_a_successor(self) -> None:
+    async def test_a_late_leave_does_not_remove_a_successor(self) -> None:
         assert self.fleet.control.control is not None
         record = ledger_pb2.DaemonRecord(name="front-1", role="router", incarnation="earlier")
         earlier = DaemonSession(control_pb2.Hello(daemon=record))
@@ -109,7 +109,7 @@
 class FeedTest(unittest.IsolatedAsyncioTestCase):
     """Parts of updates on the stream of one gateway."""
 
-    async def test_parts_wait_for_the_gateway_and_an_update_ends_before_the_next(self) -> None:
+    async def test_parts_wait_for_confirmation_and_an_update_ends_before_the_next(self) -> None:
         many = [route(f"/{number:x}/", name=f"{number * 7919:x}") for number in range(_MANY_ROUTES)]
         fleet = await start(configuration(1, *many))
         self.addAsyncCleanup(fleet.stop)
--- a/tests/test_heartbeat_spread.py
+++ b/tests/test_heartbeat_spread.py
@@ -39,62 +39,66 @@
     def setUp(self) -> None:
         self.clock = _Clock()
         self.spreads = {name: HeartbeatSpread(self.clock) for name in _ZONES}
-        self.at: dict[int, str] = {}
+        self.assigned: dict[int, str] = {}
 
-    def _beat(self, number: int, dead: str = "", leader: str = "m0") -> None:
+    def _send_heartbeat(self, number: int, dead: str = "", leader: str = "m0") -> None:
         """Have a replica beat where it was told to; a dead member sends it anywhere."""
-        name = self.at.get(number, f"m{number % 5}")
+        name = self.assigned.get(number, f"m{number % 5}")
         if name == dead:
             name = next(one for one in _ZONES if one != dead)
         told = self.spreads[name].name(_replica(number), _view(name, leader))
-        self.at[number] = told.partition(":")[0]
+        self.assigned[number] = told.partition(":")[0]
 
-    def _rounds(self, count: int, replicas: int, dead: str = "") -> int:
+    def _run_intervals(self, count: int, replicas: int, dead: str = "") -> int:
         """Play some intervals; return how often a replica changed its member."""
         moves = 0
         for _ in range(count):
             for number in range(replicas):
-                before = self.at.get(number)
-                self._beat(number, dead)
-                moves += self.at[number] != before
+                before = self.assigned.get(number)
+                self._send_heartbeat(number, dead)
+                moves += self.assigned[number] != before
             self.clock.now_s += 1.2
         return moves
 
-    def test_few_replicas_all_beat_at_the_leader(self) -> None:
+    def test_few_replicas_all_send_heartbeats_to_the_leader(self) -> None:
         view = _view("m1", replicas=MIN_REPLICAS_TO_SPREAD - 1)
         self.assertEqual(self.spreads["m1"].name(_replica(1), view), "m0:80")
 
-    def test_many_settle_at_near_members_and_the_leader_has_none(self) -> None:
+    def test_many_replicas_are_assigned_to_local_members_but_not_the_leader(self) -> None:
         """All 3,000 beat at the leader, which had 3,000 connections and 2,500 calls a second."""
-        self._rounds(20, 600)
-        self.assertEqual(self._rounds(3, 600), 0, "they must stay where they are")
-        counts = Counter(self.at.values())
+        self._run_intervals(20, 600)
+        self.assertEqual(self._run_intervals(3, 600), 0, "they must stay where they are")
+        counts = Counter(self.assigned.values())
         self.assertNotIn("m0", counts)
-        self.assertEqual({number % 3 for number, at in self.at.items() if at == "m2"}, {2})
+        self.assertEqual(
+            {number % 3 for number, assigned in self.assigned.items() if assigned == "m2"}, {2}
+        )
         self.assertLess(max(counts.values()), 0.45 * 600)
 
-    def test_a_member_moves_only_so_many_in_a_second(self) -> None:
+    def test_moves_per_second_are_limited(self) -> None:
         spread = self.spreads["m0"]
         told = [spread.name(_replica(n), _view("m0")) for n in range(500)]
         self.assertEqual(sum(one != "m0:80" for one in told), MOVES_PER_SECOND)
 
-    def test_a_member_that_goes_is_passed_over_until_long_after(self) -> None:
+    def test_a_lost_member_is_excluded_until_the_exclusion_ends(self) -> None:
         """It was named again and again: each heartbeat then failed once."""
-        self._rounds(20, 600)
+        self._run_intervals(20, 600)
         failed = 0
         for _ in range(25):
-            failed += sum(at == "m2" for at in self.at.values())
-            self._rounds(1, 600, dead="m2")
+            failed += sum(assigned == "m2" for assigned in self.assigned.values())
+            self._run_intervals(1, 600, dead="m2")
             self.clock.now_s -= 1.2
             self.clock.now_s += 1.0
-        lasted = sum(at == "m2" for at in self.at.values())
+        lasted = sum(assigned == "m2" for assigned in self.assigned.values())
         self.assertLess(failed, 2 * 200 + MOVES_PER_SECOND, "each fails once, some once more")
         self.assertEqual(lasted, 0)
         self.clock.now_s += EXCLUSION_S
-        self._rounds(20, 600)
-        self.assertGreater(sum(at == "m2" for at in self.at.values()), 100, "it came back")
+        self._run_intervals(20, 600)
+        self.assertGreater(
+            sum(assigned == "m2" for assigned in self.assigned.values()), 100, "it came back"
+        )
 
-    def test_a_member_that_hears_no_leader_sends_its_replicas_on(self) -> None:
+    def test_a_member_without_leader_contact_moves_its_replicas(self) -> None:
         """Cut off, it would take them for settled though the others know better."""
         view = _view("m2", leader="", silent_s=5.0)
         self.assertNotIn(self.spreads["m2"].name(_replica(2), view), ("", "m2:80"))
--- a/tests/test_link_between_regions.py
+++ b/tests/test_link_between_regions.py
@@ -17,10 +17,10 @@
 from heronladder_schema.v1 import consensus_pb2, control_pb2, resources_pb2
 from support import run_virtual
 
-_FAR_S = 0.012
-_ELECTION_S = 0.8
-_LARGE = ("n-0", "n-1", "n-2")
-_SMALL = ("s-0", "s-1")
+_REGION_DELAY_S = 0.012
+_ELECTION_TIMEOUT_S = 0.8
+_LARGE_REGION = ("n-0", "n-1", "n-2")
+_SMALL_REGION = ("s-0", "s-1")
 _SEEDS = range(40)
 
 
@@ -30,15 +30,17 @@
     def __init__(self, seed: int) -> None:
         self._source = random.Random(seed)
         self.environment = Environment(self._source, virtual=True)
-        self.network = MemoryNetwork(self._source, Weather(region_delay_s=_FAR_S))
+        self.network = MemoryNetwork(self._source, Weather(region_delay_s=_REGION_DELAY_S))
         self.members: dict[str, ControlMember] = {}
         self.terms: set[int] = set()
 
     async def start(self) -> None:
-        names = [*_LARGE, *_SMALL]
+        names = [*_LARGE_REGION, *_SMALL_REGION]
         first = [consensus_pb2.Member(name=name, address=f"{name}:1", voter=True) for name in names]
         for name in names:
-            options = ControlOptions(name, "fleet", first, ConsensusTiming(_ELECTION_S), named=True)
+            options = ControlOptions(
+                name, "fleet", first, ConsensusTiming(_ELECTION_TIMEOUT_S), named=True
+            )
             disk = MemoryDisk(self._source).handle()
             stubs = MemoryStubs(self.network, name)
             member = ControlMember(options, disk, stubs, self.environment, lambda error: None)
@@ -48,7 +50,7 @@
             self.members[name] = member
         await asyncio.sleep(4)
 
-    def leader(self, among: tuple[str, ...] = (*_LARGE, *_SMALL)) -> str:
+    def leader(self, among: tuple[str, ...] = (*_LARGE_REGION, *_SMALL_REGION)) -> str:
         """Return who leads with a quorum, or "" if nobody does."""
         leading = [name for name in among if self.members[name].node.is_leader]
         return max(leading, key=lambda name: self.members[name].node.term, default="")
@@ -111,71 +113,71 @@
 
 
 class LinkTest(unittest.TestCase):
-    def _one_state(self, group: _Group, budgets: set[str]) -> None:
+    def _check_equal_state(self, group: _Group, budgets: set[str]) -> None:
         self.assertEqual(len(group.states()), 1)
         for member in group.members.values():
             self.assertEqual(set(member.state.resources.resources["budget"]), budgets)
 
-    def test_the_larger_side_goes_on_when_the_leader_stands_on_the_smaller(self) -> None:
+    def test_the_larger_region_continues_when_the_leader_is_in_the_smaller(self) -> None:
         async def work(group: _Group) -> None:
-            await group.put("before", _SMALL)
-            cuts = group.cut((_LARGE, _SMALL), (_SMALL, _LARGE))
-            took_s = await group.put("amid", _LARGE)
-            self.assertLess(took_s, 4 * _ELECTION_S)
-            self.assertEqual(group.leader(_SMALL), "")  # it stepped down: nobody answers it
+            await group.put("before", _SMALL_REGION)
+            cuts = group.cut((_LARGE_REGION, _SMALL_REGION), (_SMALL_REGION, _LARGE_REGION))
+            took_s = await group.put("amid", _LARGE_REGION)
+            self.assertLess(took_s, 4 * _ELECTION_TIMEOUT_S)
+            self.assertEqual(group.leader(_SMALL_REGION), "")  # it stepped down: nobody answers it
             group.heal(cuts)
             await asyncio.sleep(3)
-            self._one_state(group, {"before", "amid"})
+            self._check_equal_state(group, {"before", "amid"})
 
-        _with_leader_in(_SMALL, work)
+        _with_leader_in(_SMALL_REGION, work)
 
-    def test_a_leader_on_the_larger_side_notices_nothing(self) -> None:
+    def test_a_leader_in_the_larger_region_keeps_its_term(self) -> None:
         async def work(group: _Group) -> None:
             term = group.members[group.leader()].node.term
-            cuts = group.cut((_LARGE, _SMALL), (_SMALL, _LARGE))
+            cuts = group.cut((_LARGE_REGION, _SMALL_REGION), (_SMALL_REGION, _LARGE_REGION))
             await asyncio.sleep(8)
-            self.assertLess(await group.put("amid", _LARGE), _FAR_S)
+            self.assertLess(await group.put("amid", _LARGE_REGION), _REGION_DELAY_S)
             group.heal(cuts)
             await asyncio.sleep(3)
             self.assertEqual(group.members[group.leader()].node.term, term)
-            self._one_state(group, {"amid"})
+            self._check_equal_state(group, {"amid"})
 
-        _with_leader_in(_LARGE, work)
+        _with_leader_in(_LARGE_REGION, work)
 
-    def test_a_link_that_carries_one_way_only(self) -> None:
-        for one, other in ((_LARGE, _SMALL), (_SMALL, _LARGE)):
+    def test_a_link_that_is_cut_in_one_direction(self) -> None:
+        for one, other in ((_LARGE_REGION, _SMALL_REGION), (_SMALL_REGION, _LARGE_REGION)):
 
             async def work(group: _Group, way: tuple[tuple[str, ...], ...] = (one, other)) -> None:
                 cuts = group.cut((way[0], way[1]))
-                await group.put("amid", _LARGE)
+                await group.put("amid", _LARGE_REGION)
                 group.heal(cuts)
                 await asyncio.sleep(3)
-                self._one_state(group, {"amid"})
+                self._check_equal_state(group, {"amid"})
 
             with self.subTest(lost_from=one):
-                _with_leader_in(_LARGE, work)
+                _with_leader_in(_LARGE_REGION, work)
 
-    def test_with_a_member_of_the_leaders_region_lost_the_far_ones_complete_a_quorum(self) -> None:
+    def test_remote_members_complete_a_quorum_when_a_local_member_is_lost(self) -> None:
         async def work(group: _Group) -> None:
-            lost = next(name for name in _LARGE if name != group.leader())
+            lost = next(name for name in _LARGE_REGION if name != group.leader())
             group.network.kill(lost)
-            took_s = await group.put("after", _LARGE)
-            self.assertGreaterEqual(took_s, 2 * _FAR_S)
-            self.assertLess(took_s, 4 * _FAR_S)
+            took_s = await group.put("after", _LARGE_REGION)
+            self.assertGreaterEqual(took_s, 2 * _REGION_DELAY_S)
+            self.assertLess(took_s, 4 * _REGION_DELAY_S)
 
-        _with_leader_in(_LARGE, work)
+        _with_leader_in(_LARGE_REGION, work)
 
-    def test_a_link_that_is_choked_elects_nobody_anew(self) -> None:
+    def test_a_slow_link_causes_no_election(self) -> None:
         async def work(group: _Group) -> None:
             term = group.members[group.leader()].node.term
             group.network.weather = replace(
-                group.network.weather, region_delay_s=10 * _FAR_S, extra_delay_s=0.05
+                group.network.weather, region_delay_s=10 * _REGION_DELAY_S, extra_delay_s=0.05
             )
             await asyncio.sleep(20)
             self.assertEqual(group.members[group.leader()].node.term, term)
-            await group.put("amid", (*_LARGE, *_SMALL))
+            await group.put("amid", (*_LARGE_REGION, *_SMALL_REGION))
 
-        _with_leader_in(_SMALL, work)
+        _with_leader_in(_SMALL_REGION, work)
 
 
 if __name__ == "__main__":
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -21,7 +21,7 @@
         states = [member.state for member in group.running.values()]
         await group.stop()
         self.assertEqual(group.failures, [])
-        self.assertEqual(group.in_old_logs, [])
+        self.assertEqual(group.unsupported_commands, [])
         self.assertGreater(group.registered, 30)
         self.assertEqual({state.cluster_version for state in states}, {LATEST_VERSION})
         self.assertEqual({state.named_group for state in states}, {"fleet"})
--- a/tests/test_part_sizes.py
+++ b/tests/test_part_sizes.py
@@ -54,16 +54,16 @@
             if made is not None and not made.more:
                 return sizes
 
-    def test_a_router_that_begins_anew_has_all_replicas_with_few_frames(self) -> None:
+    def test_a_restarted_router_gets_all_replicas_in_few_frames(self) -> None:
         """300 that began anew were sent 4 KiB at a time: some 15,000 frames and as many back."""
         sizes = self._sizes(0.01)
         self.assertLess(len(sizes), sum(sizes) / PART_BYTES / 2)
         self.assertEqual(sizes[0], PART_BYTES)
 
-    def test_on_a_thin_link_parts_stay_small(self) -> None:
+    def test_parts_stay_small_on_a_slow_link(self) -> None:
         self.assertEqual(max(self._sizes(0.8)), PART_BYTES)
 
-    def test_on_a_thin_link_they_get_smaller_so_that_orders_pass_soon(self) -> None:
+    def test_parts_shrink_on_a_slow_link_so_that_orders_are_not_delayed(self) -> None:
         """An order to hold waited a second behind two parts of 4 KiB, and silence counted it."""
         sizes = self._sizes(0.8)[:-1]
         self.assertEqual(sizes[0], PART_BYTES)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -153,7 +153,7 @@
 
         run_virtual(scenario())
 
-    def test_both_sides_go_on_in_a_long_cut_and_the_budget_is_never_passed(self) -> None:
+    def test_both_regions_serve_in_a_long_partition_and_the_budget_is_not_exceeded(self) -> None:
         async def scenario(seed: int) -> None:
             regions = TwoRegions(seed)
             await regions.start()
--- a/tests/test_registration_batches.py
+++ b/tests/test_registration_batches.py
@@ -24,8 +24,8 @@
 
 _STREAMS = 300
 _REPLICAS = 4_000
-_PATIENCE_S = 0.9
-_ASKED_AGAIN_S = 0.1
+_CALL_TIMEOUT_S = 0.9
+_RETRY_INTERVAL_S = 0.1
 
 
 class _Member:
@@ -70,18 +70,18 @@
     run_virtual(work())
 
 
-class GivenUpTest(unittest.TestCase):
-    def test_a_crowd_that_gives_up_and_asks_again_is_registered(self) -> None:
+class AbandonedRegistrationTest(unittest.TestCase):
+    def test_many_callers_that_time_out_and_retry_are_registered(self) -> None:
         """Orders whose callers had gone took the places of the living, and their pauses."""
 
         async def replica(batches: RegistrationBatches, number: int) -> None:
             while True:
                 try:
-                    async with asyncio.timeout(_PATIENCE_S):
+                    async with asyncio.timeout(_CALL_TIMEOUT_S):
                         await batches.propose(_order(f"r{number}"))
                     return
                 except (TimeoutError, LeadershipLostError):
-                    await asyncio.sleep(_ASKED_AGAIN_S)
+                    await asyncio.sleep(_RETRY_INTERVAL_S)
 
         async def scenario(_member: _Member, batches: RegistrationBatches) -> None:
             crowd = [asyncio.create_task(replica(batches, n)) for n in range(_REPLICAS)]
@@ -94,7 +94,7 @@
 
         _run(scenario)
 
-    def test_orders_of_callers_that_went_cost_neither_places_nor_pauses(self) -> None:
+    def test_abandoned_registrations_take_no_batch_slots_and_no_pauses(self) -> None:
         async def scenario(member: _Member, batches: RegistrationBatches) -> None:
             member.commit_s = 0.0
             await batches.propose(_order("first"))
@@ -116,7 +116,7 @@
 
 
 class OrderTest(unittest.TestCase):
-    def test_a_replica_that_leaves_goes_first_but_after_its_own_earlier_words(self) -> None:
+    def test_a_leaving_replica_goes_first_but_after_its_own_earlier_reports(self) -> None:
         async def scenario(member: _Member, batches: RegistrationBatches) -> None:
             first = asyncio.create_task(batches.propose(_order("first")))
             await asyncio.sleep(0.01)
@@ -131,7 +131,7 @@
 
 
 class FailureTest(unittest.TestCase):
-    def test_a_failure_of_any_kind_is_told_to_all_that_wait(self) -> None:
+    def test_any_failure_reaches_all_waiting_callers(self) -> None:
         """Their orders were taken and never answered: each waited for all of its patience."""
 
         async def scenario(member: _Member, batches: RegistrationBatches) -> None:
--- a/tests/test_registrations.py
+++ b/tests/test_registrations.py
@@ -6,7 +6,7 @@
 from platform_stand_ins import Answer, Fleet, answer, configuration, start_fleet
 
 _REPLICA = "leaves"
-_LONGEST_S = 10.0
+_TIMEOUT_S = 10.0
 
 
 class LeaveTest(unittest.IsolatedAsyncioTestCase):
@@ -22,7 +22,7 @@
         await self.fleet.add_replica(_REPLICA, script)
         await self.fleet.gateway.abort()
 
-    async def test_a_deregistration_sent_again_is_acknowledged_only_in_force(self) -> None:
+    async def test_a_retried_deregistration_is_acknowledged_only_once_in_force(self) -> None:
         """A replica that deregisters twice is let go while gateways still send to it.
 
         The first call runs out of time before the leave is in force and gets no clear
@@ -31,7 +31,7 @@
         """
         first = await self._deregister()
         self.assertEqual(first.status, 503, "the silent gateway must be waited for")
-        async with asyncio.timeout(_LONGEST_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             while (await self._deregister()).status != 200:
                 pass
         assert self.fleet.control.control is not None
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -8,7 +8,7 @@
 
 
 class StatusTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_group_and_the_place_of_the_member_are_told_apart(self) -> None:
+    async def test_the_group_and_the_region_of_a_member_are_separate_fields(self) -> None:
         """The group's name stood for the region, also where its members stand in several."""
         group = ControlGroup(1)
         await group.start()
