--- a/tests/control_group.py
+++ b/tests/control_group.py
@@ -1,4 +1,4 @@
-"""A group of control members over loopback, each of which can be stopped and started again."""
+"""Test support: a group of control members on loopback whose members can be restarted."""
 
 import asyncio
 import tempfile
@@ -13,22 +13,22 @@
 from heronladder_tools.demo_fleet import free_addresses
 from platform_stand_ins import settings_document, with_rollouts
 
-_ADDRESSES_PER_MEMBER = 4  # of each member: gRPC, its API, its metrics, operators and replicas
+_ADDRESSES_PER_MEMBER = 4  # gRPC, resource API, metrics, and the API for operators and replicas
 _START_TIMEOUT_S = 15.0
 _CHECK_INTERVAL_S = 0.02
 
 
 class ControlGroup:
-    """Members that form a group at their first start.
+    """Control members that form a group at their first start.
 
     Args:
-        size: How many.
-        has_rollouts: Whether roll-outs are on.
+        size: Number of members.
+        has_rollouts: Whether rollouts are enabled.
 
     Attributes:
-        grpc: gRPC addresses, by number of the member.
-        operators: Addresses for operators and replicas, by number of the member.
-        running: Members that run, by number.
+        grpc: gRPC addresses, by member number.
+        operators: Addresses of the API for operators and replicas, by member number.
+        running: Daemons of running members, by member number.
     """
 
     def __init__(self, size: int, *, has_rollouts: bool = False) -> None:
@@ -43,28 +43,28 @@
 
     @property
     def size(self) -> int:
-        """How many members there are, running or not."""
+        """Number of members, running or not."""
         return len(self.grpc)
 
     @property
     def has_quorum(self) -> bool:
-        """Whether more than half of the members run."""
+        """Whether more than half of the members are running."""
         return 2 * len(self.running) > self.size
 
     @property
     def leader(self) -> int | None:
-        """Number of the member that leads; None if none does."""
+        """Number of the member that is the leader; None if there is none."""
         for number, daemon in self.running.items():
             if daemon.control is not None and daemon.control.node.is_leader:
                 return number
         return None
 
     def some_operators_address(self, source: Random) -> str:
-        """Return where a running member serves operators; where one would if none runs."""
+        """Return the API address of a random running member, or of any member if none runs."""
         return self.operators[source.choice(sorted(self.running) or range(self.size))]
 
     async def start(self) -> None:
-        """Start all members; return once one leads and the cluster version is in force at all."""
+        """Start all members; wait for a leader and for the cluster version at all members."""
         for number in range(self.size):
             await self.start_member(number)
         async with asyncio.timeout(_START_TIMEOUT_S):
@@ -78,7 +78,7 @@
         return versions == {LATEST_VERSION}
 
     async def start_member(self, number: int) -> None:
-        """Start a member, from its folder if it ran before."""
+        """Start a member, with the data of its earlier run if there is one."""
         daemon = Daemon(self._settings(number))
         await daemon.start()
         assert daemon.control is not None
@@ -87,12 +87,12 @@
         self.running[number] = daemon
 
     async def end_member(self, number: int, *, planned: bool) -> None:
-        """End a member: as planned, or at once."""
+        """Stop a member gracefully (planned) or abort it."""
         daemon = self.running.pop(number)
         await (daemon.stop() if planned else daemon.abort())
 
     async def stop(self) -> None:
-        """End all members."""
+        """Abort all members and delete their data."""
         for number in list(self.running):
             await self.end_member(number, planned=False)
         self._folder.cleanup()
--- a/tests/mixed_group.py
+++ b/tests/mixed_group.py
@@ -1,4 +1,4 @@
-"""A control group in virtual time whose members are replaced by ones of a later cluster version."""
+"""Test support: a control group in virtual time that is upgraded member by member."""
 
 import asyncio
 from random import Random
@@ -23,16 +23,17 @@
 
 
 class MixedGroup:
-    """One run: members of version 0, each replaced once, while members are lost and found.
+    """A group that starts with cluster version 0 and is upgraded while members crash and restart.
 
     Args:
-        seed: Draws the order and the losses.
-        size: How many members.
+        seed: Seed for the order of upgrades and for the crashes.
+        size: Number of members.
 
     Attributes:
-        failures: Why members ended by themselves.
-        in_old_logs: Kinds of commands that a member of version 0 had to apply and does not know.
-        registered: Registrations that were acknowledged.
+        failures: Errors with which members ended by themselves.
+        unsupported_commands: Kinds of commands that a member of version 0 had to apply but does
+            not know.
+        registered: Number of acknowledged registrations.
     """
 
     def __init__(self, seed: int, size: int) -> None:
@@ -50,14 +51,14 @@
     # ---- members ----------------------------------------------------------
 
     async def _start(self, name: str) -> None:
-        first = [
+        initial_members = [
             consensus_pb2.Member(name=one, address=f"{one}:1", voter=True) for one in self._names
         ]
         is_old = self._is_old[name]
         options = ControlOptions(
             name,
             "fleet",
-            first,
+            initial_members,
             ConsensusTiming(1.0),
             named=True,
             earlier_group="r1",
@@ -65,12 +66,12 @@
             cluster_version_hold_s=_VERSION_HOLD_S,
         )
 
-        def failed(error: HeronladderError) -> None:
+        def on_failure(error: HeronladderError) -> None:
             self.failures.append(f"{name}: {error}")
 
         stubs = MemoryStubs(self._network, name)
         disk = self._disks[name].handle()
-        member = ControlMember(options, disk, stubs, self._environment, failed)
+        member = ControlMember(options, disk, stubs, self._environment, on_failure)
         if is_old:
             self._limit_to_first_version(member)
         servers = {"consensus": member.consensus_service, "control": member.service}
@@ -79,14 +80,14 @@
         self.running[name] = member
 
     def _limit_to_first_version(self, member: ControlMember) -> None:
-        """Have a member support version 0 only, and note what it could not read."""
+        """Limit a member to version 0, and record the commands that it does not know."""
         member.state.highest_version = FIRST_VERSION
 
-        def note(command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
+        def record(command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
             if required_version(command) != FIRST_VERSION:
                 self.unsupported_commands.append(command.WhichOneof("body") or "")
 
-        member.state.listeners.append(note)
+        member.state.listeners.append(record)
 
     async def _crash(self, name: str) -> None:
         member = self.running.pop(name)
@@ -97,18 +98,18 @@
     # ---- the run ----------------------------------------------------------
 
     async def run(self) -> None:
-        """Replace all members, in a drawn order, beside drawn losses."""
+        """Upgrade all members in random order, with additional random restarts."""
         for name in self._names:
             await self._start(name)
         await asyncio.sleep(3.0)
-        asking = asyncio.create_task(self._register_repeatedly())
+        registering = asyncio.create_task(self._register_repeatedly())
         for name in self.source.sample(self._names, len(self._names)):
             if self.source.random() < 0.4:
                 await self._replace(self.source.choice(self._names))
             self._is_old[name] = False
             await self._replace(name)
         await asyncio.sleep(_SETTLE_TIME_S)
-        asking.cancel()
+        registering.cancel()
         await asyncio.sleep(1.0)
 
     async def _replace(self, name: str) -> None:
@@ -118,7 +119,7 @@
         await asyncio.sleep(self.source.uniform(*_GAP_RANGE_S))
 
     async def stop(self) -> None:
-        """End all members."""
+        """Stop all members."""
         for name in list(self.running):
             await self._crash(name)
 
--- a/tests/test_crowd_of_replicas.py
+++ b/tests/test_crowd_of_replicas.py
@@ -1,4 +1,4 @@
-"""Thousands of replicas that register at once, and gateways and operators among them."""
+"""Tests of thousands of simultaneous registrations, beside gateways and operators."""
 
 import asyncio
 import tempfile
@@ -21,7 +21,7 @@
 
 _FEW = 500
 _MANY = 4_000
-_MAX_COST_RATIO = 4.0  # dearer, a registration among eight times as many; it was eight times
+_MAX_COST_RATIO = 4.0  # limit with 8 times as many replicas; a cost linear in their number gives 8
 
 
 def _replica(number: int, address: str = "") -> resources_pb2.Replica:
@@ -51,8 +51,11 @@
 
 class CostTest(unittest.TestCase):
     def test_the_cost_of_a_registration_is_independent_of_their_number(self) -> None:
-        """Each read all replicas and all kept events: a crowd of 3,000 kept its leader busy
-        for seconds, and each member that read its log at a start as well."""
+        """A registration must not scan all replicas and events.
+
+        Otherwise 3,000 registrations keep the leader busy for seconds, and also each member that
+        reads its log at a start.
+        """
         state = ControlState("r")
         took_s = []
         for start, end in ((0, _FEW), (_MANY - _FEW, _MANY)):
@@ -73,7 +76,7 @@
         again = ControlState("r")
         again.restore(state.snapshot())
         for one in (state, again):
-            _register(one, 99, address="10.0.0.7:80")  # replica-7 was there
+            _register(one, 99, address="10.0.0.7:80")  # address of replica-7
         self.assertEqual(state.snapshot(), again.snapshot())
         self.assertTrue(again.fleet.is_replaced(resources_pb2.Replica(id="replica-7")))
         events = again.resources.events_after(19)
@@ -85,7 +88,7 @@
 
 class BatchTest(unittest.IsolatedAsyncioTestCase):
     async def test_simultaneous_registrations_share_few_log_entries(self) -> None:
-        """Each was one, told to each gateway: 3,000 before 300 gateways are 900,000 frames."""
+        """With an entry for each, 3,000 registrations and 300 gateways cause 900,000 frames."""
         group = ControlGroup(1)
         await group.start()
         self.addAsyncCleanup(group.stop)
@@ -98,7 +101,7 @@
         self.assertLess(member.node.log.last_index - before, 20)
 
     async def test_a_registration_that_is_known_when_admitted_writes_nothing(self) -> None:
-        """After a start all replicas asked before the log was read, and were written again."""
+        """After a start replicas register before the log is read; the log holds them already."""
         group = ControlGroup(1)
         await group.start()
         self.addAsyncCleanup(group.stop)
@@ -129,17 +132,19 @@
         asyncio.get_running_loop().set_debug(False)
         member = fleet.control.control
         assert member is not None
-        crowd = asyncio.create_task(_register_all(member, 400))
+        callers = asyncio.create_task(_register_all(member, 400))
         await asyncio.sleep(0)
         began_s = time.monotonic()
-        told = await fleet.call(fleet.control_address, "POST", "/api/Replicas.Deregister/leaves")
-        self.assertEqual(told.status, 200)
+        reply = await fleet.call(fleet.control_address, "POST", "/api/Replicas.Deregister/leaves")
+        self.assertEqual(reply.status, 200)
         self.assertLess(time.monotonic() - began_s, 1.0)
         gateway = fleet.gateway.gateway
         assert gateway is not None
         known = {one.id: one.gone for one in gateway.link.configuration.replicas()}
         self.assertTrue(known["leaves"])
-        self.assertEqual({outcome.request_status for outcome in await crowd}, {RequestStatus.DONE})
+        self.assertEqual(
+            {outcome.request_status for outcome in await callers}, {RequestStatus.DONE}
+        )
 
     async def test_a_truncated_entry_of_many_registrations_is_complete_or_missing(self) -> None:
         command = control_pb2.Command()
@@ -151,19 +156,19 @@
             await storage.append([entry])
             storage.close()
             file = next(Path(folder).iterdir())
-            whole = file.read_bytes()
-            for size in range(len(whole) + 1):
-                file.write_bytes(whole[:size])
+            complete = file.read_bytes()
+            for size in range(len(complete) + 1):
+                file.write_bytes(complete[:size])
                 kept = LogStorage(FolderDisk(Path(folder))).load().entries
                 state = ControlState("r")
                 for one in kept:
                     state.apply(one.index, one.command)
                 known = len(state.resources.resources["replica"])
-                self.assertEqual(known, 12 if size == len(whole) else 0, f"{size} bytes")
+                self.assertEqual(known, 12 if size == len(complete) else 0, f"{size} bytes")
 
 
 class RelayTest(unittest.IsolatedAsyncioTestCase):
-    """A crowd at a member that does not lead."""
+    """Many registrations at a member that is not the leader."""
 
     async def asyncSetUp(self) -> None:
         self.group = ControlGroup(3)
@@ -181,7 +186,7 @@
         return member
 
     async def test_many_registrations_are_forwarded_in_few_calls_with_own_results(self) -> None:
-        """Each was a call of its own: 1,000 took the leader a second of processor time."""
+        """With a call for each, 1,000 registrations take the leader a second of processor time."""
         calls = 0
         carry = self.leader.fleet_service.carry
 
@@ -198,7 +203,7 @@
         self.assertTrue(all(revisions))
 
     async def test_a_failed_order_does_not_fail_others_of_its_batch(self) -> None:
-        """One refused order was the answer of up to 511 others as well."""
+        """The result of one refused order must not be returned for the up to 511 others."""
         batches = self.leader.fleet_service._batches
         propose = batches.propose
 
@@ -221,17 +226,17 @@
         self.assertEqual(len(done), 38)
 
     async def test_a_reply_that_lacks_results_acknowledges_no_registration(self) -> None:
-        """It was taken for the answer of each."""
+        """Such a reply must not be returned for each registration."""
 
-        async def cut_short(_request: control_pb2.CarryRequest) -> control_pb2.CarryReply:
+        async def truncated(_request: control_pb2.CarryRequest) -> control_pb2.CarryReply:
             reply = control_pb2.CarryReply(result=success())
             reply.result.each.extend([success()] * 3)
             return reply
 
-        with mock.patch.object(self.leader.fleet_service, "carry", cut_short):
+        with mock.patch.object(self.leader.fleet_service, "carry", truncated):
             outcomes = await _register_all(self.follower, 40)
-        standings = {outcome.request_status for outcome in outcomes}
-        self.assertEqual(standings, {RequestStatus.UNCLEAR})
+        statuses = {outcome.request_status for outcome in outcomes}
+        self.assertEqual(statuses, {RequestStatus.UNCLEAR})
 
     async def test_an_unresponsive_leader_is_logged_once_and_counted(self) -> None:
         async def breaks(_request: control_pb2.CarryRequest) -> control_pb2.CarryReply:
@@ -243,14 +248,14 @@
         ):
             outcomes = await _register_all(self.follower, 5)
         self.assertEqual({outcome.request_status for outcome in outcomes}, {RequestStatus.UNCLEAR})
-        told = [line for line in logs.output if "event=registrations_not_passed_on" in line]
-        self.assertEqual(len(told), 1, told)
+        lines = [line for line in logs.output if "event=registrations_not_passed_on" in line]
+        self.assertEqual(len(lines), 1, lines)
         self.assertIn(b"registration_calls_failed", self.follower.metrics.page())
 
     async def test_a_replica_presumed_replaced_returns_through_a_follower(
         self,
     ) -> None:
-        """The leader alone judges late heartbeats, also those that another member passes on."""
+        """Only the leader decides on late heartbeats, also on those that members forward."""
         service = self.follower.fleet_service
         alive, ghost = _replica(1), _replica(2, address=_replica(1).address)
         await service.register(alive)
@@ -264,7 +269,7 @@
 
 
 class NoLeaderTest(unittest.IsolatedAsyncioTestCase):
-    """A crowd at a member that knows no leader."""
+    """Many registrations at a member that knows no leader."""
 
     async def asyncSetUp(self) -> None:
         self.group = ControlGroup(3)
@@ -275,31 +280,34 @@
         self.member = member
 
     async def test_many_callers_that_wait_for_a_leader_do_not_block_the_event_loop(self) -> None:
-        """Each looked by itself, 20 times a second: votes came too late, and there was no
-        leader for longer."""
+        """Waiting callers must not poll for a leader.
+
+        If each polls 20 times per second, votes come too late and the group is without a leader
+        for longer.
+        """
         asyncio.get_running_loop().set_debug(False)
-        crowd = asyncio.create_task(_register_all(self.member, 3_000))
+        callers = asyncio.create_task(_register_all(self.member, 3_000))
         began_s = time.monotonic()
-        while not crowd.done():
+        while not callers.done():
             await asyncio.sleep(0.01)
-        outcomes = await crowd
+        outcomes = await callers
         self.assertEqual({outcome.request_status for outcome in outcomes}, {RequestStatus.UNCLEAR})
-        self.assertLess(time.monotonic() - began_s, 2.5)  # 5.2 s, with 0.9 s of patience each
+        self.assertLess(time.monotonic() - began_s, 2.5)  # 5.2 s if each polls; 0.9 s time-out each
 
     async def test_an_operator_precedes_many_replicas_and_no_replica_starves(self) -> None:
         asyncio.get_running_loop().set_debug(False)
-        crowd = asyncio.create_task(_register_all(self.member, 600))
+        callers = asyncio.create_task(_register_all(self.member, 600))
         await asyncio.sleep(0.05)
         wanted = resources_pb2.FleetConfiguration(version=1, source=b"{}")
         operator = asyncio.create_task(self.member.fleet_service.apply(wanted))
         for number in (1, 2):
             await self.group.start_member(number)
         self.assertEqual((await operator).request_status, RequestStatus.DONE)
-        for _ in range(20):  # as replicas do, which ask again
-            outcomes = await crowd
+        for _ in range(20):  # replicas retry
+            outcomes = await callers
             if {outcome.request_status for outcome in outcomes} == {RequestStatus.DONE}:
                 break
-            crowd = asyncio.create_task(_register_all(self.member, 600))
+            callers = asyncio.create_task(_register_all(self.member, 600))
         self.assertEqual({outcome.request_status for outcome in outcomes}, {RequestStatus.DONE})
 
 
--- a/tests/test_gateway_behind.py
+++ b/tests/test_gateway_behind.py
@@ -1,4 +1,4 @@
-"""A gateway that is behind what is in force: what it serves, refuses and claims."""
+"""Tests of a gateway that is behind the configuration in force: what it serves and refuses."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 from platform_stand_ins import start_fleet as start
 
 _KNOWN, _UNKNOWN = "/known/", "/unknown/"
-_GRACE_PERIOD_S = 1.0  # for which it goes on by what it holds
+_GRACE_PERIOD_S = 1.0  # time for which the gateway continues with the configuration it has
 _MANY_ROUTES = 1_500
 
 
@@ -22,7 +22,7 @@
 
 
 class BehindTest(unittest.IsolatedAsyncioTestCase):
-    """One gateway that is told of more than it gets."""
+    """A gateway that is notified of a revision it has not received."""
 
     async def asyncSetUp(self) -> None:
         self.fleet = await start(configuration(1, route(_KNOWN)))
@@ -53,7 +53,7 @@
         return self.gateway.link.configuration.revision + 1
 
     async def test_it_gives_no_final_response_about_what_it_does_not_know(self) -> None:
-        """A 404 turned callers away from a route that had just been added."""
+        """A 404 would reject callers of a route that was just added."""
         self.assertEqual((await self.fleet.request(_UNKNOWN)).status, 404)
         self._standing.note_in_force(self._next_revision, 0)
         unknown = await self.fleet.request(_UNKNOWN)
@@ -89,7 +89,7 @@
         self.assertEqual((refused.status, _code(refused)), (503, "configuration_behind"))
 
     async def test_a_request_in_flight_is_not_retried(self) -> None:
-        """It was tried at a further replica, by a list that was known to be superseded."""
+        """A retry would select a replica from a list that is known to be superseded."""
         self.reject = True
         refused = await self.fleet.request(_KNOWN, Deadline_Ms="400")
         self.assertEqual(refused.status, 503)
@@ -107,7 +107,7 @@
 
 
 class FeedTest(unittest.IsolatedAsyncioTestCase):
-    """Parts of updates on the stream of one gateway."""
+    """Parts of configuration updates on the stream of one gateway."""
 
     async def test_parts_wait_for_confirmation_and_an_update_ends_before_the_next(self) -> None:
         many = [route(f"/{number:x}/", name=f"{number * 7919:x}") for number in range(_MANY_ROUTES)]
--- a/tests/test_heartbeat_spread.py
+++ b/tests/test_heartbeat_spread.py
@@ -1,4 +1,4 @@
-"""Heartbeats of a crowd of replicas, spread over the members."""
+"""Tests of spreading the heartbeats of many replicas over the members."""
 
 import unittest
 from collections import Counter
@@ -42,15 +42,15 @@
         self.assigned: dict[int, str] = {}
 
     def _send_heartbeat(self, number: int, dead: str = "", leader: str = "m0") -> None:
-        """Have a replica beat where it was told to; a dead member sends it anywhere."""
+        """Send a replica's heartbeat to its assigned member, or to any other if that is dead."""
         name = self.assigned.get(number, f"m{number % 5}")
         if name == dead:
             name = next(one for one in _ZONES if one != dead)
-        told = self.spreads[name].name(_replica(number), _view(name, leader))
-        self.assigned[number] = told.partition(":")[0]
+        address = self.spreads[name].name(_replica(number), _view(name, leader))
+        self.assigned[number] = address.partition(":")[0]
 
     def _run_intervals(self, count: int, replicas: int, dead: str = "") -> int:
-        """Play some intervals; return how often a replica changed its member."""
+        """Run heartbeat intervals; return how often a replica changed its member."""
         moves = 0
         for _ in range(count):
             for number in range(replicas):
@@ -65,9 +65,9 @@
         self.assertEqual(self.spreads["m1"].name(_replica(1), view), "m0:80")
 
     def test_many_replicas_are_assigned_to_local_members_but_not_the_leader(self) -> None:
-        """All 3,000 beat at the leader, which had 3,000 connections and 2,500 calls a second."""
+        """Without spreading, the leader has 3,000 connections and 2,500 calls per second."""
         self._run_intervals(20, 600)
-        self.assertEqual(self._run_intervals(3, 600), 0, "they must stay where they are")
+        self.assertEqual(self._run_intervals(3, 600), 0, "replicas must stay at their members")
         counts = Counter(self.assigned.values())
         self.assertNotIn("m0", counts)
         self.assertEqual(
@@ -77,11 +77,11 @@
 
     def test_moves_per_second_are_limited(self) -> None:
         spread = self.spreads["m0"]
-        told = [spread.name(_replica(n), _view("m0")) for n in range(500)]
-        self.assertEqual(sum(one != "m0:80" for one in told), MOVES_PER_SECOND)
+        addresses = [spread.name(_replica(n), _view("m0")) for n in range(500)]
+        self.assertEqual(sum(one != "m0:80" for one in addresses), MOVES_PER_SECOND)
 
     def test_a_lost_member_is_excluded_until_the_exclusion_ends(self) -> None:
-        """It was named again and again: each heartbeat then failed once."""
+        """If a lost member were assigned again and again, each heartbeat would fail once."""
         self._run_intervals(20, 600)
         failed = 0
         for _ in range(25):
@@ -89,17 +89,19 @@
             self._run_intervals(1, 600, dead="m2")
             self.clock.now_s -= 1.2
             self.clock.now_s += 1.0
-        lasted = sum(assigned == "m2" for assigned in self.assigned.values())
-        self.assertLess(failed, 2 * 200 + MOVES_PER_SECOND, "each fails once, some once more")
-        self.assertEqual(lasted, 0)
+        remaining = sum(assigned == "m2" for assigned in self.assigned.values())
+        self.assertLess(failed, 2 * 200 + MOVES_PER_SECOND, "each replica fails once, some twice")
+        self.assertEqual(remaining, 0)
         self.clock.now_s += EXCLUSION_S
         self._run_intervals(20, 600)
         self.assertGreater(
-            sum(assigned == "m2" for assigned in self.assigned.values()), 100, "it came back"
+            sum(assigned == "m2" for assigned in self.assigned.values()),
+            100,
+            "the member gets replicas again",
         )
 
     def test_a_member_without_leader_contact_moves_its_replicas(self) -> None:
-        """Cut off, it would take them for settled though the others know better."""
+        """A partitioned member would answer from stale state that other members have updated."""
         view = _view("m2", leader="", silent_s=5.0)
         self.assertNotIn(self.spreads["m2"].name(_replica(2), view), ("", "m2:80"))
 
--- a/tests/test_link_between_regions.py
+++ b/tests/test_link_between_regions.py
@@ -1,4 +1,4 @@
-"""One control group over two regions, 12 ms apart, while the link between them fails."""
+"""Tests of a control group in two regions, 12 ms apart, while the link between them fails."""
 
 import asyncio
 import random
@@ -25,7 +25,7 @@
 
 
 class _Group:
-    """Three members in one region, two in the other."""
+    """A control group with three members in one region and two in the other."""
 
     def __init__(self, seed: int) -> None:
         self._source = random.Random(seed)
@@ -51,7 +51,7 @@
         await asyncio.sleep(4)
 
     def leader(self, among: tuple[str, ...] = (*_LARGE_REGION, *_SMALL_REGION)) -> str:
-        """Return who leads with a quorum, or "" if nobody does."""
+        """Return the leader with the highest term among some members, or "" if there is none."""
         leading = [name for name in among if self.members[name].node.is_leader]
         return max(leading, key=lambda name: self.members[name].node.term, default="")
 
@@ -66,7 +66,7 @@
             self.network.heal(cut)
 
     async def put(self, name: str, among: tuple[str, ...]) -> float:
-        """Write a budget through whoever leads; return how long it took, in seconds."""
+        """Write a budget through the current leader; return the time taken, in seconds."""
         resource = resources_pb2.Resource(budget=resources_pb2.Budget(tokens=9, period=1))
         resource.metadata.name = name
         order = control_pb2.PutResource(
@@ -82,7 +82,7 @@
                         await self.members[leader].propose(command)
                     return self.environment.monotonic() - began_s
             except (HeronladderError, TimeoutError):
-                pass  # another may lead by now; the change id makes it one change
+                pass  # retry at the next leader; the change id makes this idempotent
             await asyncio.sleep(0.05)
 
     def states(self) -> set[bytes]:
@@ -95,7 +95,7 @@
 
 
 def _with_leader_in(side: tuple[str, ...], work: Callable[[_Group], Awaitable[None]]) -> None:
-    """Run with the first seed whose first leader stands on a side."""
+    """Run a scenario with the first seed whose first leader is in the given region."""
     for seed in _SEEDS:
 
         async def one(seed: int = seed) -> bool:
@@ -109,7 +109,7 @@
 
         if run_virtual(one()):
             return
-    raise AssertionError("no seed made such a leader")
+    raise AssertionError("no seed gives a leader in the region")
 
 
 class LinkTest(unittest.TestCase):
@@ -124,7 +124,7 @@
             cuts = group.cut((_LARGE_REGION, _SMALL_REGION), (_SMALL_REGION, _LARGE_REGION))
             took_s = await group.put("amid", _LARGE_REGION)
             self.assertLess(took_s, 4 * _ELECTION_TIMEOUT_S)
-            self.assertEqual(group.leader(_SMALL_REGION), "")  # it stepped down: nobody answers it
+            self.assertEqual(group.leader(_SMALL_REGION), "")  # stepped down without a quorum
             group.heal(cuts)
             await asyncio.sleep(3)
             self._check_equal_state(group, {"before", "amid"})
--- a/tests/test_part_sizes.py
+++ b/tests/test_part_sizes.py
@@ -1,4 +1,4 @@
-"""Parts of a large update grow on a quick stream, and stay small on a thin one."""
+"""Tests that parts of a large update grow on a fast stream and stay small on a slow one."""
 
 import unittest
 from types import SimpleNamespace
@@ -42,20 +42,20 @@
         self.session = DaemonSession(control_pb2.Hello(daemon=record))
 
     def _sizes(self, confirmed_after_s: float) -> list[int]:
-        """Send the whole update; return the sizes of its parts."""
+        """Send the whole update; return the sizes of its parts in bytes."""
         sizes = []
         while True:
-            made = self.feed.next_part(self.session)
-            if made is not None:
-                sizes.append(len(made.packed_events))
-            if made is None or not made.more:
+            part = self.feed.next_part(self.session)
+            if part is not None:
+                sizes.append(len(part.packed_events))
+            if part is None or not part.more:
                 self.clock.now_s += confirmed_after_s
                 self.feed.confirmed(self.session, self.session.parts_sent)
-            if made is not None and not made.more:
+            if part is not None and not part.more:
                 return sizes
 
     def test_a_restarted_router_gets_all_replicas_in_few_frames(self) -> None:
-        """300 that began anew were sent 4 KiB at a time: some 15,000 frames and as many back."""
+        """With fixed parts of 4 KiB, 300 restarted routers take 15,000 frames, and as many back."""
         sizes = self._sizes(0.01)
         self.assertLess(len(sizes), sum(sizes) / PART_BYTES / 2)
         self.assertEqual(sizes[0], PART_BYTES)
@@ -64,7 +64,7 @@
         self.assertEqual(max(self._sizes(0.8)), PART_BYTES)
 
     def test_parts_shrink_on_a_slow_link_so_that_orders_are_not_delayed(self) -> None:
-        """An order to hold waited a second behind two parts of 4 KiB, and silence counted it."""
+        """A hold order would wait a second behind two parts of 4 KiB, which counts as silence."""
         sizes = self._sizes(0.8)[:-1]
         self.assertEqual(sizes[0], PART_BYTES)
         self.assertLessEqual(max(sizes[8:]), PART_BYTES // 4)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""Two control groups in one run: allotments, and a long cut between regions."""
+"""Tests of two control groups: allotments, and a long partition between regions."""
 
 import asyncio
 import random
@@ -91,8 +91,8 @@
         self.leases[region] = manager
 
     async def spend(self, region: str, tokens: int, requests: int) -> int:
-        """Spend in a region; return the tokens that were had."""
-        had = 0
+        """Spend tokens in a region; return the number of tokens that were granted."""
+        spent = 0
         for _ in range(requests):
             try:
                 reservation = await self.leases[region].reserve("b", tokens, 5.0)
@@ -100,9 +100,9 @@
                 await asyncio.sleep(0.5)
                 continue
             self.leases[region].settle(reservation, tokens)
-            had += tokens
+            spent += tokens
             await asyncio.sleep(0.05)
-        return had
+        return spent
 
     def cut(self) -> list[Cut]:
         sides = [
@@ -157,18 +157,18 @@
         async def scenario(seed: int) -> None:
             regions = TwoRegions(seed)
             await regions.start()
-            had = await regions.spend("coast", 100, 20) + await regions.spend("valley", 100, 20)
+            spent = await regions.spend("coast", 100, 20) + await regions.spend("valley", 100, 20)
             cuts = regions.cut()
-            in_cut = await asyncio.gather(
+            while_partitioned = await asyncio.gather(
                 regions.spend("coast", 100, 150), regions.spend("valley", 100, 150)
             )
-            self.assertTrue(all(tokens > 0 for tokens in in_cut), in_cut)
+            self.assertTrue(all(tokens > 0 for tokens in while_partitioned), while_partitioned)
             await asyncio.sleep(600)
             regions.heal(cuts)
             after = await asyncio.gather(
                 regions.spend("coast", 100, 200), regions.spend("valley", 100, 200)
             )
-            total = had + sum(in_cut) + sum(after)
+            total = spent + sum(while_partitioned) + sum(after)
             self.assertLessEqual(total, BUDGET_TOKENS)
             self.assertGreater(total, 0.9 * BUDGET_TOKENS)
             allotted = sum(account.allotted - account.moved_out for account in regions.accounts())
--- a/tests/test_registration_batches.py
+++ b/tests/test_registration_batches.py
@@ -1,4 +1,4 @@
-"""What becomes of registrations that wait for the log, while those who ask give up or fail."""
+"""Tests of registrations that wait for the log while their callers give up or proposing fails."""
 
 import asyncio
 import random
@@ -29,7 +29,7 @@
 
 
 class _Member:
-    """Commits each entry after a while; notes the replicas in the order of the log."""
+    """Fake member that commits entries after a delay and records replicas in log order."""
 
     def __init__(self) -> None:
         self.environment = Environment(random.Random(1), virtual=True)
@@ -38,7 +38,7 @@
         self.tasks = TaskGroupOwner(self.log)
         self.node = mock.Mock()
         self.sessions = range(_STREAMS)
-        fleet = SimpleNamespace(is_up_to_date=lambda told: False)  # nothing is known yet
+        fleet = SimpleNamespace(is_up_to_date=lambda told: False)  # no replica is known
         self.state = SimpleNamespace(applied_index=0, fleet=fleet, cluster_version=LATEST_VERSION)
         self.registered: list[str] = []
         self.commit_s = 0.1
@@ -72,7 +72,7 @@
 
 class AbandonedRegistrationTest(unittest.TestCase):
     def test_many_callers_that_time_out_and_retry_are_registered(self) -> None:
-        """Orders whose callers had gone took the places of the living, and their pauses."""
+        """Abandoned orders must not take batch slots and pauses from orders with a caller."""
 
         async def replica(batches: RegistrationBatches, number: int) -> None:
             while True:
@@ -84,13 +84,13 @@
                     await asyncio.sleep(_RETRY_INTERVAL_S)
 
         async def scenario(_member: _Member, batches: RegistrationBatches) -> None:
-            crowd = [asyncio.create_task(replica(batches, n)) for n in range(_REPLICAS)]
-            _, late = await asyncio.wait(
-                crowd, timeout=2 * _REPLICAS / MAX_BATCH_REGISTRATIONS * 0.4
+            callers = [asyncio.create_task(replica(batches, n)) for n in range(_REPLICAS)]
+            _, pending = await asyncio.wait(
+                callers, timeout=2 * _REPLICAS / MAX_BATCH_REGISTRATIONS * 0.4
             )
-            for task in late:
+            for task in pending:
                 task.cancel()
-            self.assertFalse(len(late))
+            self.assertFalse(len(pending))
 
         _run(scenario)
 
@@ -98,17 +98,17 @@
         async def scenario(member: _Member, batches: RegistrationBatches) -> None:
             member.commit_s = 0.0
             await batches.propose(_order("first"))
-            gone = [
+            abandoned = [
                 asyncio.create_task(batches.propose(_order(f"g{n}")))
                 for n in range(MAX_WAITING_REGISTRATIONS)
             ]
             await asyncio.sleep(0.01)
-            for task in gone:
+            for task in abandoned:
                 task.cancel()
             await asyncio.sleep(0)
-            began_s = member.environment.monotonic()
+            started_s = member.environment.monotonic()
             await batches.propose(_order("lives"))
-            took_s = member.environment.monotonic() - began_s
+            took_s = member.environment.monotonic() - started_s
             self.assertLess(took_s, 1.1 * PAUSE_PER_ROUTER_S * _STREAMS)
             self.assertEqual(member.registered, ["first", "lives"])
 
@@ -121,18 +121,18 @@
             first = asyncio.create_task(batches.propose(_order("first")))
             await asyncio.sleep(0.01)
             names = [f"r{number}" for number in range(2 * MAX_BATCH_REGISTRATIONS)]
-            crowd = [asyncio.create_task(batches.propose(_order(name))) for name in names]
+            callers = [asyncio.create_task(batches.propose(_order(name))) for name in names]
             await asyncio.sleep(0.01)
             await batches.propose(_order(names[-1], gone=True))
             self.assertEqual(member.registered[:4], ["first", names[-1], names[-1], "r0"])
-            await asyncio.gather(first, *crowd)
+            await asyncio.gather(first, *callers)
 
         _run(scenario)
 
 
 class FailureTest(unittest.TestCase):
     def test_any_failure_reaches_all_waiting_callers(self) -> None:
-        """Their orders were taken and never answered: each waited for all of its patience."""
+        """Otherwise callers whose orders were already taken would wait until their time-out."""
 
         async def scenario(member: _Member, batches: RegistrationBatches) -> None:
             member.failure = ValueError("broken")
--- a/tests/test_registrations.py
+++ b/tests/test_registrations.py
@@ -1,4 +1,4 @@
-"""What replicas are told of their leave holds at the gateways."""
+"""Tests that an acknowledged leave of a replica is in force at the gateways."""
 
 import asyncio
 import unittest
@@ -10,7 +10,7 @@
 
 
 class LeaveTest(unittest.IsolatedAsyncioTestCase):
-    """A replica leaves while a gateway has fallen silent."""
+    """A replica leaves while a gateway does not answer."""
 
     async def asyncSetUp(self) -> None:
         self.fleet: Fleet = await start_fleet(configuration(1))
@@ -23,14 +23,13 @@
         await self.fleet.gateway.abort()
 
     async def test_a_retried_deregistration_is_acknowledged_only_once_in_force(self) -> None:
-        """A replica that deregisters twice is let go while gateways still send to it.
+        """A retried deregistration must not succeed while gateways still send to the replica.
 
-        The first call runs out of time before the leave is in force and gets no clear
-        answer. The second found the leave in the state and was told yes at once: only a
-        drain, not a deregistration, waited again for the gateways.
+        The first call times out before the leave is in force and gets no clear answer. The retry
+        finds the leave in the state already, and must wait for the gateways like the first call.
         """
         first = await self._deregister()
-        self.assertEqual(first.status, 503, "the silent gateway must be waited for")
+        self.assertEqual(first.status, 503, "the silent gateway must be awaited")
         async with asyncio.timeout(_TIMEOUT_S):
             while (await self._deregister()).status != 200:
                 pass
