--- a/packages/heronladder-control/src/heronladder_control/api.py
+++ b/packages/heronladder-control/src/heronladder_control/api.py
@@ -215,8 +215,8 @@
         if kind == ROLLOUT_KIND:
             if not self._member.options.rollout_limits.enabled:
                 return _error(422, "invalid", "rollouts are disabled: see --rollout-share-percent")
-            held = self._member.state.rollouts.get(resource.metadata.name)
-            return await self._change(request, command_of(resource, held))
+            rollout = self._member.state.rollouts.get(resource.metadata.name)
+            return await self._change(request, command_of(resource, rollout))
         command = control_pb2.Command()
         order = command.put_resource
         order.kind = kind
@@ -274,16 +274,16 @@
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
         """Stream changes when they come into force, as one JSON document per line."""
-        text = request.query.get("from", "0")
+        revision_text = request.query.get("from", "0")
         kind_text = request.query.get("kind", "")
         kind = field_of_kind(kind_text) if kind_text else ""
-        if not text.isdigit():
+        if not revision_text.isdigit():
             return _error(400, "invalid", "from: must be a revision (a whole number)")
         response = web.StreamResponse()
         response.content_type = "application/jsonlines"
         await response.prepare(request)
         try:
-            async for document in self.watch_events(int(text), kind):
+            async for document in self.watch_events(int(revision_text), kind):
                 await response.write(json.dumps(document).encode() + b"\n")
         except ConnectionResetError:
             pass
--- a/packages/heronladder-control/src/heronladder_control/fleet.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet.py
@@ -61,23 +61,27 @@
             result = failure(control_pb2.RESULT_CODE_INVALID, "the configuration is not valid")
             result.errors.extend(errors)
             return result
-        held = self.configuration()
-        if held is not None and wanted.version == held.version and wanted.source != held.source:
+        current = self.configuration()
+        if (
+            current is not None
+            and wanted.version == current.version
+            and wanted.source != current.source
+        ):
             result = failure(
                 control_pb2.RESULT_CODE_VERSION_CONFLICT,
-                f"version {held.version} is held with another content",
+                f"version {current.version} is held with another content",
             )
-            result.current_version = held.version
+            result.current_version = current.version
             return result
-        if held is None or wanted.version > held.version:
+        if current is None or wanted.version > current.version:
             resource = resources_pb2.Resource()
             resource.fleet_configuration.CopyFrom(wanted)
             self._resources.write(index, FLEET_KIND, FLEET_NAME, resource)
             self._prepaid.set_limits(list(wanted.tenants))
-            held = wanted
+            current = wanted
         result = success()
         result.revision = self._resources.resources[FLEET_KIND][FLEET_NAME].metadata.revision
-        result.current_version = held.version
+        result.current_version = current.version
         return result
 
     # ---- replicas ---------------------------------------------------------
@@ -239,13 +243,13 @@
 
     def is_declared(self, service: str) -> bool:
         """Return whether a service is declared, or there is no configuration yet."""
-        held = self.configuration()
-        return held is None or any(one.name == service for one in held.services)
+        current = self.configuration()
+        return current is None or any(one.name == service for one in current.services)
 
     def ended(self) -> list[str]:
         """Return the ids of replicas that are gone but still recorded."""
-        kept = self._resources.resources[REPLICA_KIND].items()
-        return [name for name, resource in kept if resource.replica.gone]
+        records = self._resources.resources[REPLICA_KIND].items()
+        return [name for name, resource in records if resource.replica.gone]
 
     def forget(self, index: int, ids: Iterable[str]) -> control_pb2.CommandResult:
         """Erase the records of replicas that are gone."""
--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -182,7 +182,7 @@
 
     async def carry(self, request: control_pb2.CarryRequest) -> control_pb2.CarryReply:
         """Execute a command or a read as the leader."""
-        times = LeaderTimes(self._member.environment)
+        stages = LeaderTimes(self._member.environment)
         try:
             if not request.HasField("command"):
                 return await self._read_as_leader(request.read_rollout)
@@ -203,11 +203,11 @@
             return control_pb2.CarryReply(not_leader=True)
         except LeadershipLostError:
             return control_pb2.CarryReply(unclear=True)
-        reply = control_pb2.CarryReply(result=result, committed_ms=times.now_ms())
+        reply = control_pb2.CarryReply(result=result, committed_ms=stages.now_ms())
         if result.code == control_pb2.RESULT_CODE_OK and request.in_force_wait_ms:
             wait_s = request.in_force_wait_ms / MILLISECONDS_PER_SECOND
             reply.unclear = not await self._wait_in_force(result.revision, wait_s)
-            reply.in_force_ms = 0 if reply.unclear else times.now_ms()
+            reply.in_force_ms = 0 if reply.unclear else stages.now_ms()
         return reply
 
     async def _register_all(
@@ -278,17 +278,19 @@
             return False
         order = request.command.set_evacuation
         age_s = request.age_ms / MILLISECONDS_PER_SECOND
-        is_late = self._overtaken_evacuations.is_late(order.zone, age_s, self._member.node.term)
+        is_overtaken = self._overtaken_evacuations.is_late(
+            order.zone, age_s, self._member.node.term
+        )
         self._member.log.info(
             "evacuation_ordered",
             step="evacuate",
             peer=order.zone,
             ended=order.ended,
             age_s=age_s,
-            overtaken=is_late,
+            overtaken=is_overtaken,
             evacuated=self._member.state.evacuations.is_evacuated(order.zone),
         )
-        return is_late
+        return is_overtaken
 
     # ---- applied commands -------------------------------------------------
 
@@ -359,16 +361,16 @@
             if rollout is not None and rollout.target:
                 reply.rollout.CopyFrom(rollout)
             return reply
-        held = self._member.state.fleet.configuration()
-        if held is not None:
-            reply.configuration.CopyFrom(held)
+        configuration = self._member.state.fleet.configuration()
+        if configuration is not None:
+            reply.configuration.CopyFrom(configuration)
         return reply
 
     async def _wait_in_force(self, revision: int, wait_s: float) -> bool:
-        clock = self._member.environment
-        deadline_s = clock.monotonic() + wait_s
+        environment = self._member.environment
+        deadline_s = environment.monotonic() + wait_s
         while self._member.state.in_force_revision < revision:
-            remaining_s = deadline_s - clock.monotonic()
+            remaining_s = deadline_s - environment.monotonic()
             if remaining_s <= 0 or not self._member.node.is_leader:
                 return False
             await self._member.in_force_changed.wait(remaining_s)
--- a/packages/heronladder-control/src/heronladder_control/leader_requests.py
+++ b/packages/heronladder-control/src/heronladder_control/leader_requests.py
@@ -86,19 +86,19 @@
     async def _send_until_clear(
         self, request: control_pb2.CarryRequest, timeout_s: float, order: OrderTimes | None
     ) -> control_pb2.CarryReply | None:
-        asked = SilenceWatch(self._member.environment)
+        stopwatch = SilenceWatch(self._member.environment)
         while True:
-            waited = asked.silence()
-            remaining_s = waited.left_s(timeout_s)
+            elapsed = stopwatch.silence()
+            remaining_s = elapsed.left_s(timeout_s)
             if remaining_s <= 0:
                 return None
-            request.age_ms = int(waited.silent_s * MILLISECONDS_PER_SECOND)
+            request.age_ms = int(elapsed.silent_s * MILLISECONDS_PER_SECOND)
             if order is not None:
                 order.sent()
             reply = await self._send_once(request, remaining_s)
             if reply is not None and not (reply.not_leader or self._is_too_early(reply)):
                 return reply
-            remaining_s = asked.silence().left_s(timeout_s)
+            remaining_s = stopwatch.silence().left_s(timeout_s)
             if reply is not None and self._is_too_early(reply):
                 if remaining_s <= _VERSION_CHECK_INTERVAL_S:
                     return reply
@@ -175,6 +175,6 @@
             return FleetOutcome(RequestStatus.UNCLEAR, reply.result)
         if reply.result.code != control_pb2.RESULT_CODE_OK:
             return FleetOutcome(RequestStatus.REFUSED, reply.result)
-        held = reply.configuration if reply.HasField("configuration") else None
+        configuration = reply.configuration if reply.HasField("configuration") else None
         rollout = reply.rollout if reply.HasField("rollout") else None
-        return FleetOutcome(RequestStatus.DONE, reply.result, held, rollout)
+        return FleetOutcome(RequestStatus.DONE, reply.result, configuration, rollout)
--- a/packages/heronladder-control/src/heronladder_control/member.py
+++ b/packages/heronladder-control/src/heronladder_control/member.py
@@ -161,11 +161,11 @@
             try:
                 await self.node.read_barrier()
                 self._start_term()
-                refusing = self.tasks.start("refusals", self._propose_crash_refusals())
+                refusal_task = self.tasks.start("refusals", self._propose_crash_refusals())
                 try:
                     await self._run_leader_loop()
                 finally:
-                    refusing.cancel()
+                    refusal_task.cancel()
             except HeronladderError as error:
                 self.log.info("leader_chores_ended", step=error.step, reason=error.message)
 
@@ -184,9 +184,11 @@
 
     def _check_group_name(self) -> None:
         """Fail if the log names another group: the state would differ from the other members'."""
-        named = self.state.named_group
-        if named and named != self.options.group:
-            problem = f"setting group = {self.options.group!r}: the log belongs to group {named!r}"
+        group_name = self.state.named_group
+        if group_name and group_name != self.options.group:
+            problem = (
+                f"setting group = {self.options.group!r}: the log belongs to group {group_name!r}"
+            )
             self.node.fail(SettingsError([problem]))
 
     async def _name_group(self) -> None:
@@ -214,7 +216,7 @@
             self.service.note_connected(session)
 
     async def _run_leader_loop(self) -> None:
-        next_chores_s = 0.0
+        next_cleanup_s = 0.0
         next_drop_s = self.environment.monotonic() + _CLAIM_DROP_INTERVAL_S
         ended = EndedReplicas(self.environment)
         while self.node.is_leader:
@@ -223,8 +225,8 @@
             await self._name_group()
             await self._put_in_force()
             await self.rollouts.tend()
-            if self.environment.monotonic() >= next_chores_s:
-                next_chores_s = self.environment.monotonic() + _CLEANUP_INTERVAL_S
+            if self.environment.monotonic() >= next_cleanup_s:
+                next_cleanup_s = self.environment.monotonic() + _CLEANUP_INTERVAL_S
                 await self._declare_silent_routers_gone()
                 await self._close_prepaid_holders()
                 await self._forget_ended_replicas(ended)
@@ -304,8 +306,8 @@
                 continue
             if not self.prepaid_watch.must_wait(holder):
                 due.append(holder)
-        closed = (self._close_prepaid_holder(holder) for holder in due[:_MAX_CONCURRENT_CLOSES])
-        for outcome in await asyncio.gather(*closed, return_exceptions=True):
+        closing = (self._close_prepaid_holder(holder) for holder in due[:_MAX_CONCURRENT_CLOSES])
+        for outcome in await asyncio.gather(*closing, return_exceptions=True):
             if isinstance(outcome, BaseException):
                 raise outcome
 
--- a/packages/heronladder-control/src/heronladder_control/registration_batches.py
+++ b/packages/heronladder-control/src/heronladder_control/registration_batches.py
@@ -64,21 +64,21 @@
                 step="register_replica",
                 peer=order.replica.id,
             )
-        answer: _ResultFuture = asyncio.get_running_loop().create_future()
-        self._waiting[answer] = order
+        future: _ResultFuture = asyncio.get_running_loop().create_future()
+        self._waiting[future] = order
         if order.replica.draining or order.replica.gone:
-            self._leaving[answer] = order.replica.id
+            self._leaving[future] = order.replica.id
         if not self._running:
             self._running = True
             self._member.tasks.start("registrations", self._run())
         try:
-            return await answer
+            return await future
         finally:  # an abandoned registration must not count against the limit
-            self._forget(answer)
+            self._forget(future)
 
-    def _forget(self, answer: _ResultFuture) -> None:
-        self._waiting.pop(answer, None)
-        self._leaving.pop(answer, None)
+    def _forget(self, future: _ResultFuture) -> None:
+        self._waiting.pop(future, None)
+        self._leaving.pop(future, None)
 
     def _changes_nothing(self, order: control_pb2.RegisterReplica) -> bool:
         """Return whether a registration changes nothing.
@@ -114,13 +114,13 @@
         Replicas that leave come first, because their requests end with the process. Earlier
         reports of a leaving replica stay before its leave, or else they would be applied after it.
         """
-        live = [entry for entry in self._waiting.items() if not entry[0].done()]
+        pending = [entry for entry in self._waiting.items() if not entry[0].done()]
         if self._leaving:
             leaving = set(self._leaving.values())
-            live.sort(key=lambda entry: entry[1].replica.id not in leaving)
-        taken = dict(live[:MAX_BATCH_REGISTRATIONS])
-        for answer in taken or list(self._waiting):
-            self._forget(answer)
+            pending.sort(key=lambda entry: entry[1].replica.id not in leaving)
+        taken = dict(pending[:MAX_BATCH_REGISTRATIONS])
+        for future in taken or list(self._waiting):
+            self._forget(future)
         return taken
 
     async def _replicate(
@@ -139,29 +139,29 @@
         return await asyncio.gather(*(self._member.propose(command) for command in singly))
 
     async def _propose_batch(self, taken: dict[_ResultFuture, control_pb2.RegisterReplica]) -> None:
-        began_s = self._member.environment.monotonic()
+        started_s = self._member.environment.monotonic()
         try:
             each = await self._replicate(list(taken.values()))
-            for answer, own in zip(taken, each, strict=True):
-                if not answer.done():
-                    answer.set_result(own)
+            for future, own_result in zip(taken, each, strict=True):
+                if not future.done():
+                    future.set_result(own_result)
         except HeronladderError as error:
             self._fail_all(taken, error)
             return
         except BaseException as error:
             self._fail_all(taken, self._unclear(error))
             raise
-        self._report(len(taken), self._member.environment.monotonic() - began_s)
+        self._report(len(taken), self._member.environment.monotonic() - started_s)
 
     @staticmethod
     def _unclear(error: BaseException) -> LeadershipLostError:
         return LeadershipLostError(f"registration failed: {error!r}", step="register_replica")
 
     @staticmethod
-    def _fail_all(answers: Iterable[_ResultFuture], error: HeronladderError) -> None:
-        for answer in answers:
-            if not answer.done():
-                answer.set_exception(error)
+    def _fail_all(futures: Iterable[_ResultFuture], error: HeronladderError) -> None:
+        for future in futures:
+            if not future.done():
+                future.set_exception(error)
 
     def _report(self, count: int, took_s: float) -> None:
         self._member.metrics.add("registrations", amount=count)
--- a/packages/heronladder-control/src/heronladder_control/registration_relay.py
+++ b/packages/heronladder-control/src/heronladder_control/registration_relay.py
@@ -55,15 +55,15 @@
         if len(self._waiting) >= MAX_WAITING_REGISTRATIONS:
             self._member.metrics.add("registrations_refused")
             return None
-        answer: asyncio.Future[control_pb2.CarryReply | None] = (
+        future: asyncio.Future[control_pb2.CarryReply | None] = (
             asyncio.get_running_loop().create_future()
         )
-        self._waiting.append((order, answer))
+        self._waiting.append((order, future))
         if not self._running:
             self._running = True
             self._member.tasks.start("registration_relay", self._run())
         try:
-            return await within(self._member.environment, remaining_s, answer)
+            return await within(self._member.environment, remaining_s, future)
         except TimeoutError:
             return None
 
@@ -94,9 +94,9 @@
             self._report_failure(len(taken), error)
         finally:
             self._calls -= 1
-            for (_, answer), reply in zip(taken, replies, strict=True):
-                if not answer.done():
-                    answer.set_result(reply)
+            for (_, future), reply in zip(taken, replies, strict=True):
+                if not future.done():
+                    future.set_result(reply)
 
     def _report_failure(self, count: int, error: BaseException) -> None:
         """Count a failed call; log only the first one after a call that succeeded."""
--- a/packages/heronladder-control/src/heronladder_control/state.py
+++ b/packages/heronladder-control/src/heronladder_control/state.py
@@ -187,10 +187,10 @@
             case "note_promises":
                 return self.prepaid.note_promises(order.note_promises, self.is_current)
             case "close_prepaid_holder":
-                charged = self.prepaid.closed_charges
+                charged_before = self.prepaid.closed_charges
                 self.prepaid.close(order.close_prepaid_holder)
                 result = success()
-                result.charged = self.prepaid.closed_charges - charged
+                result.charged = self.prepaid.closed_charges - charged_before
                 return result
         detail = f"{body} at {index}, fields {_unknown_fields(order)}"
         invariant(False, "commands_are_known", step="apply", detail=detail)
@@ -211,9 +211,9 @@
         self._cluster_version = max(self._cluster_version, version)
 
     def _put(self, index: int, order: control_pb2.PutResource) -> control_pb2.CommandResult:
-        first = self.resources.first_outcome(order.change_id)
-        if first is not None:
-            return first
+        earlier_result = self.resources.first_outcome(order.change_id)
+        if earlier_result is not None:
+            return earlier_result
         refusal = self.resources.check_put(order)
         if refusal is None and order.kind == "budget":
             refusal = self._check_budget(order)
@@ -242,9 +242,9 @@
         return result
 
     def _delete(self, index: int, order: control_pb2.DeleteResource) -> control_pb2.CommandResult:
-        first = self.resources.first_outcome(order.change_id)
-        if first is not None:
-            return first
+        earlier_result = self.resources.first_outcome(order.change_id)
+        if earlier_result is not None:
+            return earlier_result
         result = self.resources.delete(index, order)
         if result.code == control_pb2.RESULT_CODE_OK and order.kind == "backend":
             self.daemons.forget_agent(result.resource.backend.agent)
