--- a/packages/heronladder-control/src/heronladder_control/config_feed.py
+++ b/packages/heronladder-control/src/heronladder_control/config_feed.py
@@ -103,7 +103,7 @@
             session.update = None
         return next_part
 
-    def confirmed(self, session: DaemonSession, parts: int) -> None:
+    def confirm_parts(self, session: DaemonSession, parts: int) -> None:
         """Process a daemon's confirmation of parts, and adapt the size of the next ones.
 
         Args:
--- a/packages/heronladder-control/src/heronladder_control/daemons.py
+++ b/packages/heronladder-control/src/heronladder_control/daemons.py
@@ -126,7 +126,7 @@
         self.collections[record.name, record.incarnation] = collection
         self._close_if_collected(collection)
 
-    def collected(self, order: control_pb2.CollectedRouter) -> control_pb2.CommandResult:
+    def record_collected(self, order: control_pb2.CollectedRouter) -> control_pb2.CommandResult:
         """Record that an agent has reported everything for a router that is gone."""
         collection = self.collections.get((order.router, order.router_incarnation))
         agent = self.daemons.get(order.agent)
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -54,12 +54,12 @@
 
     Args:
         member: What the components of the member share.
-        parts: Components that reports of daemons are passed to.
+        services: Components that reports of daemons are passed to.
     """
 
-    def __init__(self, member: MemberContext, parts: SessionServices) -> None:
+    def __init__(self, member: MemberContext, services: SessionServices) -> None:
         self._member = member
-        self._parts = parts
+        self._services = services
         self.sessions = member.sessions
         self._routers = 0  # number of open streams of routers
         self._replica_loads = ReplicaLoads()
@@ -182,7 +182,7 @@
             self._member.in_force.disconnected(session.record.name)
             self._replica_loads.forget(session.record.name)
             self.replica_limits.forget(session.record.name)
-            self._parts.promise_notes.forget(session.record.name)
+            self._services.promise_notes.forget(session.record.name)
 
     def _next_frame(self, session: DaemonSession) -> control_pb2.ControlFrame | None:
         """Return the next frame to send: pending messages before parts of a configuration."""
@@ -196,7 +196,7 @@
             session.heartbeat_ack = 0
             if session.sends_replica_loads:
                 self._replica_loads.fill(session.record.name, frame)
-            self._parts.rollouts.fill(session, frame)
+            self._services.rollouts.fill(session, frame)
             self.replica_limits.fill(session, frame)
         if session.answers:
             frame.answers.extend(session.answers)
@@ -258,7 +258,7 @@
         try:
             async for frame in frames:
                 if frame.parts_received:
-                    self._config_feed.confirmed(session, frame.parts_received)
+                    self._config_feed.confirm_parts(session, frame.parts_received)
                     session.wake.give()
                 if frame.HasField("heartbeat"):
                     self._heartbeat(session, frame.heartbeat)
@@ -278,9 +278,9 @@
         if self.sessions.get(name) is not session or not self._member.node.is_leader:
             return
         if heartbeat.rollouts:
-            self._parts.rollouts.observe(session, heartbeat.rollouts)
+            self._services.rollouts.observe(session, heartbeat.rollouts)
         if session.record.role == ROLE_ROUTER:
-            self._parts.promise_notes.heartbeat(session, heartbeat)
+            self._services.promise_notes.heartbeat(session, heartbeat)
         self.replica_limits.observe(name, heartbeat.replica_limits)
         if heartbeat.replica_loads or session.sends_replica_loads:
             session.sends_replica_loads = True
@@ -305,7 +305,7 @@
         except HeronladderError:
             session.close()  # the daemon connects to the new leader and sends the call again
             return
-        self._parts.allotments.annotate(call.command, result)
+        self._services.allotments.annotate(call.command, result)
         session.answers.append(control_pb2.DaemonAnswer(call_id=call.call_id, result=result))
         session.wake.give()
 
@@ -380,7 +380,7 @@
     async def Carry(  # noqa: D102 - generated name
         self, request: control_pb2.CarryRequest, context: Any
     ) -> control_pb2.CarryReply:
-        return await self._parts.fleet_service.carry(request)
+        return await self._services.fleet_service.carry(request)
 
     async def Allot(  # noqa: D102 - generated name
         self, request: control_pb2.AllotmentRequest, context: Any
--- a/packages/heronladder-control/src/heronladder_control/state.py
+++ b/packages/heronladder-control/src/heronladder_control/state.py
@@ -144,7 +144,7 @@
             case "read_claim":
                 return self.claims.read(order.read_claim)
             case "collected_router":
-                return self.daemons.collected(order.collected_router)
+                return self.daemons.record_collected(order.collected_router)
             case "set_in_force":
                 return self._set_in_force(order.set_in_force.revision)
             case "drop_claims":
--- a/tests/test_part_sizes.py
+++ b/tests/test_part_sizes.py
@@ -50,7 +50,7 @@
                 sizes.append(len(part.packed_events))
             if part is None or not part.more:
                 self.clock.now_s += confirmed_after_s
-                self.feed.confirmed(self.session, self.session.parts_sent)
+                self.feed.confirm_parts(self.session, self.session.parts_sent)
             if part is not None and not part.more:
                 return sizes
 
