--- a/tests/mixed_group.py
+++ b/tests/mixed_group.py
@@ -34,6 +34,7 @@
         unsupported_commands: Kinds of commands that a member of version 0 had to apply but does
             not know.
         registered: Number of acknowledged registrations.
+        running: Running members, by name.
     """
 
     def __init__(self, seed: int, size: int) -> None:
