--- a/packages/heronladder-control/src/heronladder_control/member.py
+++ b/packages/heronladder-control/src/heronladder_control/member.py
@@ -1,4 +1,7 @@
-"""One control member: replicated state, streams of daemons, and the leader's chores."""
+"""One control member: replicated state, daemon streams, and the leader's background tasks.
+
+This module composes the parts of a member and runs the tasks that only the leader performs.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -29,16 +32,19 @@
 from heronladder_control.prepaid_watch import HolderKey
 from heronladder_control.promise_recorder import PromiseRecorder
 from heronladder_control.rollouts.controller import RolloutController
-from heronladder_control.sessions import ControlService, SessionParts
+from heronladder_control.sessions import ControlService, SessionServices
 from heronladder_control.state import ControlState
 
-_CHORE_INTERVAL_S = 0.5
-# Between two rounds of what costs with the number of daemons, holders and replicas: each
-# heartbeat woke them, 1,000 a second of 300 gateways.
-_CHORE_PAUSE_S = 0.1
-_IN_FORCE_PAUSE_S = 0.00005  # a daemon, between two looks at all of them: 15 ms at 300
-_CLOSED_AT_ONCE = 32  # holders; what puts changes in force waits for one such round
-_LEFT_OUT_NAMED = 8  # daemons named in a log line, so that it stays short
+_LEADER_LOOP_TIMEOUT_S = 0.5
+# Least interval between two runs of the tasks whose cost grows with the number of daemons,
+# holders and replicas. Without it each heartbeat would trigger a run: 1,000 per second with 300
+# gateways.
+_CLEANUP_INTERVAL_S = 0.1
+# Pause per daemon between two checks of the progress of all daemons: 15 ms with 300 daemons.
+_IN_FORCE_PAUSE_PER_DAEMON_S = 0.00005
+# Prepaid holders closed in one run; putting changes in force waits until such a run has ended.
+_MAX_CONCURRENT_CLOSES = 32
+_MAX_LOGGED_DAEMONS = 8  # keeps the log line short
 _CLAIM_AGE_MS = 24 * 3600 * 1000
 _CLAIM_DROP_INTERVAL_S = 600.0
 
@@ -47,11 +53,11 @@
     """A member of a region's control group.
 
     Args:
-        options: Its settings.
-        disk: Its data folder.
-        stubs: Makes stubs to other members.
-        environment: Time and randomness.
-        on_failure: Called when the member can no longer go on.
+        options: Settings of the member.
+        disk: Data folder of the member.
+        stubs: Creates gRPC stubs to other members.
+        environment: Source of time and randomness.
+        on_failure: Called with the error when the member cannot continue.
     """
 
     def __init__(
@@ -84,18 +90,18 @@
         self.allotments = AllotmentRequester(self)
         self.service = ControlService(
             self,
-            SessionParts(self.promise_notes, self.rollouts, self.fleet_service, self.allotments),
+            SessionServices(self.promise_notes, self.rollouts, self.fleet_service, self.allotments),
         )
         self.consensus_service = ConsensusService(self.node)
         self.state.listeners.append(self._applied)
-        self.state.restored = self._check_group
+        self.state.restored = self._check_group_name
         self.state.refused = self._report_refusal
 
     async def start(self) -> None:
-        """Start the member's tasks."""
+        """Start the consensus node and the member's background tasks."""
         await self.node.start()
-        self._check_group()
-        self.tasks.start("leader_chores", self._tend_leadership())
+        self._check_group_name()
+        self.tasks.start("leader_chores", self._run_leader_tasks())
         self.tasks.start("promise_notes", self.promise_notes.run())
 
     async def stop(self) -> None:
@@ -108,7 +114,7 @@
     def _applied(self, command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
         body = command.WhichOneof("body")
         if body == "name_group":
-            self._check_group()
+            self._check_group_name()
         if body == "set_cluster_version":
             self.log.info(
                 "cluster_version_in_force",
@@ -129,7 +135,10 @@
         self.allotments.applied(command, result)
 
     def _report_refusal(self, command: control_pb2.Command, error: RefusedByInvariantError) -> None:
-        """Log a command that this state does not allow: its sender's account may be another."""
+        """Log a command that an invariant of the state refuses.
+
+        The sender's view of the state may differ from the replicated state.
+        """
         body = command.WhichOneof("body") or ""
         self.metrics.add("commands_refused", body)
         if self.node.is_leader:
@@ -142,28 +151,29 @@
                 reason=error.message,
             )
 
-    # ---- the leader's chores ----------------------------------------------
+    # ---- background tasks of the leader -----------------------------------
 
-    async def _tend_leadership(self) -> None:
+    async def _run_leader_tasks(self) -> None:
         while True:
             if not self.node.is_leader:
                 await self.node.changed.wait()
                 continue
             try:
                 await self.node.read_barrier()
-                self._begin_term()
-                refusing = self.tasks.start("refusals", self._refuse_crashing())
+                self._start_term()
+                refusal_task = self.tasks.start("refusals", self._propose_crash_refusals())
                 try:
-                    await self._lead()
+                    await self._run_leader_loop()
                 finally:
-                    refusing.cancel()
+                    refusal_task.cancel()
             except HeronladderError as error:
                 self.log.info("leader_chores_ended", step=error.step, reason=error.message)
 
-    async def _refuse_crashing(self) -> None:
-        """Refuse requests that crash replicas, apart from the other chores.
+    async def _propose_crash_refusals(self) -> None:
+        """Propose refusals of requests that crash replicas.
 
-        Each of those waits for the log: meanwhile the request would crash more replicas.
+        This runs separately from the other tasks of the leader: each of those waits for the log,
+        and the request would crash more replicas in the meantime.
         """
         while self.node.is_leader:
             try:
@@ -172,11 +182,13 @@
                 self.log.info("refusals_not_noted", step=error.step, reason=error.message)
             await self.refusals.reported.wait(self.refusals.check_interval_s)
 
-    def _check_group(self) -> None:
-        """End if the log names another group: this member's state would not be the others'."""
-        named = self.state.named_group
-        if named and named != self.options.group:
-            problem = f"setting group = {self.options.group!r}: the log is of group {named!r}"
+    def _check_group_name(self) -> None:
+        """Fail if the log names another group: the state would differ from the other members'."""
+        group_name = self.state.named_group
+        if group_name and group_name != self.options.group:
+            problem = (
+                f"setting group = {self.options.group!r}: the log belongs to group {group_name!r}"
+            )
             self.node.fail(SettingsError([problem]))
 
     async def _name_group(self) -> None:
@@ -189,8 +201,8 @@
         await self.propose(command)
         self.log.info("group_named", step="name_group", peer=self.options.group)
 
-    def _begin_term(self) -> None:
-        """Begin as the leader: what an earlier term knew beside the log is void."""
+    def _start_term(self) -> None:
+        """Start a term as the leader; discard what earlier terms knew besides the log."""
         self.cluster_versions.start_term()
         self.in_force.start_term(
             sorted(name for name, record in self.state.daemons.daemons.items() if not record.gone),
@@ -203,8 +215,8 @@
         for session in self.sessions.values():
             self.service.note_connected(session)
 
-    async def _lead(self) -> None:
-        next_chores_s = 0.0
+    async def _run_leader_loop(self) -> None:
+        next_cleanup_s = 0.0
         next_drop_s = self.environment.monotonic() + _CLAIM_DROP_INTERVAL_S
         ended = EndedReplicas(self.environment)
         while self.node.is_leader:
@@ -213,18 +225,18 @@
             await self._name_group()
             await self._put_in_force()
             await self.rollouts.run_check()
-            if self.environment.monotonic() >= next_chores_s:
-                next_chores_s = self.environment.monotonic() + _CHORE_PAUSE_S
-                await self._declare_silent_gone()
+            if self.environment.monotonic() >= next_cleanup_s:
+                next_cleanup_s = self.environment.monotonic() + _CLEANUP_INTERVAL_S
+                await self._declare_silent_routers_gone()
                 await self._close_prepaid_holders()
                 await self._forget_ended_replicas(ended)
             if self.environment.monotonic() >= next_drop_s:
                 next_drop_s += _CLAIM_DROP_INTERVAL_S
                 await self._drop_old_claims()
-            await asyncio.sleep(_IN_FORCE_PAUSE_S * len(self.in_force.daemons))
+            await asyncio.sleep(_IN_FORCE_PAUSE_PER_DAEMON_S * len(self.in_force.daemons))
             if self.progress.given == seen:
                 await self.progress.wait(
-                    self.cluster_versions.check_interval_s or _CHORE_INTERVAL_S
+                    self.cluster_versions.check_interval_s or _LEADER_LOOP_TIMEOUT_S
                 )
 
     async def _put_in_force(self) -> None:
@@ -255,7 +267,7 @@
         )
 
     def _report_in_force(self, reached: int, committed: int, waited_s: float) -> None:
-        """Log for whom a change is in force, and who was left out and why."""
+        """Log that a change is in force, and which daemons were left out and why."""
         left_out = list(self.in_force.left_out(reached))
         self.metrics.observe("change_in_force", waited_s)
         if left_out:
@@ -269,10 +281,10 @@
             waited_s=waited_s,
             counted=len(self.in_force.daemons) - len(left_out),
             left_out=len(left_out),
-            who=",".join(str(daemon) for daemon in left_out[:_LEFT_OUT_NAMED]),
+            who=",".join(str(daemon) for daemon in left_out[:_MAX_LOGGED_DAEMONS]),
         )
 
-    async def _declare_silent_gone(self) -> None:
+    async def _declare_silent_routers_gone(self) -> None:
         oldest = self.environment.monotonic() - self.options.gone_after_s
         for name in sorted(self.in_force.daemons):
             progress = self.in_force.daemons[name]
@@ -284,10 +296,10 @@
                 await self.declare_gone(record)
 
     async def _close_prepaid_holders(self) -> None:
-        """Charge routers that were replaced or declared gone, and free the rest.
+        """Charge routers that were replaced or declared gone, and release their other tokens.
 
-        Some together, in the log one behind the other: when all gateways come back, 300 of
-        them in a row would each wait for the disks.
+        Several holders are closed concurrently, as consecutive log entries. When all of 300
+        gateways restart, closing them one at a time would wait for the disks 300 times.
         """
         due = []
         for holder in sorted(self.state.prepaid.holders()):
@@ -296,8 +308,8 @@
                 continue
             if not self.prepaid_watch.must_wait(holder):
                 due.append(holder)
-        closed = (self._close_prepaid_holder(holder) for holder in due[:_CLOSED_AT_ONCE])
-        for outcome in await asyncio.gather(*closed, return_exceptions=True):
+        closing = (self._close_prepaid_holder(holder) for holder in due[:_MAX_CONCURRENT_CLOSES])
+        for outcome in await asyncio.gather(*closing, return_exceptions=True):
             if isinstance(outcome, BaseException):
                 raise outcome
 
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -1,4 +1,4 @@
-"""Streams of daemons: configuration and orders out, heartbeats and commands in."""
+"""Serves daemon streams: sends configuration and orders, receives heartbeats and commands."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 from heronladder_control.replica_loads import ReplicaLoads
 from heronladder_control.rollouts.controller import RolloutController
 
-_IDLE_CHECK_S = 1.0
-# Routers; with more, each learns of a lender with its next heartbeat.
-_LENDERS_TOLD_AT_ONCE = 64
+_IDLE_CHECK_INTERVAL_S = 1.0
+# With more sessions, routers learn of a changed lender with their next heartbeat only.
+_MAX_SESSIONS_FOR_IMMEDIATE_LENDERS = 64
 
 
 @dataclass(frozen=True)
-class SessionParts:
-    """Parts of a member that streams of daemons are served with.
+class SessionServices:
+    """Components of a member that its daemon streams use.
 
     Attributes:
-        promise_notes: Hears the promises of routers.
-        rollouts: Hears what routers tell of roll-outs, and grants sends.
-        fleet_service: Carries out what other members pass on.
-        allotments: Knows whether tokens may come from other regions.
+        promise_notes: Receives the spending promises of routers.
+        rollouts: Receives the rollout reports of routers, and grants requests to a target version.
+        fleet_service: Executes requests that other members forward.
+        allotments: Adds to results whether tokens may come from other regions.
     """
 
     promise_notes: PromiseRecorder
@@ -53,15 +53,15 @@
     """The Control service of one member.
 
     Args:
-        member: What it shares with the member's other parts.
-        parts: What it passes words of daemons on to.
+        member: What the components of the member share.
+        services: Components that reports of daemons are passed to.
     """
 
-    def __init__(self, member: MemberContext, parts: SessionParts) -> None:
+    def __init__(self, member: MemberContext, services: SessionServices) -> None:
         self._member = member
-        self._parts = parts
+        self._services = services
         self.sessions = member.sessions
-        self._routers = 0  # streams of routers
+        self._routers = 0  # number of open streams of routers
         self._replica_loads = ReplicaLoads()
         self.replica_limits = SharedReplicaLimits(
             member.environment, lambda: member.node.term, member.metrics, member.log
@@ -76,7 +76,7 @@
     ) -> AsyncIterator[control_pb2.ControlFrame]:
         first = await anext(request_iterator, None)
         if first is None:
-            return  # it was given up before its first word came
+            return  # the stream was closed before its first frame
         if not self._member.leader_address():
             await self._member.admission.delay_stream_refusal()
         self._member.in_force.note_contact(first.hello.daemon.name)
@@ -92,7 +92,7 @@
             while not session.closed and self._member.node.is_leader:
                 frame = self._next_frame(session)
                 if frame is None:
-                    await session.wake.wait(_IDLE_CHECK_S)
+                    await session.wake.wait(_IDLE_CHECK_INTERVAL_S)
                     continue
                 yield frame
             if not session.closed:
@@ -106,7 +106,7 @@
         return control_pb2.ControlFrame(not_leader=True, leader_address=leader)
 
     async def _register(self, hello: control_pb2.Hello) -> control_pb2.ControlFrame | None:
-        """Make the daemon's incarnation known; return a frame that refuses it, or None."""
+        """Register the daemon's incarnation; return a frame that refuses it, or None."""
         record = hello.daemon
         try:
             await self._member.node.read_barrier()
@@ -114,7 +114,7 @@
                 return refusal
             known = self._member.state.daemons.daemons.get(record.name)
             if known is not None and record.incarnation not in known.previous:
-                # Before it is proposed: once that is applied, its predecessor is charged.
+                # Must precede the proposal: once it is applied, the predecessor is charged.
                 process_age_s = hello.process_age_ms / MILLISECONDS_PER_SECOND
                 self._member.prepaid_watch.note_successor(
                     record.name, record.incarnation, process_age_s
@@ -144,17 +144,19 @@
         other_role = ROLE_ROUTER if hello.daemon.role == ROLE_AGENT else ROLE_AGENT
         for record in self._member.state.daemons.daemons.values():
             if record.role == other_role:
-                self._notice(session, record.name, record.incarnation, record.gone)
+                self._add_notice(session, record.name, record.incarnation, record.gone)
         if hello.daemon.lending_address:
             session.lenders.record_daemons(self._member.state.daemons.daemons.values())
         if hello.daemon.role == ROLE_AGENT:
             for collection in self._member.state.daemons.collections.values():
                 if name in collection.awaited_agents:
-                    self._notice(session, collection.router, collection.router_incarnation, True)
+                    self._add_notice(
+                        session, collection.router, collection.router_incarnation, True
+                    )
         return session
 
     def note_connected(self, session: DaemonSession) -> None:
-        """Have changes wait for a daemon by what it said first on its stream."""
+        """Have changes wait for a daemon, as described by the first frame of its stream."""
         self._member.in_force.connected(
             session.record.name,
             session.hello.applied_revision,
@@ -162,11 +164,7 @@
         )
 
     def hold(self, name: str, revision: int) -> bool:
-        """Order a daemon to act by nothing older than a revision, and to say so.
-
-        Returns:
-            Whether the order is new.
-        """
+        """Order a daemon to act on no older revision; return whether the order is new."""
         session = self.sessions.get(name)
         if session is None or session.hold_below >= revision:
             return False
@@ -175,7 +173,7 @@
         return True
 
     @staticmethod
-    def _notice(session: DaemonSession, name: str, incarnation: str, gone: bool) -> None:
+    def _add_notice(session: DaemonSession, name: str, incarnation: str, gone: bool) -> None:
         session.notices[f"{name}/{incarnation}"] = control_pb2.DaemonNotice(
             name=name, incarnation=incarnation, gone=gone
         )
@@ -188,10 +186,10 @@
             self._member.in_force.disconnected(session.record.name)
             self._replica_loads.forget(session.record.name)
             self.replica_limits.forget(session.record.name)
-            self._parts.promise_notes.forget(session.record.name)
+            self._services.promise_notes.forget(session.record.name)
 
     def _next_frame(self, session: DaemonSession) -> control_pb2.ControlFrame | None:
-        """Return what is to be said next: words first, parts of an update after them."""
+        """Return the next frame to send: pending messages before parts of a configuration."""
         frame = control_pb2.ControlFrame()
         self._add_in_force(session, frame)
         if session.heartbeat_ack:
@@ -200,9 +198,9 @@
                 frame.freshness_ms = int(self._member.freshness_s * MILLISECONDS_PER_SECOND)
             frame.control_time_ms = self._now_ms()
             session.heartbeat_ack = 0
-            if session.tells_loads:
+            if session.sends_replica_loads:
                 self._replica_loads.fill(session.record.name, frame)
-            self._parts.rollouts.fill(session, frame)
+            self._services.rollouts.fill(session, frame)
             self.replica_limits.fill(session, frame)
         if session.answers:
             frame.answers.extend(session.answers)
@@ -217,7 +215,7 @@
         if session.promises_noted:
             frame.promises_noted = session.promises_noted
             session.promises_noted = 0
-        self._add_group(session, frame)
+        self._add_membership(session, frame)
         session.lenders.fill(frame)
         if frame.ByteSize():
             return frame
@@ -227,33 +225,33 @@
     def _now_ms(self) -> int:
         return int(self._member.environment.monotonic() * MILLISECONDS_PER_SECOND)
 
-    def _add_group(self, session: DaemonSession, frame: control_pb2.ControlFrame) -> None:
-        """Tell the cluster version, which members there are, and how many routers there are."""
+    def _add_membership(self, session: DaemonSession, frame: control_pb2.ControlFrame) -> None:
+        """Add the cluster version, the members' addresses and the number of routers."""
         self._builds.fill(session, frame)
         members = self._member.node.membership().members
         addresses = sorted(member.address for member in members)
-        if addresses != session.told_addresses:
-            session.told_addresses = addresses
+        if addresses != session.sent_addresses:
+            session.sent_addresses = addresses
             frame.control_addresses.extend(addresses)
-        if self._routers != session.told_routers:
-            session.told_routers = self._routers
+        if self._routers != session.sent_router_count:
+            session.sent_router_count = self._routers
             frame.routers = self._routers
 
     def _count_routers(self) -> None:
-        """Count once a change: each frame counted all streams."""
+        """Count the routers' streams when they change rather than for each frame."""
         self._routers = sum(one.record.role == ROLE_ROUTER for one in self.sessions.values())
 
     def _add_in_force(self, session: DaemonSession, frame: control_pb2.ControlFrame) -> None:
-        """Tell what is in force, at once where it is not held, and what may not be acted by."""
+        """Add the revision in force (at once where it is not applied) and the hold order."""
         in_force = self._member.state.in_force_revision
         is_behind = self._member.in_force.is_behind(session.record.name, in_force)
-        if session.in_force_told < in_force and (is_behind or session.heartbeat_ack):
-            session.in_force_told = in_force
+        if session.in_force_sent < in_force and (is_behind or session.heartbeat_ack):
+            session.in_force_sent = in_force
             frame.in_force_revision = in_force
             age_s = self._member.environment.monotonic() - self._member.in_force_since_s
             frame.in_force_age_ms = int(age_s * MILLISECONDS_PER_SECOND)
-        if session.hold_told < session.hold_below:
-            session.hold_told = session.hold_below
+        if session.hold_below_sent < session.hold_below:
+            session.hold_below_sent = session.hold_below
             frame.hold_below = session.hold_below
 
     # ---- frames from the daemon -------------------------------------------
@@ -264,12 +262,12 @@
         try:
             async for frame in frames:
                 if frame.parts_received:
-                    self._config_feed.confirmed(session, frame.parts_received)
+                    self._config_feed.confirm_parts(session, frame.parts_received)
                     session.wake.give()
                 if frame.HasField("heartbeat"):
                     self._heartbeat(session, frame.heartbeat)
                 for call in frame.calls:
-                    self._member.tasks.start("daemon_call", self._carry_out(session, call))
+                    self._member.tasks.start("daemon_call", self._execute_call(session, call))
                 if frame.leaving:
                     await self._leave(session)
                     break
@@ -284,12 +282,12 @@
         if self.sessions.get(name) is not session or not self._member.node.is_leader:
             return
         if heartbeat.rollouts:
-            self._parts.rollouts.observe(session, heartbeat.rollouts)
+            self._services.rollouts.observe(session, heartbeat.rollouts)
         if session.record.role == ROLE_ROUTER:
-            self._parts.promise_notes.heartbeat(session, heartbeat)
+            self._services.promise_notes.heartbeat(session, heartbeat)
         self.replica_limits.observe(name, heartbeat.replica_limits)
-        if heartbeat.replica_loads or session.tells_loads:
-            session.tells_loads = True
+        if heartbeat.replica_loads or session.sends_replica_loads:
+            session.sends_replica_loads = True
             self._replica_loads.observe(name, heartbeat.replica_loads)
         in_force = self._member.state.in_force_revision
         applied = heartbeat.applied_revision
@@ -305,47 +303,47 @@
         session.wake.give()
         self._member.progress.give()
 
-    async def _carry_out(self, session: DaemonSession, call: control_pb2.DaemonCall) -> None:
+    async def _execute_call(self, session: DaemonSession, call: control_pb2.DaemonCall) -> None:
         try:
             result = await self._member.propose(call.command)
         except HeronladderError:
-            session.close()  # the daemon finds the new leader and sends it again
+            session.close()  # the daemon connects to the new leader and sends the call again
             return
-        self._parts.allotments.annotate(call.command, result)
+        self._services.allotments.annotate(call.command, result)
         session.answers.append(control_pb2.DaemonAnswer(call_id=call.call_id, result=result))
         session.wake.give()
 
     async def _leave(self, session: DaemonSession) -> None:
-        if self.sessions.get(session.record.name) is session:  # else a successor has its name
+        if self.sessions.get(session.record.name) is session:  # otherwise a successor has the name
             self._member.in_force.forget(session.record.name)
         try:
             await self._member.declare_gone(session.record)
         except HeronladderError:
-            pass  # the next leader notices the silence
+            pass  # the next leader detects that the daemon is silent
 
-    # ---- what state changes mean for streams ------------------------------
+    # ---- effects of applied commands on streams ---------------------------
 
     def applied(self, command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
-        """Tell daemons what a command that was just applied means for them."""
+        """Notify daemons of the effects of a command that was just applied."""
         body = command.WhichOneof("body")
         if body in RESOURCE_COMMANDS:
             self._wake_all()
         elif body == "register_daemon" and result.code == control_pb2.RESULT_CODE_OK:
             record = command.register_daemon.daemon
             self._member.prepaid_watch.note_successor(record.name, record.incarnation)
-            self._tell_others(record.role, record.name, record.incarnation, gone=False)
-            self._tell_lenders(record.name)
+            self._notify_other_role(record.role, record.name, record.incarnation, gone=False)
+            self._update_lenders(record.name)
         elif body == "declare_gone" and result.code == control_pb2.RESULT_CODE_OK:
             order = command.declare_gone
             role = self._member.state.daemons.daemons[order.name].role
-            self._tell_others(role, order.name, order.incarnation, gone=True)
-            self._tell_lenders(order.name)
+            self._notify_other_role(role, order.name, order.incarnation, gone=True)
+            self._update_lenders(order.name)
         elif body == "set_cluster_version":
             self._builds.version_raised()
         elif body in FLEET_COMMANDS:
             self._wake_all()
         elif body == "set_in_force":
-            self._wake_those_behind(command.set_in_force.revision)
+            self._wake_lagging(command.set_in_force.revision)
         elif body == "draw_tokens" and result.code == control_pb2.RESULT_CODE_EXHAUSTED:
             recall_prepaid(self.sessions.values(), command.draw_tokens, result)
         elif body == "grant_lease" and result.code == control_pb2.RESULT_CODE_EXHAUSTED:
@@ -356,29 +354,29 @@
         for session in self.sessions.values():
             session.wake.give()
 
-    def _wake_those_behind(self, in_force_revision: int) -> None:
+    def _wake_lagging(self, in_force_revision: int) -> None:
         for name in self._member.in_force.lagging_daemons(in_force_revision):
             session = self.sessions.get(name)
             if session is not None:
                 session.wake.give()
 
-    def _tell_others(self, role: str, name: str, incarnation: str, *, gone: bool) -> None:
+    def _notify_other_role(self, role: str, name: str, incarnation: str, *, gone: bool) -> None:
         for session in self.sessions.values():
             if session.record.role == role:
                 continue
-            self._notice(session, name, incarnation, gone)
+            self._add_notice(session, name, incarnation, gone)
             if role == ROLE_ROUTER and not gone:
                 previous = self._member.state.daemons.daemons[name].previous
                 if previous:
-                    self._notice(session, name, previous[-1], True)
+                    self._add_notice(session, name, previous[-1], True)
             session.wake.give()
 
-    def _tell_lenders(self, name: str) -> None:
-        """Tell routers that lend of another one that came, changed or went."""
+    def _update_lenders(self, name: str) -> None:
+        """Update the lender lists of lending routers after a daemon's record changed."""
         record = self._member.state.daemons.daemons[name]
-        few = len(self.sessions) <= _LENDERS_TOLD_AT_ONCE
+        at_once = len(self.sessions) <= _MAX_SESSIONS_FOR_IMMEDIATE_LENDERS
         for session in self.sessions.values():
-            if session.record.lending_address and session.lenders.record_daemon(record) and few:
+            if session.record.lending_address and session.lenders.record_daemon(record) and at_once:
                 session.wake.give()
 
     # ---- members and other regions ----------------------------------------------------
@@ -386,7 +384,7 @@
     async def Carry(  # noqa: D102 - generated name
         self, request: control_pb2.CarryRequest, context: Any
     ) -> control_pb2.CarryReply:
-        return await self._parts.fleet_service.carry(request)
+        return await self._services.fleet_service.carry(request)
 
     async def Allot(  # noqa: D102 - generated name
         self, request: control_pb2.AllotmentRequest, context: Any
--- a/tests/mixed_group.py
+++ b/tests/mixed_group.py
@@ -1,4 +1,4 @@
-"""A control group in virtual time whose members are replaced by ones of a later cluster version."""
+"""Test support: a control group in virtual time that is upgraded member by member."""
 
 import asyncio
 from random import Random
@@ -15,30 +15,32 @@
 from heronladder_runtime.errors import HeronladderError
 from heronladder_schema.v1 import consensus_pb2, control_pb2, resources_pb2
 
-_HOLD_S = 1.0
-_ASK_EACH_S = 0.25
-_DOWN_S = (0.1, 1.5)
-_GAP_S = (0.3, 2.0)
-_SETTLES_S = 8.0
+_VERSION_HOLD_S = 1.0
+_REGISTER_INTERVAL_S = 0.25
+_DOWNTIME_RANGE_S = (0.1, 1.5)
+_GAP_RANGE_S = (0.3, 2.0)
+_SETTLE_TIME_S = 8.0
 
 
 class MixedGroup:
-    """One run: members of version 0, each replaced once, while members are lost and found.
+    """A group that starts with cluster version 0 and is upgraded while members crash and restart.
 
     Args:
-        seed: Draws the order and the losses.
-        size: How many members.
+        seed: Seed for the order of upgrades and for the crashes.
+        size: Number of members.
 
     Attributes:
-        failures: Why members ended by themselves.
-        in_old_logs: Kinds of commands that a member of version 0 had to apply and does not know.
-        registered: Registrations that were acknowledged.
+        failures: Errors with which members ended by themselves.
+        unsupported_commands: Kinds of commands that a member of version 0 had to apply but does
+            not know.
+        registered: Number of acknowledged registrations.
+        running: Running members, by name.
     """
 
     def __init__(self, seed: int, size: int) -> None:
         self.source = Random(seed)
         self.failures: list[str] = []
-        self.in_old_logs: list[str] = []
+        self.unsupported_commands: list[str] = []
         self.registered = 0
         self._network = MemoryNetwork(self.source, Weather())
         self._environment = Environment(self.source, virtual=True)
@@ -50,45 +52,45 @@
     # ---- members ----------------------------------------------------------
 
     async def _start(self, name: str) -> None:
-        first = [
+        initial_members = [
             consensus_pb2.Member(name=one, address=f"{one}:1", voter=True) for one in self._names
         ]
         is_old = self._is_old[name]
         options = ControlOptions(
             name,
             "fleet",
-            first,
+            initial_members,
             ConsensusTiming(1.0),
             named=True,
             earlier_group="r1",
             most_cluster_version=FIRST_VERSION if is_old else LATEST_VERSION,
-            cluster_version_hold_s=_HOLD_S,
+            cluster_version_hold_s=_VERSION_HOLD_S,
         )
 
-        def failed(error: HeronladderError) -> None:
+        def on_failure(error: HeronladderError) -> None:
             self.failures.append(f"{name}: {error}")
 
         stubs = MemoryStubs(self._network, name)
         disk = self._disks[name].handle()
-        member = ControlMember(options, disk, stubs, self._environment, failed)
+        member = ControlMember(options, disk, stubs, self._environment, on_failure)
         if is_old:
-            self._make_old(member)
+            self._limit_to_first_version(member)
         servers = {"consensus": member.consensus_service, "control": member.service}
         self._network.start(name, Place(name, name), servers)
         await member.start()
         self.running[name] = member
 
-    def _make_old(self, member: ControlMember) -> None:
-        """Have a member support version 0 only, and note what it could not read."""
+    def _limit_to_first_version(self, member: ControlMember) -> None:
+        """Limit a member to version 0, and record the commands that it does not know."""
         member.state.highest_version = FIRST_VERSION
 
-        def note(command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
+        def record(command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
             if required_version(command) != FIRST_VERSION:
-                self.in_old_logs.append(command.WhichOneof("body") or "")
+                self.unsupported_commands.append(command.WhichOneof("body") or "")
 
-        member.state.listeners.append(note)
+        member.state.listeners.append(record)
 
-    async def _lose(self, name: str) -> None:
+    async def _crash(self, name: str) -> None:
         member = self.running.pop(name)
         self._disks[name].crash()
         self._network.kill(name)
@@ -97,39 +99,39 @@
     # ---- the run ----------------------------------------------------------
 
     async def run(self) -> None:
-        """Replace all members, in a drawn order, beside drawn losses."""
+        """Upgrade all members in random order, with additional random restarts."""
         for name in self._names:
             await self._start(name)
         await asyncio.sleep(3.0)
-        asking = asyncio.create_task(self._ask_always())
+        registering = asyncio.create_task(self._register_repeatedly())
         for name in self.source.sample(self._names, len(self._names)):
             if self.source.random() < 0.4:
                 await self._replace(self.source.choice(self._names))
             self._is_old[name] = False
             await self._replace(name)
-        await asyncio.sleep(_SETTLES_S)
-        asking.cancel()
+        await asyncio.sleep(_SETTLE_TIME_S)
+        registering.cancel()
         await asyncio.sleep(1.0)
 
     async def _replace(self, name: str) -> None:
-        await self._lose(name)
-        await asyncio.sleep(self.source.uniform(*_DOWN_S))
+        await self._crash(name)
+        await asyncio.sleep(self.source.uniform(*_DOWNTIME_RANGE_S))
         await self._start(name)
-        await asyncio.sleep(self.source.uniform(*_GAP_S))
+        await asyncio.sleep(self.source.uniform(*_GAP_RANGE_S))
 
     async def stop(self) -> None:
-        """End all members."""
+        """Stop all members."""
         for name in list(self.running):
-            await self._lose(name)
+            await self._crash(name)
 
-    async def _ask_always(self) -> None:
+    async def _register_repeatedly(self) -> None:
         number = 0
         while True:
             number += 1
             if self.running:
                 member = self.source.choice(list(self.running.values()))
                 asyncio.ensure_future(self._register(member, number))
-            await asyncio.sleep(_ASK_EACH_S)
+            await asyncio.sleep(_REGISTER_INTERVAL_S)
 
     async def _register(self, member: ControlMember, number: int) -> None:
         replica = resources_pb2.Replica(
--- a/tests/test_registration_batches.py
+++ b/tests/test_registration_batches.py
@@ -1,4 +1,4 @@
-"""What becomes of registrations that wait for the log, while those who ask give up or fail."""
+"""Tests of registrations that wait for the log while their callers give up or proposing fails."""
 
 import asyncio
 import random
@@ -9,9 +9,9 @@
 
 from heronladder_consensus.errors import LeadershipLostError
 from heronladder_control.registration_batches import (
-    MOST_AT_ONCE,
-    MOST_WAITING,
-    PAUSE_S,
+    MAX_BATCH_REGISTRATIONS,
+    MAX_WAITING_REGISTRATIONS,
+    PAUSE_PER_ROUTER_S,
     RegistrationBatches,
 )
 from heronladder_control.results import success
@@ -24,12 +24,12 @@
 
 _STREAMS = 300
 _REPLICAS = 4_000
-_PATIENCE_S = 0.9
-_ASKED_AGAIN_S = 0.1
+_CALL_TIMEOUT_S = 0.9
+_RETRY_INTERVAL_S = 0.1
 
 
 class _Member:
-    """Commits each entry after a while; notes the replicas in the order of the log."""
+    """Fake member that commits entries after a delay and records replicas in log order."""
 
     def __init__(self) -> None:
         self.environment = Environment(random.Random(1), virtual=True)
@@ -38,7 +38,7 @@
         self.tasks = TaskGroupOwner(self.log)
         self.node = mock.Mock()
         self.sessions = range(_STREAMS)
-        fleet = SimpleNamespace(settled=lambda told: False)  # nothing is known yet
+        fleet = SimpleNamespace(is_up_to_date=lambda told: False)  # no replica is known
         self.state = SimpleNamespace(applied_index=0, fleet=fleet, cluster_version=LATEST_VERSION)
         self.registered: list[str] = []
         self.commit_s = 0.1
@@ -70,72 +70,75 @@
     run_virtual(work())
 
 
-class GivenUpTest(unittest.TestCase):
-    def test_a_crowd_that_gives_up_and_asks_again_is_registered(self) -> None:
-        """Orders whose callers had gone took the places of the living, and their pauses."""
+class AbandonedRegistrationTest(unittest.TestCase):
+    def test_many_callers_that_time_out_and_retry_are_registered(self) -> None:
+        """Abandoned orders must not take batch slots and pauses from orders with a caller."""
 
         async def replica(batches: RegistrationBatches, number: int) -> None:
             while True:
                 try:
-                    async with asyncio.timeout(_PATIENCE_S):
+                    async with asyncio.timeout(_CALL_TIMEOUT_S):
                         await batches.propose(_order(f"r{number}"))
                     return
                 except (TimeoutError, LeadershipLostError):
-                    await asyncio.sleep(_ASKED_AGAIN_S)
+                    await asyncio.sleep(_RETRY_INTERVAL_S)
 
         async def scenario(_member: _Member, batches: RegistrationBatches) -> None:
-            crowd = [asyncio.create_task(replica(batches, n)) for n in range(_REPLICAS)]
-            _, late = await asyncio.wait(crowd, timeout=2 * _REPLICAS / MOST_AT_ONCE * 0.4)
-            for task in late:
+            callers = [asyncio.create_task(replica(batches, n)) for n in range(_REPLICAS)]
+            _, pending = await asyncio.wait(
+                callers, timeout=2 * _REPLICAS / MAX_BATCH_REGISTRATIONS * 0.4
+            )
+            for task in pending:
                 task.cancel()
-            self.assertFalse(len(late))
+            self.assertFalse(len(pending))
 
         _run(scenario)
 
-    def test_orders_of_callers_that_went_cost_neither_places_nor_pauses(self) -> None:
+    def test_abandoned_registrations_take_no_batch_slots_and_no_pauses(self) -> None:
         async def scenario(member: _Member, batches: RegistrationBatches) -> None:
             member.commit_s = 0.0
             await batches.propose(_order("first"))
-            gone = [
-                asyncio.create_task(batches.propose(_order(f"g{n}"))) for n in range(MOST_WAITING)
+            abandoned = [
+                asyncio.create_task(batches.propose(_order(f"g{n}")))
+                for n in range(MAX_WAITING_REGISTRATIONS)
             ]
             await asyncio.sleep(0.01)
-            for task in gone:
+            for task in abandoned:
                 task.cancel()
             await asyncio.sleep(0)
-            began_s = member.environment.monotonic()
+            started_s = member.environment.monotonic()
             await batches.propose(_order("lives"))
-            took_s = member.environment.monotonic() - began_s
-            self.assertLess(took_s, 1.1 * PAUSE_S * _STREAMS)
+            took_s = member.environment.monotonic() - started_s
+            self.assertLess(took_s, 1.1 * PAUSE_PER_ROUTER_S * _STREAMS)
             self.assertEqual(member.registered, ["first", "lives"])
 
         _run(scenario)
 
 
 class OrderTest(unittest.TestCase):
-    def test_a_replica_that_leaves_goes_first_but_after_its_own_earlier_words(self) -> None:
+    def test_a_leaving_replica_goes_first_but_after_its_own_earlier_reports(self) -> None:
         async def scenario(member: _Member, batches: RegistrationBatches) -> None:
             first = asyncio.create_task(batches.propose(_order("first")))
             await asyncio.sleep(0.01)
-            names = [f"r{number}" for number in range(2 * MOST_AT_ONCE)]
-            crowd = [asyncio.create_task(batches.propose(_order(name))) for name in names]
+            names = [f"r{number}" for number in range(2 * MAX_BATCH_REGISTRATIONS)]
+            callers = [asyncio.create_task(batches.propose(_order(name))) for name in names]
             await asyncio.sleep(0.01)
             await batches.propose(_order(names[-1], gone=True))
             self.assertEqual(member.registered[:4], ["first", names[-1], names[-1], "r0"])
-            await asyncio.gather(first, *crowd)
+            await asyncio.gather(first, *callers)
 
         _run(scenario)
 
 
 class FailureTest(unittest.TestCase):
-    def test_a_failure_of_any_kind_is_told_to_all_that_wait(self) -> None:
-        """Their orders were taken and never answered: each waited for all of its patience."""
+    def test_any_failure_reaches_all_waiting_callers(self) -> None:
+        """Otherwise callers whose orders were already taken would wait until their time-out."""
 
         async def scenario(member: _Member, batches: RegistrationBatches) -> None:
             member.failure = ValueError("broken")
             asked = [
                 asyncio.create_task(batches.propose(_order(f"r{number}")))
-                for number in range(MOST_AT_ONCE + 5)
+                for number in range(MAX_BATCH_REGISTRATIONS + 5)
             ]
             done, waiting = await asyncio.wait(asked, timeout=5)
             for task in waiting:
--- a/tests/test_replica_incarnations.py
+++ b/tests/test_replica_incarnations.py
@@ -119,7 +119,7 @@
         known = self.fleet.replica("a")
         assert known is not None
         self.assertEqual((known.address, known.start_ms, known.draining), ("10.0.0.2:80", 2, False))
-        self.assertTrue(self.fleet.settled(_report("a", address="10.0.0.1:80", start_ms=1)))
+        self.assertTrue(self.fleet.is_up_to_date(_report("a", address="10.0.0.1:80", start_ms=1)))
 
     def test_deregistered_replica_returns_only_with_later_start(self) -> None:
         self._register(_report("left", start_ms=1))
