--- a/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/orders.py
@@ -45,7 +45,7 @@
         now_s = self._member.environment.monotonic()
         order.anew = now_s - self._ended_s.get(order.service, self._began_s) >= _RETRY_WINDOW_S
         same = held is not None and held.target == order.target
-        late = not same and self._late.is_overtaken(order.service, age_s, self._member.node.term)
+        late = not same and self._late.is_superseded(order.service, age_s, self._member.node.term)
         self._member.log.info(
             "rollout_ordered",
             step="rollout",
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -67,9 +67,9 @@
     def test_order_older_than_newest_change_of_its_zone_is_overtaken(self) -> None:
         self.orders.note_change("a")
         self.clock.now_s += 1.0
-        self.assertTrue(self.orders.is_overtaken("a", 1.5, 1))
-        self.assertFalse(self.orders.is_overtaken("a", 0.5, 1))
-        self.assertFalse(self.orders.is_overtaken("b", 1.5, 1))
+        self.assertTrue(self.orders.is_superseded("a", 1.5, 1))
+        self.assertFalse(self.orders.is_superseded("a", 0.5, 1))
+        self.assertFalse(self.orders.is_superseded("b", 1.5, 1))
 
     def test_new_leader_rejects_orders_from_before_its_term(self) -> None:
         self.orders.start_term(2)
