--- a/packages/heronladder-agent/src/heronladder_agent/engine_control.py
+++ b/packages/heronladder-agent/src/heronladder_agent/engine_control.py
@@ -16,8 +16,8 @@
 from heronladder_agent.errors import BackendError
 
 FENCE_HEADER = "Heronladder-Fence"
-_TIMEOUT_S = 2.0
-_POLL_S = 1.0
+_REQUEST_TIMEOUT_S = 2.0
+_POLL_INTERVAL_S = 1.0
 
 LOAD_MODEL = "load_model"
 LOAD_ADAPTER = "load_adapter"
@@ -127,7 +127,7 @@
         self, method: str, path: str, body: object = None, fence: int = 0
     ) -> tuple[int, object]:
         if self._session is None:
-            timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
+            timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_S)
             self._session = aiohttp.ClientSession(timeout=timeout)
         headers = {FENCE_HEADER: str(fence)} if fence else {}
         url = f"http://{self._address}{path}"
@@ -137,7 +137,7 @@
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             raise BackendError(repr(error), step="engine_control", peer=self._address) from error
 
-    def _unexpected(self, what: str) -> BackendError:
+    def _unexpected_response(self, what: str) -> BackendError:
         return BackendError(
             f"unexpected answer to {what}", step="engine_control", peer=self._address
         )
@@ -146,7 +146,7 @@
         """Return the engine's load."""
         status, document = await self._call("GET", "/load")
         if status != 200 or not isinstance(document, dict):
-            raise self._unexpected("/load")
+            raise self._unexpected_response("/load")
         return EngineLoad(int(document.get("running", 0)), int(document.get("waiting", 0)))
 
     async def order(self, order: EngineOrder, fence: int) -> bool:
@@ -154,14 +154,14 @@
         body = {"action": order.action, "argument": order.argument}
         status, _ = await self._call("POST", "/orders", body, fence)
         if status not in (200, 409):
-            raise self._unexpected("/orders")
+            raise self._unexpected_response("/orders")
         return status == 200
 
     async def cache_events(self, after: int) -> list[CacheEvent]:
         """Return cache events after a number."""
         status, document = await self._call("GET", f"/cache/events?after={after}")
         if status != 200 or not isinstance(document, list):
-            raise self._unexpected("/cache/events")
+            raise self._unexpected_response("/cache/events")
         return [
             CacheEvent(int(event["number"]), str(event["kind"]), int(event["block"]))
             for event in document
@@ -171,14 +171,14 @@
         """Return the blocks of the engine's prefix cache."""
         status, document = await self._call("GET", "/cache/blocks")
         if status != 200 or not isinstance(document, dict):
-            raise self._unexpected("/cache/blocks")
+            raise self._unexpected_response("/cache/blocks")
         return [int(block) for block in document["blocks"]]
 
     async def import_blocks(self, blocks: list[int]) -> None:
         """Give the engine blocks of another engine's cache."""
         status, _ = await self._call("POST", "/cache/blocks", {"blocks": blocks})
         if status != 200:
-            raise self._unexpected("/cache/blocks")
+            raise self._unexpected_response("/cache/blocks")
 
     async def close(self) -> None:
         """Close all connections."""
@@ -186,7 +186,7 @@
             await self._session.close()
 
 
-class EngineKeeper:
+class EngineReconciler:
     """Keeps an engine as its Backend declares it, and its load at hand.
 
     Args:
@@ -204,7 +204,7 @@
         self._link = link
         self._log = log
         self._tasks = TaskGroupOwner(log)
-        self._done: dict[EngineOrder, int] = {}
+        self._applied_fences: dict[EngineOrder, int] = {}
         self.load = EngineLoad()
 
     def start(self) -> None:
@@ -224,9 +224,9 @@
             except BackendError as error:
                 self.load = EngineLoad()
                 self._log.debug("engine_control_failed", step=error.step, why=error.message)
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
-    def _wanted(self) -> tuple[list[EngineOrder], int]:
+    def _declared_orders(self) -> tuple[list[EngineOrder], int]:
         """Return the orders that the Backend's declaration asks for, and their fence."""
         resource = self._link.configuration.backends().get(self._backend)
         if resource is None:
@@ -239,14 +239,14 @@
         return orders, resource.metadata.revision
 
     async def _send_orders(self) -> None:
-        orders, fence = self._wanted()
+        orders, fence = self._declared_orders()
         if not self._link.fresh:
             return  # a stale agent gives no orders
         for order in orders:
-            if self._done.get(order) == fence:
+            if self._applied_fences.get(order) == fence:
                 continue
             if await self._control.order(order, fence):
-                self._done[order] = fence
+                self._applied_fences[order] = fence
                 self._log.info(
                     "engine_ordered",
                     step=order.action,
--- a/packages/heronladder-agent/src/heronladder_agent/gate.py
+++ b/packages/heronladder-agent/src/heronladder_agent/gate.py
@@ -15,16 +15,16 @@
 from heronladder_schema.v1 import agent_pb2, ledger_pb2
 
 from heronladder_agent.adapters import BackendAdapter
-from heronladder_agent.engine_control import EngineKeeper, EngineLoad
+from heronladder_agent.engine_control import EngineLoad, EngineReconciler
 from heronladder_agent.errors import BackendError, BackendUnreachableError, RefusalError
-from heronladder_agent.metering import StreamMeter, end_of_whole_answer
-from heronladder_agent.records import RecordKeeper, RouterKey
+from heronladder_agent.metering import StreamMeter, end_of_complete_response
+from heronladder_agent.pending_bills import PendingBills, RouterKey
 from heronladder_agent.runs import AttemptKey, Run, RunState, RunTable, attempt_key
 from heronladder_agent.slots import SlotQueue
 
-_WHOLE_ANSWER_LIMIT = 16 * 1024 * 1024
-_UNKNOWN_ROUTER_WAIT_S = 1.0
-_STOP_POLL_S = 0.05
+_COMPLETE_RESPONSE_LIMIT_BYTES = 16 * 1024 * 1024
+_ROUTER_NOTICE_TIMEOUT_S = 1.0
+_DRAIN_POLL_INTERVAL_S = 0.05
 
 
 @dataclass(frozen=True)
@@ -67,14 +67,14 @@
         options: GateOptions,
         adapter: BackendAdapter,
         link: ControlLink,
-        records: RecordKeeper,
+        held_bills: PendingBills,
         environment: Environment,
         metrics: Metrics,
     ) -> None:
         self._options = options
         self._adapter = adapter
         self._link = link
-        self._records = records
+        self._held_bills = held_bills
         self._environment = environment
         self._metrics = metrics
         self._log = EventLog("agent.gate", options.agent)
@@ -85,7 +85,7 @@
         self.runs = RunTable(environment, options.keep_s, options.keep_bytes)
         self.run_ended = Pulse()
         self.draining = False
-        self.engine: EngineKeeper | None = None
+        self.engine: EngineReconciler | None = None
 
     # ---- who may send -----------------------------------------------------
 
@@ -94,27 +94,27 @@
         self._routers[name] = incarnation
         self._routers_changed.give()
 
-    def bar_router(self, name: str, incarnation: str) -> None:
+    def block_router(self, name: str, incarnation: str) -> None:
         """Take no more dispatches of a router's incarnation."""
         if self._routers.get(name) == incarnation:
             del self._routers[name]
 
-    def runs_any_of(self, router: RouterKey) -> bool:
+    def has_active_runs(self, router: RouterKey) -> bool:
         """Whether a run of a router's incarnation is still going on."""
-        return any(_router_of(run.dispatch) == router for run in self.runs.active())
+        return any(_router_key(run.dispatch) == router for run in self.runs.active())
 
     # ---- dispatches -------------------------------------------------------
 
     async def dispatch(self, dispatch: agent_pb2.Dispatch, body: bytes) -> AgentAnswer:
         """Run an attempt, or attach to one, and return its answer as it comes."""
-        self._records.forget(list(dispatch.settled))
+        self._held_bills.discard_durable(list(dispatch.settled))
         try:
             if dispatch.attach:
                 return self._attach(dispatch)
-            await self._know_router(dispatch)
+            await self._wait_for_router_notice(dispatch)
             run = self._accept(dispatch)
         except RefusalError as error:
-            return self._refused(dispatch, error)
+            return self._refusal_answer(dispatch, error)
         self._tasks.start(f"run-{dispatch.request_id}", self._execute(run, body))
         await run.wait_for_head()
         if run.refusal is not None:
@@ -134,24 +134,24 @@
             agent_incarnation=self._options.incarnation,
             running=max(self._slots.running, load.running),
             queued=self._slots.queued + load.waiting,
-            leaving=self.draining or self._backend_drains(),
+            leaving=self.draining or self._is_backend_draining(),
         )
 
-    def _refused(self, dispatch: agent_pb2.Dispatch, error: RefusalError) -> AgentAnswer:
+    def _refusal_answer(self, dispatch: agent_pb2.Dispatch, error: RefusalError) -> AgentAnswer:
         """Refuse an attempt, and make sure that no late copy of it can run."""
         key = attempt_key(dispatch)
         incarnation_matches = dispatch.agent_incarnation == self._options.incarnation
-        if incarnation_matches and not self.runs.seen(key):
-            self.runs.bury(key)
+        if incarnation_matches and not self.runs.is_known(key):
+            self.runs.add_tombstone(key)
         self._metrics.add("agent_refusals", agent_pb2.RefusalCode.Name(error.code))
         head = self._head(dispatch)
         head.refusal = error.code
         head.message = error.message
         return AgentAnswer(head)
 
-    async def _know_router(self, dispatch: agent_pb2.Dispatch) -> None:
+    async def _wait_for_router_notice(self, dispatch: agent_pb2.Dispatch) -> None:
         """Wait a little for the notice of a router that has just started."""
-        deadline_s = self._environment.monotonic() + _UNKNOWN_ROUTER_WAIT_S
+        deadline_s = self._environment.monotonic() + _ROUTER_NOTICE_TIMEOUT_S
         while dispatch.router not in self._routers:
             left_s = deadline_s - self._environment.monotonic()
             if left_s <= 0 or not await self._routers_changed.wait(left_s):
@@ -171,11 +171,11 @@
             raise RefusalError(
                 agent_pb2.REFUSAL_CODE_WRONG_BACKEND, f"this is {options.backend}", peer=name
             )
-        if self.runs.seen(attempt_key(dispatch)):
+        if self.runs.is_known(attempt_key(dispatch)):
             raise RefusalError(
                 agent_pb2.REFUSAL_CODE_DUPLICATE, "this attempt was here before", peer=name
             )
-        if self.draining or self._backend_drains():
+        if self.draining or self._is_backend_draining():
             raise RefusalError(agent_pb2.REFUSAL_CODE_DRAINING, "leaving", peer=name)
         if not self._link.fresh:
             raise RefusalError(
@@ -187,7 +187,7 @@
             )
         return self.runs.accept(dispatch)
 
-    def _backend_drains(self) -> bool:
+    def _is_backend_draining(self) -> bool:
         resource = self._link.configuration.backends().get(self._options.backend)
         return resource is None or resource.backend.draining
 
@@ -214,7 +214,7 @@
                     agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST, "not this tenant's", peer=name
                 )
             return self._answer(run)
-        if self.runs.ran(key):
+        if self.runs.has_run(key):
             raise RefusalError(
                 agent_pb2.REFUSAL_CODE_ANSWER_GONE, "the answer is not kept", peer=name
             )
@@ -239,7 +239,7 @@
         """
         known = self._routers.get(router[0]) == router[1]
         if known:
-            self._records.hold(settlement, router)
+            self._held_bills.hold(settlement, router)
         return known
 
     # ---- runs -------------------------------------------------------------
@@ -248,7 +248,7 @@
         """Run an accepted attempt from its queue to its bill."""
         dispatch = run.dispatch
         try:
-            await self._take_slot(run)
+            await self._acquire_slot(run)
         except RefusalError as error:
             self._refuse_run(run, error)
             return
@@ -256,7 +256,7 @@
         try:
             run.state = RunState.RUNNING
             answer = await self._adapter.open(BackendCall(dispatch, body))
-            run.end = await self._take_answer(run, answer)
+            run.end = await self._read_response(run, answer)
         except BackendUnreachableError as error:
             refusal = RefusalError(
                 agent_pb2.REFUSAL_CODE_BACKEND_DOWN, error.message, peer=dispatch.request_id
@@ -274,7 +274,7 @@
             if run.end is not None:
                 self._finish(run)
 
-    async def _take_slot(self, run: Run) -> None:
+    async def _acquire_slot(self, run: Run) -> None:
         dispatch = run.dispatch
         timeout_s = dispatch.deadline_ms / MILLISECONDS_PER_SECOND
         await self._slots.acquire(dispatch.priority, timeout_s, dispatch.request_id)
@@ -292,17 +292,17 @@
         run.refusal.refusal = error.code
         run.refusal.message = error.message
         run.state = RunState.REFUSED
-        self.runs.bury(attempt_key(dispatch))
+        self.runs.add_tombstone(attempt_key(dispatch))
         self._metrics.add("agent_refusals", agent_pb2.RefusalCode.Name(error.code))
         run.changed.give()
         self.run_ended.give()
 
-    async def _take_answer(self, run: Run, answer: BackendAnswer) -> agent_pb2.AnswerEnd:
+    async def _read_response(self, run: Run, answer: BackendAnswer) -> agent_pb2.AnswerEnd:
         if answer.content_type.startswith(EVENT_STREAM):
-            return await self._take_stream(run, answer)
-        return await self._take_whole(run, answer)
+            return await self._read_event_stream(run, answer)
+        return await self._read_complete_response(run, answer)
 
-    async def _take_stream(self, run: Run, answer: BackendAnswer) -> agent_pb2.AnswerEnd:
+    async def _read_event_stream(self, run: Run, answer: BackendAnswer) -> agent_pb2.AnswerEnd:
         dispatch = run.dispatch
         run.content_type = answer.content_type
         run.status = answer.status
@@ -316,7 +316,7 @@
                     run.add(passed)
                 if meter.done or meter.completion_tokens > dispatch.reserved_completion:
                     break
-                await run.wait_for_room()
+                await run.wait_for_buffer_space()
                 if run.abandoned:
                     break
         except BackendError:
@@ -332,18 +332,20 @@
             )
         return end
 
-    async def _take_whole(self, run: Run, answer: BackendAnswer) -> agent_pb2.AnswerEnd:
+    async def _read_complete_response(self, run: Run, answer: BackendAnswer) -> agent_pb2.AnswerEnd:
         parts = []
         size = 0
         async for chunk in answer.chunks:
             parts.append(chunk)
             size += len(chunk)
-            if size > _WHOLE_ANSWER_LIMIT:
-                raise BackendError(f"answer over {_WHOLE_ANSWER_LIMIT} bytes", step="read_answer")
+            if size > _COMPLETE_RESPONSE_LIMIT_BYTES:
+                raise BackendError(
+                    f"answer over {_COMPLETE_RESPONSE_LIMIT_BYTES} bytes", step="read_answer"
+                )
         body = b"".join(parts)
         run.content_type = answer.content_type
         run.add(body)
-        end = end_of_whole_answer(run.dispatch, answer.status, body)
+        end = end_of_complete_response(run.dispatch, answer.status, body)
         run.status = answer.status
         return end
 
@@ -360,7 +362,7 @@
         run.end.running = self._slots.running
         run.end.queued = self._slots.queued
         dispatch = run.dispatch
-        self._records.hold(settlement_of(dispatch, run.end), _router_of(dispatch))
+        self._held_bills.hold(settlement_of(dispatch, run.end), _router_key(dispatch))
         run.state = RunState.FINISHED
         if not run.status:
             run.status = 502
@@ -380,7 +382,7 @@
         self.draining = True
         deadline_s = self._environment.monotonic() + grace_s
         while self.runs.active() and self._environment.monotonic() < deadline_s:
-            await asyncio.sleep(_STOP_POLL_S)
+            await asyncio.sleep(_DRAIN_POLL_INTERVAL_S)
         cut = len(self.runs.active())
         if cut:
             self._metrics.add("planned_stop_cuts", amount=cut)
@@ -392,5 +394,5 @@
         await self._adapter.close()
 
 
-def _router_of(dispatch: agent_pb2.Dispatch) -> RouterKey:
+def _router_key(dispatch: agent_pb2.Dispatch) -> RouterKey:
     return (dispatch.router, dispatch.router_incarnation)
--- a/packages/heronladder-agent/src/heronladder_agent/metering.py
+++ b/packages/heronladder-agent/src/heronladder_agent/metering.py
@@ -23,7 +23,7 @@
 
     def __init__(self, pass_usage: bool) -> None:
         self._pass_usage = pass_usage
-        self._open_line = b""
+        self._partial_event = b""
         self.events = 0
         self.done = False
         self.prompt_tokens = 0
@@ -33,16 +33,16 @@
 
     def feed(self, chunk: bytes) -> bytes:
         """Take in a part of the stream; return what the caller is to receive."""
-        data = self._open_line + chunk if self._open_line else chunk
+        data = self._partial_event + chunk if self._partial_event else chunk
         end = data.rfind(b"\n\n")
         if end < 0:
-            self._open_line = data
+            self._partial_event = data
             return b""
-        self._open_line = data[end + 2 :]
-        passed = [event for event in data[:end].split(b"\n\n") if self._take(event)]
+        self._partial_event = data[end + 2 :]
+        passed = [event for event in data[:end].split(b"\n\n") if self._count_event(event)]
         return b"".join(event + b"\n\n" for event in passed)
 
-    def _take(self, event: bytes) -> bool:
+    def _count_event(self, event: bytes) -> bool:
         """Count one event; return whether the caller receives it."""
         if event.startswith(_DONE):
             self.done = True
@@ -63,15 +63,15 @@
         if not isinstance(usage, dict):
             return False
         self.usage_seen = True
-        self._take_usage(usage)
+        self._apply_usage(usage)
         return True
 
-    def _take_usage(self, usage: dict[str, object]) -> None:
-        self.prompt_tokens = _count(usage.get("prompt_tokens"))
-        self.completion_tokens = _count(usage.get("completion_tokens"))
+    def _apply_usage(self, usage: dict[str, object]) -> None:
+        self.prompt_tokens = _token_count(usage.get("prompt_tokens"))
+        self.completion_tokens = _token_count(usage.get("completion_tokens"))
         details = usage.get("prompt_tokens_details")
         if isinstance(details, dict):
-            self.cached_tokens = _count(details.get("cached_tokens"))
+            self.cached_tokens = _token_count(details.get("cached_tokens"))
 
     def end(self, dispatch: agent_pb2.Dispatch) -> agent_pb2.AnswerEnd:
         """Return how the stream ended."""
@@ -87,11 +87,11 @@
         return end
 
 
-def _count(value: object) -> int:
+def _token_count(value: object) -> int:
     return value if isinstance(value, int) and value >= 0 else 0
 
 
-def end_of_whole_answer(
+def end_of_complete_response(
     dispatch: agent_pb2.Dispatch, status: int, body: bytes
 ) -> agent_pb2.AnswerEnd:
     """Return the end of an answer that came in one piece.
@@ -114,7 +114,7 @@
         end.prompt_tokens = dispatch.reserved_prompt
         end.completion_tokens = dispatch.reserved_completion
         return end
-    meter._take_usage(usage)
+    meter._apply_usage(usage)
     end.prompt_tokens = meter.prompt_tokens
     end.completion_tokens = meter.completion_tokens
     end.cached_tokens = meter.cached_tokens
--- a/packages/heronladder-agent/src/heronladder_agent/records.py
+++ b/packages/heronladder-agent/src/heronladder_agent/pending_bills.py
@@ -16,13 +16,13 @@
 
 _SEND_TIMEOUT_S = 5.0
 _CHECK_INTERVAL_S = 1.0
-_BATCH = 500
+_SEND_BATCH_SIZE = 500
 
 RouterKey = tuple[str, str]  # name, incarnation
 
 
 @dataclass
-class HeldRecord:
+class PendingBill:
     """A bill not yet known to be durable.
 
     Attributes:
@@ -36,7 +36,7 @@
     due_s: float
 
 
-class RecordKeeper:
+class PendingBills:
     """Holds bills of finished runs until they are durable.
 
     Args:
@@ -47,55 +47,57 @@
     def __init__(self, environment: Environment, grace_s: float) -> None:
         self._environment = environment
         self._grace_s = grace_s
-        self._held: dict[tuple[int, int], HeldRecord] = {}
-        self._due = Pulse()
+        self._bills: dict[tuple[int, int], PendingBill] = {}
+        self._due_changed = Pulse()
         self.changed = Pulse()
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._bills)
 
     def hold(self, settlement: ledger_pb2.Settlement, router: RouterKey) -> None:
         """Hold a bill."""
         due_s = self._environment.monotonic() + self._grace_s
         key = (settlement.lease_id, settlement.sequence)
-        self._held[key] = HeldRecord(settlement, router, due_s)
+        self._bills[key] = PendingBill(settlement, router, due_s)
 
-    def forget(self, settled: list[agent_pb2.SettledReservation]) -> None:
+    def discard_durable(self, settled: list[agent_pb2.SettledReservation]) -> None:
         """Drop bills that the router says are durable."""
         for reservation in settled:
-            self._held.pop((reservation.lease_id, reservation.sequence), None)
+            self._bills.pop((reservation.lease_id, reservation.sequence), None)
         if settled:
             self.changed.give()
 
-    def holds_any_of(self, router: RouterKey) -> bool:
+    def has_bills_of(self, router: RouterKey) -> bool:
         """Whether a bill made for a router's incarnation is still held."""
-        return any(record.router == router for record in self._held.values())
+        return any(record.router == router for record in self._bills.values())
 
-    def send_now(self, router: RouterKey) -> None:
+    def make_due(self, router: RouterKey) -> None:
         """Send all bills of a router that is gone, without waiting for it."""
-        for record in self._held.values():
+        for record in self._bills.values():
             if record.router == router:
                 record.due_s = 0.0
-        self._due.give()
+        self._due_changed.give()
 
     async def run(self, link: ControlLink) -> None:
         """Send bills whose grace time is over, for ever."""
         while True:
             now = self._environment.monotonic()
-            due = [record for record in self._held.values() if record.due_s <= now][:_BATCH]
+            due = [record for record in self._bills.values() if record.due_s <= now][
+                :_SEND_BATCH_SIZE
+            ]
             if not due:
-                await self._due.wait(_CHECK_INTERVAL_S)
+                await self._due_changed.wait(_CHECK_INTERVAL_S)
                 continue
             try:
                 await self._send(link, due)
             except PeerUnavailableError:
                 await asyncio.sleep(_CHECK_INTERVAL_S)
 
-    async def _send(self, link: ControlLink, due: list[HeldRecord]) -> None:
+    async def _send(self, link: ControlLink, due: list[PendingBill]) -> None:
         command = control_pb2.Command()
         command.settle.settlements.extend(record.settlement for record in due)
         await link.call(command, _SEND_TIMEOUT_S)
         for record in due:
             key = (record.settlement.lease_id, record.settlement.sequence)
-            self._held.pop(key, None)
+            self._bills.pop(key, None)
         self.changed.give()
--- a/packages/heronladder-agent/src/heronladder_agent/role.py
+++ b/packages/heronladder-agent/src/heronladder_agent/role.py
@@ -14,9 +14,9 @@
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
 from heronladder_agent.adapters import BackendAdapter
-from heronladder_agent.engine_control import EngineControl, EngineKeeper
+from heronladder_agent.engine_control import EngineControl, EngineReconciler
 from heronladder_agent.gate import Gate, GateOptions
-from heronladder_agent.records import RecordKeeper, RouterKey
+from heronladder_agent.pending_bills import PendingBills, RouterKey
 
 _COLLECT_TIMEOUT_S = 5.0
 _EXPIRY_INTERVAL_S = 5.0
@@ -84,11 +84,11 @@
             zone=options.zone,
             region=options.region,
         )
-        handlers = LinkHandlers(daemon_notice=self._notice)
+        handlers = LinkHandlers(daemon_notice=self._on_daemon_notice)
         self.link = ControlLink(
             record, options.control_addresses, stubs, options.heartbeat_s, handlers, environment
         )
-        self.records = RecordKeeper(environment, options.settle_grace_s)
+        self.held_bills = PendingBills(environment, options.settle_grace_s)
         gate_options = GateOptions(
             options.name,
             options.backend,
@@ -98,18 +98,20 @@
             options.keep_s,
             options.keep_bytes,
         )
-        self.gate = Gate(gate_options, adapter, self.link, self.records, environment, self.metrics)
-        self._collecting: set[RouterKey] = set()
-        self.engine: EngineKeeper | None = None
+        self.gate = Gate(
+            gate_options, adapter, self.link, self.held_bills, environment, self.metrics
+        )
+        self._routers_being_collected: set[RouterKey] = set()
+        self.engine: EngineReconciler | None = None
         if engine_control is not None:
-            self.engine = EngineKeeper(options.backend, engine_control, self.link, self._log)
+            self.engine = EngineReconciler(options.backend, engine_control, self.link, self._log)
             self.gate.engine = self.engine
 
     async def start(self) -> None:
         """Connect to control and begin to take work."""
         self.link.start()
-        self._tasks.start("send_records", self.records.run(self.link))
-        self._tasks.start("expire_answers", self._expire())
+        self._tasks.start("send_records", self.held_bills.run(self.link))
+        self._tasks.start("expire_answers", self._expire_answers())
         if self.engine is not None:
             self.engine.start()
 
@@ -138,30 +140,30 @@
         if self.engine is not None:
             await self.engine.stop()
 
-    async def _expire(self) -> None:
+    async def _expire_answers(self) -> None:
         while True:
             await asyncio.sleep(_EXPIRY_INTERVAL_S)
             self.gate.runs.expire()
 
     # ---- routers that come and go -----------------------------------------
 
-    def _notice(self, notice: control_pb2.DaemonNotice) -> None:
+    def _on_daemon_notice(self, notice: control_pb2.DaemonNotice) -> None:
         if not notice.gone:
             self.gate.admit_router(notice.name, notice.incarnation)
             return
-        self.gate.bar_router(notice.name, notice.incarnation)
+        self.gate.block_router(notice.name, notice.incarnation)
         router = (notice.name, notice.incarnation)
-        if router not in self._collecting:
-            self._collecting.add(router)
-            self._tasks.start(f"collect-{notice.name}", self._collect(router))
+        if router not in self._routers_being_collected:
+            self._routers_being_collected.add(router)
+            self._tasks.start(f"collect-{notice.name}", self._report_collected_router(router))
 
-    async def _collect(self, router: RouterKey) -> None:
+    async def _report_collected_router(self, router: RouterKey) -> None:
         """Tell control once nothing more is owed for a router that is gone."""
-        while self.gate.runs_any_of(router):
+        while self.gate.has_active_runs(router):
             await self.gate.run_ended.wait()
-        while self.records.holds_any_of(router):
-            self.records.send_now(router)
-            await self.records.changed.wait()
+        while self.held_bills.has_bills_of(router):
+            self.held_bills.make_due(router)
+            await self.held_bills.changed.wait()
         command = control_pb2.Command()
         command.collected_router.router = router[0]
         command.collected_router.router_incarnation = router[1]
@@ -173,4 +175,4 @@
                 break
             except PeerUnavailableError:
                 continue
-        self._collecting.discard(router)
+        self._routers_being_collected.discard(router)
--- a/packages/heronladder-agent/src/heronladder_agent/runs.py
+++ b/packages/heronladder-agent/src/heronladder_agent/runs.py
@@ -11,7 +11,7 @@
 from heronladder_schema.v1 import agent_pb2
 
 _TOMBSTONE_AGE_S = 3600.0
-_UNREAD_BYTES_LIMIT = 262_144
+_UNREAD_LIMIT_BYTES = 262_144
 
 AttemptKey = tuple[str, int]  # request id, attempt
 
@@ -72,10 +72,10 @@
         self.held_bytes += len(chunk)
         self.changed.give()
 
-    async def wait_for_room(self) -> None:
+    async def wait_for_buffer_space(self) -> None:
         """Wait while the reader lags far behind: slow readers cost no memory."""
         while (
-            self.held_bytes > _UNREAD_BYTES_LIMIT
+            self.held_bytes > _UNREAD_LIMIT_BYTES
             and not self.dispatch.keep_answer
             and not self.abandoned
         ):
@@ -139,7 +139,7 @@
         self._kept_bytes = 0
         self._tombstones: OrderedDict[AttemptKey, tuple[float, bool]] = OrderedDict()
 
-    def seen(self, key: AttemptKey) -> bool:
+    def is_known(self, key: AttemptKey) -> bool:
         """Whether an attempt was accepted or refused here before."""
         return key in self._runs or key in self._tombstones
 
@@ -147,7 +147,7 @@
         """Return a run that is going on, or whose answer is kept."""
         return self._runs.get(key)
 
-    def ran(self, key: AttemptKey) -> bool:
+    def has_run(self, key: AttemptKey) -> bool:
         """Whether an attempt ran here, although its answer is not kept any more."""
         return self._tombstones.get(key, (0.0, False))[1]
 
@@ -162,11 +162,11 @@
         self._runs[attempt_key(dispatch)] = run
         return run
 
-    def bury(self, key: AttemptKey, *, ran: bool = False) -> None:
+    def add_tombstone(self, key: AttemptKey, *, has_run: bool = False) -> None:
         """Remember that an attempt is over, so that a late copy cannot run."""
         self._runs.pop(key, None)
         now = self._environment.monotonic()
-        self._tombstones[key] = (now, ran)
+        self._tombstones[key] = (now, has_run)
         while self._tombstones:
             oldest = next(iter(self._tombstones))
             if now - self._tombstones[oldest][0] < _TOMBSTONE_AGE_S:
@@ -178,7 +178,7 @@
         run.ended_s = self._environment.monotonic()
         key = attempt_key(run.dispatch)
         if not run.dispatch.keep_answer:
-            self.bury(key, ran=True)
+            self.add_tombstone(key, has_run=True)
             return
         self._kept[key] = run
         self._kept_bytes += run.held_bytes
@@ -194,4 +194,4 @@
                 return
             del self._kept[key]
             self._kept_bytes -= run.held_bytes
-            self.bury(key, ran=True)
+            self.add_tombstone(key, has_run=True)
--- a/packages/heronladder-agent/src/heronladder_agent/server.py
+++ b/packages/heronladder-agent/src/heronladder_agent/server.py
@@ -11,7 +11,7 @@
 from heronladder_agent.gate import Gate
 
 _MAXIMUM_BODY_BYTES = 256 * 1024 * 1024
-_HEAD_STATUS_REFUSED = 409
+_REFUSED_STATUS = 409
 
 
 class AgentServer:
@@ -38,7 +38,7 @@
         except DecodeError:
             raise web.HTTPBadRequest(text="the body is not a HeldBill") from None
         held = self._gate.hold(bill.settlement, (bill.router, bill.router_incarnation))
-        return web.Response(status=204 if held else _HEAD_STATUS_REFUSED)
+        return web.Response(status=204 if held else _REFUSED_STATUS)
 
     async def _cancel(self, request: web.Request) -> web.Response:
         query = request.query
@@ -58,13 +58,13 @@
         answer = await self._gate.dispatch(dispatch, await request.read())
         headers = {wire.HEAD_HEADER: wire.encode(answer.head)}
         if answer.refused or answer.chunks is None:
-            return web.Response(status=_HEAD_STATUS_REFUSED, headers=headers)
+            return web.Response(status=_REFUSED_STATUS, headers=headers)
         if answer.content_type.startswith(EVENT_STREAM):
-            return await self._stream(request, answer, headers)
-        return await self._whole(answer, headers)
+            return await self._send_event_stream(request, answer, headers)
+        return await self._send_complete(answer, headers)
 
     @staticmethod
-    async def _whole(answer: AgentAnswer, headers: dict[str, str]) -> web.Response:
+    async def _send_complete(answer: AgentAnswer, headers: dict[str, str]) -> web.Response:
         assert answer.chunks is not None
         body = b"".join([chunk async for chunk in answer.chunks])
         if answer.end is not None:
@@ -73,7 +73,7 @@
         return web.Response(status=answer.status, body=body, headers=headers)
 
     @staticmethod
-    async def _stream(
+    async def _send_event_stream(
         request: web.Request, answer: AgentAnswer, headers: dict[str, str]
     ) -> web.StreamResponse:
         assert answer.chunks is not None
--- a/packages/heronladder-tools/src/heronladder_tools/demo.py
+++ b/packages/heronladder-tools/src/heronladder_tools/demo.py
@@ -121,7 +121,7 @@
         routers = [d.router for d in fleet.routers.values() if d.router is not None]
         agents = [d.agent for d in fleet.agents.values() if d.agent is not None]
         unsettled = sum(router.outcome_queries.unresolved for router in routers)
-        if not unsettled and not any(len(agent.records) for agent in agents):
+        if not unsettled and not any(len(agent.held_bills) for agent in agents):
             return
         await asyncio.sleep(0.1)
 
--- a/packages/heronladder-tools/src/heronladder_tools/simulation/run.py
+++ b/packages/heronladder-tools/src/heronladder_tools/simulation/run.py
@@ -263,7 +263,7 @@
             unresolved = sum(
                 role.outcome_queries.unresolved for role in self._fleet.routers.values()
             )
-            held = sum(len(role.records) for role in self._fleet.agents.values())
+            held = sum(len(role.held_bills) for role in self._fleet.agents.values())
             if not unresolved and not held and self._fleet.leader() is not None:
                 return
 
--- a/tests/test_engine_control.py
+++ b/tests/test_engine_control.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from heronladder_agent.engine_control import EngineKeeper, EngineOrder, HttpEngineControl
+from heronladder_agent.engine_control import EngineOrder, EngineReconciler, HttpEngineControl
 from heronladder_daemon.http_listener import HttpListener
 from heronladder_emulator.books import Books
 from heronladder_emulator.engine import EmulatedEngine, EngineFaults, EngineOptions
@@ -57,7 +57,7 @@
 
     async def test_an_engine_is_brought_to_what_its_backend_declares(self) -> None:
         link = _Link()
-        keeper = EngineKeeper("b", self.control, link, LOG)
+        keeper = EngineReconciler("b", self.control, link, LOG)
         link.declare(5, models=["m-1"], adapters=["a-1"], engine_role="prefill")
         keeper.start()
         self.addAsyncCleanup(keeper.stop)
@@ -76,12 +76,12 @@
         link = _Link()
         link.fresh = False
         link.declare(9, engine_role="prefill")
-        keeper = EngineKeeper("b", self.control, link, LOG)
+        keeper = EngineReconciler("b", self.control, link, LOG)
         await keeper._send_orders()
         self.assertEqual(self.engine.role, "decode")
 
     async def test_load_is_read_and_forgotten_when_the_engine_is_gone(self) -> None:
-        keeper = EngineKeeper("b", self.control, _Link(), LOG)
+        keeper = EngineReconciler("b", self.control, _Link(), LOG)
         self.engine.set_faults(EngineFaults(slow_factor=100.0))
         self.engine.submit("r", b"x" * 400, 8, 1)
         keeper.start()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -10,7 +10,7 @@
 from heronladder_agent.errors import BackendError, BackendUnreachableError
 from heronladder_agent.gate import Gate, GateOptions
 from heronladder_agent.metering import StreamMeter
-from heronladder_agent.records import RecordKeeper
+from heronladder_agent.pending_bills import PendingBills
 from heronladder_runtime.answers import AgentAnswer, BackendAnswer, BackendCall
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import ConfigurationStore
@@ -107,9 +107,9 @@
             self.backend = ScriptedBackend()
             self.link = FreshLink()
             environment = Environment(random.Random(1), virtual=True)
-            self.records = RecordKeeper(environment, 5.0)
+            self.held_bills = PendingBills(environment, 5.0)
             options = GateOptions("agent", "b", "i", concurrency, queue, 60.0, 1_000_000)
-            gate = Gate(options, self.backend, self.link, self.records, environment, Metrics())
+            gate = Gate(options, self.backend, self.link, self.held_bills, environment, Metrics())
             gate.admit_router("router", "r1")
             await scenario(gate)
             await gate.stop()
@@ -123,7 +123,7 @@
             self.assertEqual(body, b"".join(b"data: %d\n\n" % n for n in range(5)))
             assert answer.end is not None
             self.assertEqual((answer.end.prompt_tokens, answer.end.completion_tokens), (7, 5))
-            self.assertEqual(len(self.records), 1)
+            self.assertEqual(len(self.held_bills), 1)
 
         self._run(scenario)
 
@@ -157,7 +157,7 @@
             for dispatch, code in cases:
                 answer = await gate.dispatch(dispatch, b"")
                 self.assertEqual(answer.head.refusal, code)
-            gate.bar_router("router", "r1")
+            gate.block_router("router", "r1")
             barred = await gate.dispatch(_dispatch("5"), b"")
             self.assertEqual(barred.head.refusal, Refusal.REFUSAL_CODE_FENCED)
             self.assertEqual(self.backend.calls, [])
@@ -302,12 +302,12 @@
             self.backend.unreachable = True
             refused = await gate.dispatch(_dispatch(), b"")
             self.assertEqual(refused.head.refusal, Refusal.REFUSAL_CODE_BACKEND_DOWN)
-            self.assertEqual(len(self.records), 0)
+            self.assertEqual(len(self.held_bills), 0)
 
         self._run(scenario)
 
 
-class StreamsTest(unittest.TestCase):
+class StreamTest(unittest.TestCase):
     def test_the_end_is_split_off_wherever_the_parts_are_cut(self) -> None:
         end = agent_pb2.AnswerEnd(request_id="r", completion_tokens=3)
         body = b"data: one\n\ndata: two: heronladder\n\n"
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -213,10 +213,10 @@
         )
 
     def test_bills_that_agents_forget(self) -> None:
-        from heronladder_agent.records import RecordKeeper
+        from heronladder_agent.pending_bills import PendingBills
 
         self._assert_caught(
-            RecordKeeper,
+            PendingBills,
             "hold",
             lambda self, settlement, router: None,
             "unbilled",
