--- a/packages/heronladder-agent/src/heronladder_agent/__init__.py
+++ b/packages/heronladder-agent/src/heronladder_agent/__init__.py
@@ -1,1 +1,1 @@
-"""Agent role: the gate before one back end."""
+"""Agent role: admits, runs and meters the requests to one backend."""
--- a/packages/heronladder-agent/src/heronladder_agent/adapters.py
+++ b/packages/heronladder-agent/src/heronladder_agent/adapters.py
@@ -1,4 +1,4 @@
-"""What stands behind an agent: the interface that each kind of back end implements."""
+"""Interface between an agent and its backend, implemented once for each kind of backend."""
 
 from abc import ABC, abstractmethod
 
@@ -6,18 +6,24 @@
 
 
 class BackendAdapter(ABC):
-    """Calls one back end by its own protocol."""
+    """Sends requests to one backend in the protocol of that backend."""
 
     @abstractmethod
     async def open(self, call: BackendCall) -> BackendAnswer:
-        """Send a call and return its answer as it comes.
+        """Send a request and return its response while the body is still arriving.
 
-        Closing the answer's chunks cancels the call at the back end.
+        Closing the iterator over the response's chunks cancels the request at the backend.
+
+        Args:
+            call: The request and the dispatch that it belongs to.
+
+        Returns:
+            The response with status, content type and an iterator over the body.
 
         Raises:
             BackendUnreachableError: If nothing was sent.
-            BackendError: If it broke off after something may have been sent.
+            BackendError: If the request failed after some of it may have been sent.
         """
 
     async def close(self) -> None:  # noqa: B027 - only some adapters hold connections
-        """Close all connections."""
+        """Close all connections to the backend."""
--- a/packages/heronladder-agent/src/heronladder_agent/engine_control.py
+++ b/packages/heronladder-agent/src/heronladder_agent/engine_control.py
@@ -1,7 +1,7 @@
-"""What an agent does with a model engine besides requests: orders, load, cache.
+"""Management of a model engine: orders, load reports and prefix cache.
 
-Orders are fenced by the revision of the Backend resource: an engine that checks
-fences refuses an order that an older agent, or an older configuration, sends.
+Orders carry the revision of the Backend resource as a fence token. An engine that checks fences
+refuses orders from an agent that acts on an older configuration.
 """
 
 import asyncio
@@ -26,11 +26,11 @@
 
 @dataclass(frozen=True)
 class EngineLoad:
-    """Load as the engine reports it, with a lag.
+    """Load that the engine reports; it lags behind the actual load.
 
     Attributes:
-        running: Requests in its batch.
-        waiting: Requests that wait for a place in it.
+        running: Number of requests in the engine's batch.
+        waiting: Number of requests that wait to enter the batch.
     """
 
     running: int = 0
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class EngineOrder:
-    """An order to an engine.
+    """A management order to an engine.
 
     Attributes:
         action: ``load_model``, ``load_adapter`` or ``set_role``.
@@ -52,10 +52,10 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """A change of the engine's prefix cache; events come late, and some are lost.
+    """A change of the engine's prefix cache; events can be delayed or lost.
 
     Attributes:
-        number: Number of the event; a gap means that events were lost.
+        number: Sequence number of the event; a gap means that events were lost.
         kind: ``stored`` or ``removed``.
         block: Hash of the block.
     """
@@ -66,19 +66,26 @@
 
 
 class EngineControl(ABC):
-    """An engine's management interface."""
+    """Management interface of an engine."""
 
     @abstractmethod
     async def load(self) -> EngineLoad:
-        """Return the engine's load.
+        """Return the load of the engine.
 
         Raises:
-            BackendError: If it cannot be had.
+            BackendError: If the load cannot be read.
         """
 
     @abstractmethod
     async def order(self, order: EngineOrder, fence: int) -> bool:
-        """Send an order; return False if the engine holds a newer fence.
+        """Send an order.
+
+        Args:
+            order: The order.
+            fence: Fence token of the order.
+
+        Returns:
+            False if the engine has already accepted a newer fence token.
 
         Raises:
             BackendError: If the engine cannot be reached.
@@ -86,34 +93,40 @@
 
     @abstractmethod
     async def cache_events(self, after: int) -> list[CacheEvent]:
-        """Return cache events after a number.
+        """Return the cache events that follow a sequence number.
+
+        Args:
+            after: Sequence number of the last event already known; 0 for all events.
 
         Raises:
-            BackendError: If they cannot be had.
+            BackendError: If the events cannot be read.
         """
 
     @abstractmethod
     async def export_blocks(self) -> list[int]:
-        """Return the blocks of the engine's prefix cache.
+        """Return the hashes of the blocks in the engine's prefix cache.
 
         Raises:
-            BackendError: If they cannot be had.
+            BackendError: If the blocks cannot be read.
         """
 
     @abstractmethod
     async def import_blocks(self, blocks: list[int]) -> None:
-        """Give the engine blocks of another engine's cache.
+        """Import blocks of another engine's prefix cache.
+
+        Args:
+            blocks: Hashes of the blocks.
 
         Raises:
-            BackendError: If it does not take them.
+            BackendError: If the engine does not accept the blocks.
         """
 
-    async def close(self) -> None:  # noqa: B027 - only some hold connections
+    async def close(self) -> None:  # noqa: B027 - only some implementations hold connections
         """Close all connections."""
 
 
 class HttpEngineControl(EngineControl):
-    """An engine's management interface over HTTP.
+    """Management interface of an engine over HTTP.
 
     Args:
         address: IP:port of the engine.
@@ -132,25 +145,25 @@
         headers = {FENCE_HEADER: str(fence)} if fence else {}
         url = f"http://{self._address}{path}"
         try:
-            async with self._session.request(method, url, json=body, headers=headers) as answer:
-                return answer.status, await answer.json()
+            async with self._session.request(method, url, json=body, headers=headers) as response:
+                return response.status, await response.json()
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             raise BackendError(repr(error), step="engine_control", peer=self._address) from error
 
-    def _unexpected_response(self, what: str) -> BackendError:
+    def _unexpected_response(self, path: str) -> BackendError:
         return BackendError(
-            f"unexpected answer to {what}", step="engine_control", peer=self._address
+            f"unexpected response to {path}", step="engine_control", peer=self._address
         )
 
     async def load(self) -> EngineLoad:
-        """Return the engine's load."""
+        """Return the load of the engine."""
         status, document = await self._call("GET", "/load")
         if status != 200 or not isinstance(document, dict):
             raise self._unexpected_response("/load")
         return EngineLoad(int(document.get("running", 0)), int(document.get("waiting", 0)))
 
     async def order(self, order: EngineOrder, fence: int) -> bool:
-        """Send an order."""
+        """Send an order; see ``EngineControl.order``."""
         body = {"action": order.action, "argument": order.argument}
         status, _ = await self._call("POST", "/orders", body, fence)
         if status not in (200, 409):
@@ -158,7 +171,7 @@
         return status == 200
 
     async def cache_events(self, after: int) -> list[CacheEvent]:
-        """Return cache events after a number."""
+        """Return the cache events that follow a sequence number."""
         status, document = await self._call("GET", f"/cache/events?after={after}")
         if status != 200 or not isinstance(document, list):
             raise self._unexpected_response("/cache/events")
@@ -168,14 +181,14 @@
         ]
 
     async def export_blocks(self) -> list[int]:
-        """Return the blocks of the engine's prefix cache."""
+        """Return the hashes of the blocks in the engine's prefix cache."""
         status, document = await self._call("GET", "/cache/blocks")
         if status != 200 or not isinstance(document, dict):
             raise self._unexpected_response("/cache/blocks")
         return [int(block) for block in document["blocks"]]
 
     async def import_blocks(self, blocks: list[int]) -> None:
-        """Give the engine blocks of another engine's cache."""
+        """Import blocks of another engine's prefix cache."""
         status, _ = await self._call("POST", "/cache/blocks", {"blocks": blocks})
         if status != 200:
             raise self._unexpected_response("/cache/blocks")
@@ -187,13 +200,16 @@
 
 
 class EngineReconciler:
-    """Keeps an engine as its Backend declares it, and its load at hand.
+    """Brings an engine to the state that its Backend resource declares and polls its load.
 
     Args:
         backend: Name of the Backend resource.
-        control: The engine's management interface.
-        link: The agent's link to control; holds the configuration.
-        log: Where events are reported.
+        control: Management interface of the engine.
+        link: Link of the agent to control; holds the configuration.
+        log: Log for events of the engine.
+
+    Attributes:
+        load: Last reported load; zero while the engine cannot be reached.
     """
 
     def __init__(
@@ -208,11 +224,11 @@
         self.load = EngineLoad()
 
     def start(self) -> None:
-        """Begin to read the load and to send orders."""
+        """Start the task that sends orders and polls the load."""
         self._tasks.start("engine_keeper", self._run())
 
     async def stop(self) -> None:
-        """End."""
+        """Stop the task and close the connections to the engine."""
         await self._tasks.stop()
         await self._control.close()
 
@@ -227,7 +243,7 @@
             await asyncio.sleep(_POLL_INTERVAL_S)
 
     def _declared_orders(self) -> tuple[list[EngineOrder], int]:
-        """Return the orders that the Backend's declaration asks for, and their fence."""
+        """Return the orders that the Backend resource implies, and their fence token."""
         resource = self._link.configuration.backends().get(self._backend)
         if resource is None:
             return [], 0
@@ -241,7 +257,7 @@
     async def _send_orders(self) -> None:
         orders, fence = self._declared_orders()
         if not self._link.fresh:
-            return  # a stale agent gives no orders
+            return  # The configuration is stale, so its orders may be outdated.
         for order in orders:
             if self._applied_fences.get(order) == fence:
                 continue
--- a/packages/heronladder-agent/src/heronladder_agent/errors.py
+++ b/packages/heronladder-agent/src/heronladder_agent/errors.py
@@ -1,14 +1,14 @@
-"""Errors of an agent."""
+"""Exceptions that the agent raises."""
 
 from heronladder_runtime.errors import HeronladderError
 from heronladder_schema.v1 import agent_pb2
 
 
 class RefusalError(HeronladderError):
-    """The attempt did not run here and never will.
+    """The agent refused the attempt: it has not run here and never will.
 
     Attributes:
-        code: Why.
+        code: Reason for the refusal, as sent to the router.
     """
 
     def __init__(self, code: agent_pb2.RefusalCode.ValueType, message: str, *, peer: str) -> None:
@@ -17,8 +17,8 @@
 
 
 class BackendError(HeronladderError):
-    """The back end broke off, or answered something that cannot be read."""
+    """The backend aborted its response or sent a malformed one."""
 
 
 class BackendUnreachableError(BackendError):
-    """The back end took no connection, so nothing was sent to it."""
+    """The backend accepted no connection, so nothing was sent to it."""
--- a/packages/heronladder-agent/src/heronladder_agent/gate.py
+++ b/packages/heronladder-agent/src/heronladder_agent/gate.py
@@ -1,4 +1,4 @@
-"""The gate before one back end: checks, queues, runs, meters and keeps answers."""
+"""Gate in front of one backend: admits, queues, runs and meters attempts, keeps responses."""
 
 import asyncio
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 from heronladder_agent.runs import AttemptKey, Run, RunState, RunTable, attempt_key
 from heronladder_agent.slots import SlotQueue
 
-_COMPLETE_RESPONSE_LIMIT_BYTES = 16 * 1024 * 1024
+_RESPONSE_LIMIT_BYTES = 16 * 1024 * 1024
 _ROUTER_NOTICE_TIMEOUT_S = 1.0
 _DRAIN_POLL_INTERVAL_S = 0.05
 
@@ -33,12 +33,12 @@
 
     Attributes:
         agent: Name of the agent.
-        backend: Name of the Backend resource behind it.
-        incarnation: Identity of this start of the agent.
-        concurrency: Runs at once.
-        queue_limit: Runs that may wait.
-        keep_s: Time a finished answer is kept, in seconds.
-        keep_bytes: Memory for kept answers, in bytes.
+        backend: Name of the Backend resource that the agent serves.
+        incarnation: Incarnation of the agent.
+        concurrency: Maximum number of concurrent runs.
+        queue_limit: Maximum number of runs that wait for a slot.
+        keep_s: Time for which a finished response is kept, in seconds.
+        keep_bytes: Memory limit for kept responses, in bytes.
     """
 
     agent: str
@@ -51,15 +51,15 @@
 
 
 class Gate:
-    """Decides what reaches the back end, and says what became of it.
+    """Decides which attempts reach the backend and reports the result of each.
 
     Args:
         options: Settings.
-        adapter: Calls the back end.
-        link: The agent's link to control.
-        records: Holds bills until they are durable.
-        environment: Time and randomness.
-        metrics: Where it counts.
+        adapter: Sends requests to the backend.
+        link: Link of the agent to control.
+        held_bills: Holds bills until they are durable.
+        environment: Source of time and randomness.
+        metrics: Receives the metrics of the gate.
     """
 
     def __init__(
@@ -87,26 +87,26 @@
         self.draining = False
         self.engine: EngineReconciler | None = None
 
-    # ---- who may send -----------------------------------------------------
+    # ---- admission of routers ---------------------------------------------
 
     def admit_router(self, name: str, incarnation: str) -> None:
-        """Take dispatches of a router's incarnation, and of no earlier one."""
+        """Accept dispatches of this router incarnation only, and no longer of earlier ones."""
         self._routers[name] = incarnation
         self._routers_changed.give()
 
     def block_router(self, name: str, incarnation: str) -> None:
-        """Take no more dispatches of a router's incarnation."""
+        """Accept no more dispatches of this router incarnation."""
         if self._routers.get(name) == incarnation:
             del self._routers[name]
 
     def has_active_runs(self, router: RouterKey) -> bool:
-        """Whether a run of a router's incarnation is still going on."""
+        """Return whether a run of this router incarnation is still active."""
         return any(_router_key(run.dispatch) == router for run in self.runs.active())
 
     # ---- dispatches -------------------------------------------------------
 
     async def dispatch(self, dispatch: agent_pb2.Dispatch, body: bytes) -> AgentAnswer:
-        """Run an attempt, or attach to one, and return its answer as it comes."""
+        """Run an attempt, or attach to one, and return its answer while it arrives."""
         self._held_bills.discard_durable(list(dispatch.settled))
         try:
             if dispatch.attach:
@@ -138,7 +138,7 @@
         )
 
     def _refusal_answer(self, dispatch: agent_pb2.Dispatch, error: RefusalError) -> AgentAnswer:
-        """Refuse an attempt, and make sure that no late copy of it can run."""
+        """Return a refusal and ensure that no delayed duplicate of the attempt can run."""
         key = attempt_key(dispatch)
         incarnation_matches = dispatch.agent_incarnation == self._options.incarnation
         if incarnation_matches and not self.runs.is_known(key):
@@ -150,40 +150,40 @@
         return AgentAnswer(head)
 
     async def _wait_for_router_notice(self, dispatch: agent_pb2.Dispatch) -> None:
-        """Wait a little for the notice of a router that has just started."""
+        """Wait for the notice of a new router, which its first dispatch can overtake."""
         deadline_s = self._environment.monotonic() + _ROUTER_NOTICE_TIMEOUT_S
         while dispatch.router not in self._routers:
-            left_s = deadline_s - self._environment.monotonic()
-            if left_s <= 0 or not await self._routers_changed.wait(left_s):
+            remaining_s = deadline_s - self._environment.monotonic()
+            if remaining_s <= 0 or not await self._routers_changed.wait(remaining_s):
                 return
 
     def _accept(self, dispatch: agent_pb2.Dispatch) -> Run:
-        """Check everything that could forbid the run; all in one step, without waiting."""
-        name = dispatch.request_id
+        """Check all conditions and create the run, without an ``await`` in between."""
+        peer = dispatch.request_id
         options = self._options
         if dispatch.agent_incarnation != options.incarnation:
             raise RefusalError(
                 agent_pb2.REFUSAL_CODE_WRONG_INCARNATION,
-                f"this is incarnation {options.incarnation}",
-                peer=name,
+                f"the incarnation of this agent is {options.incarnation}",
+                peer=peer,
             )
         if dispatch.backend != options.backend:
             raise RefusalError(
-                agent_pb2.REFUSAL_CODE_WRONG_BACKEND, f"this is {options.backend}", peer=name
+                agent_pb2.REFUSAL_CODE_WRONG_BACKEND, f"agent serves {options.backend}", peer=peer
             )
         if self.runs.is_known(attempt_key(dispatch)):
             raise RefusalError(
-                agent_pb2.REFUSAL_CODE_DUPLICATE, "this attempt was here before", peer=name
+                agent_pb2.REFUSAL_CODE_DUPLICATE, "attempt was already received", peer=peer
             )
         if self.draining or self._is_backend_draining():
-            raise RefusalError(agent_pb2.REFUSAL_CODE_DRAINING, "leaving", peer=name)
+            raise RefusalError(agent_pb2.REFUSAL_CODE_DRAINING, "not accepting new runs", peer=peer)
         if not self._link.fresh:
             raise RefusalError(
-                agent_pb2.REFUSAL_CODE_STALE, "the agent's configuration is stale", peer=name
+                agent_pb2.REFUSAL_CODE_STALE, "the agent's configuration is stale", peer=peer
             )
         if self._routers.get(dispatch.router) != dispatch.router_incarnation:
             raise RefusalError(
-                agent_pb2.REFUSAL_CODE_FENCED, "the router's leases are fenced", peer=name
+                agent_pb2.REFUSAL_CODE_FENCED, "the router's leases are fenced", peer=peer
             )
         return self.runs.accept(dispatch)
 
@@ -192,38 +192,38 @@
         return resource is None or resource.backend.draining
 
     def _attach(self, dispatch: agent_pb2.Dispatch) -> AgentAnswer:
-        """Return the whole answer of an attempt that runs, or ran, here."""
-        name = dispatch.request_id
+        """Return the complete response of an attempt that runs or has run here."""
+        peer = dispatch.request_id
         if dispatch.agent_incarnation != self._options.incarnation:
             raise RefusalError(
                 agent_pb2.REFUSAL_CODE_WRONG_INCARNATION,
-                f"this is incarnation {self._options.incarnation}",
-                peer=name,
+                f"the incarnation of this agent is {self._options.incarnation}",
+                peer=peer,
             )
         key = attempt_key(dispatch)
         run = self.runs.get(key)
         if run is not None and run.state is not RunState.REFUSED:
             if not run.dispatch.keep_answer:
                 raise RefusalError(
-                    agent_pb2.REFUSAL_CODE_DUPLICATE, "it runs for another reader", peer=name
+                    agent_pb2.REFUSAL_CODE_DUPLICATE, "another reader has the response", peer=peer
                 )
             if run.end is not None and run.end.error:
-                raise RefusalError(agent_pb2.REFUSAL_CODE_ANSWER_BROKEN, run.end.error, peer=name)
+                raise RefusalError(agent_pb2.REFUSAL_CODE_ANSWER_BROKEN, run.end.error, peer=peer)
             if run.dispatch.tenant != dispatch.tenant:
                 raise RefusalError(
-                    agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST, "not this tenant's", peer=name
+                    agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST, "request of another tenant", peer=peer
                 )
             return self._answer(run)
         if self.runs.has_run(key):
             raise RefusalError(
-                agent_pb2.REFUSAL_CODE_ANSWER_GONE, "the answer is not kept", peer=name
+                agent_pb2.REFUSAL_CODE_ANSWER_GONE, "the response is no longer kept", peer=peer
             )
         raise RefusalError(
-            agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST, "it did not and will not run", peer=name
+            agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST, "has not run here and will not run", peer=peer
         )
 
     def cancel(self, key: AttemptKey) -> None:
-        """Stop a run that its caller gave up, unless its answer is kept."""
+        """Stop a run that its caller has cancelled, unless its response is kept."""
         run = self.runs.get(key)
         if run is not None and not run.dispatch.keep_answer:
             run.cancelled = True
@@ -231,10 +231,10 @@
             run.changed.give()
 
     def hold(self, settlement: ledger_pb2.Settlement, router: RouterKey) -> bool:
-        """Hold a copy of a bill that its router cannot make durable now.
+        """Hold a copy of a bill that its router cannot make durable at present.
 
         Returns:
-            False when the router is not known here, so that its leases may be
+            False if this router incarnation is not known here; its leases may then be
             collected without waiting for this agent.
         """
         known = self._routers.get(router[0]) == router[1]
@@ -245,7 +245,7 @@
     # ---- runs -------------------------------------------------------------
 
     async def _execute(self, run: Run, body: bytes) -> None:
-        """Run an accepted attempt from its queue to its bill."""
+        """Execute an accepted attempt: wait for a slot, call the backend and create the bill."""
         dispatch = run.dispatch
         try:
             await self._acquire_slot(run)
@@ -255,8 +255,8 @@
         started_s = self._environment.monotonic()
         try:
             run.state = RunState.RUNNING
-            answer = await self._adapter.open(BackendCall(dispatch, body))
-            run.end = await self._read_response(run, answer)
+            response = await self._adapter.open(BackendCall(dispatch, body))
+            run.end = await self._read_response(run, response)
         except BackendUnreachableError as error:
             refusal = RefusalError(
                 agent_pb2.REFUSAL_CODE_BACKEND_DOWN, error.message, peer=dispatch.request_id
@@ -266,7 +266,7 @@
         except BackendError as error:
             run.end = self._broken_end(dispatch, error.message)
         except asyncio.CancelledError:
-            run.end = self._broken_end(dispatch, "the agent was stopped")
+            run.end = self._broken_end(dispatch, "the agent was stopped during the run")
             raise
         finally:
             self._slots.release()
@@ -282,7 +282,7 @@
             self._slots.release()
             raise RefusalError(
                 agent_pb2.REFUSAL_CODE_FENCED,
-                "its router went away while it waited",
+                "the router or the caller left while the attempt waited for a slot",
                 peer=dispatch.request_id,
             )
 
@@ -297,30 +297,30 @@
         run.changed.give()
         self.run_ended.give()
 
-    async def _read_response(self, run: Run, answer: BackendAnswer) -> agent_pb2.AnswerEnd:
-        if answer.content_type.startswith(EVENT_STREAM):
-            return await self._read_event_stream(run, answer)
-        return await self._read_complete_response(run, answer)
+    async def _read_response(self, run: Run, response: BackendAnswer) -> agent_pb2.AnswerEnd:
+        if response.content_type.startswith(EVENT_STREAM):
+            return await self._read_event_stream(run, response)
+        return await self._read_full_response(run, response)
 
-    async def _read_event_stream(self, run: Run, answer: BackendAnswer) -> agent_pb2.AnswerEnd:
+    async def _read_event_stream(self, run: Run, response: BackendAnswer) -> agent_pb2.AnswerEnd:
         dispatch = run.dispatch
-        run.content_type = answer.content_type
-        run.status = answer.status
+        run.content_type = response.content_type
+        run.status = response.status
         run.changed.give()
         meter = StreamMeter(dispatch.include_usage)
-        chunks = aiter(answer.chunks)
+        chunks = aiter(response.chunks)
         try:
             async for chunk in chunks:
-                passed = meter.feed(chunk)
-                if passed:
-                    run.add(passed)
+                forwarded = meter.feed(chunk)
+                if forwarded:
+                    run.add(forwarded)
                 if meter.done or meter.completion_tokens > dispatch.reserved_completion:
                     break
                 await run.wait_for_buffer_space()
                 if run.abandoned:
                     break
         except BackendError:
-            pass  # the meter says that the stream is not whole
+            pass  # The result of the meter reports the incomplete stream.
         finally:
             await chunks.aclose()  # type: ignore[attr-defined]
         end = meter.end(dispatch)
@@ -332,27 +332,27 @@
             )
         return end
 
-    async def _read_complete_response(self, run: Run, answer: BackendAnswer) -> agent_pb2.AnswerEnd:
+    async def _read_full_response(self, run: Run, response: BackendAnswer) -> agent_pb2.AnswerEnd:
         parts = []
         size = 0
-        async for chunk in answer.chunks:
+        async for chunk in response.chunks:
             parts.append(chunk)
             size += len(chunk)
-            if size > _COMPLETE_RESPONSE_LIMIT_BYTES:
+            if size > _RESPONSE_LIMIT_BYTES:
                 raise BackendError(
-                    f"answer over {_COMPLETE_RESPONSE_LIMIT_BYTES} bytes", step="read_answer"
+                    f"response over {_RESPONSE_LIMIT_BYTES} bytes", step="read_answer"
                 )
         body = b"".join(parts)
-        run.content_type = answer.content_type
+        run.content_type = response.content_type
         run.add(body)
-        end = end_of_complete_response(run.dispatch, answer.status, body)
-        run.status = answer.status
+        end = end_of_complete_response(run.dispatch, response.status, body)
+        run.status = response.status
         return end
 
     @staticmethod
-    def _broken_end(dispatch: agent_pb2.Dispatch, why: str) -> agent_pb2.AnswerEnd:
+    def _broken_end(dispatch: agent_pb2.Dispatch, reason: str) -> agent_pb2.AnswerEnd:
         return agent_pb2.AnswerEnd(
-            request_id=dispatch.request_id, outcome=ledger_pb2.OUTCOME_UNKNOWN, error=why
+            request_id=dispatch.request_id, outcome=ledger_pb2.OUTCOME_UNKNOWN, error=reason
         )
 
     def _finish(self, run: Run) -> None:
@@ -371,10 +371,10 @@
         run.changed.give()
         self.run_ended.give()
 
-    # ---- leaving ----------------------------------------------------------
+    # ---- shutdown ---------------------------------------------------------
 
     async def drain(self, grace_s: float) -> None:
-        """Refuse new work at once, then wait for the runs in flight.
+        """Refuse new dispatches at once, then wait for the runs in flight.
 
         Args:
             grace_s: Longest time to wait, in seconds.
@@ -383,13 +383,15 @@
         deadline_s = self._environment.monotonic() + grace_s
         while self.runs.active() and self._environment.monotonic() < deadline_s:
             await asyncio.sleep(_DRAIN_POLL_INTERVAL_S)
-        cut = len(self.runs.active())
-        if cut:
-            self._metrics.add("planned_stop_cuts", amount=cut)
-            self._log.error("planned_stop_cuts_runs", step="drain", runs=cut, grace_s=grace_s)
+        unfinished = len(self.runs.active())
+        if unfinished:
+            self._metrics.add("planned_stop_cuts", amount=unfinished)
+            self._log.error(
+                "planned_stop_cuts_runs", step="drain", runs=unfinished, grace_s=grace_s
+            )
 
     async def stop(self) -> None:
-        """End all runs."""
+        """Cancel all runs and close the connections to the backend."""
         await self._tasks.stop()
         await self._adapter.close()
 
--- a/packages/heronladder-agent/src/heronladder_agent/http_adapter.py
+++ b/packages/heronladder-agent/src/heronladder_agent/http_adapter.py
@@ -1,4 +1,4 @@
-"""Back ends reached over HTTP: OpenAI-compatible engines and plain services."""
+"""Adapter for backends that speak HTTP: OpenAI-compatible engines and plain services."""
 
 from collections.abc import AsyncIterator
 
@@ -16,11 +16,12 @@
 
 
 class HttpAdapter(BackendAdapter):
-    """A back end at one HTTP address.
+    """Sends requests to the backend at one HTTP address.
 
     Args:
-        address: IP:port of the back end.
-        checks_fences: Whether it refuses calls that carry an old fence token.
+        address: IP:port of the backend.
+        checks_fences: Whether the backend rejects requests with an outdated fence token. If
+            so, requests carry the token in ``FENCE_HEADER``.
     """
 
     def __init__(self, address: str, checks_fences: bool) -> None:
@@ -38,7 +39,7 @@
         return self._session
 
     async def open(self, call: BackendCall) -> BackendAnswer:
-        """Send a call and return its answer as it comes."""
+        """Send a request; see ``BackendAdapter.open``."""
         dispatch = call.dispatch
         headers = {
             REQUEST_ID_HEADER: dispatch.request_id,
@@ -64,7 +65,9 @@
         if echoed != dispatch.request_id:
             response.close()
             raise BackendError(
-                f"the back end answered request {echoed}", step="match", peer=self._address
+                f"the backend responded to request {echoed} instead of {dispatch.request_id}",
+                step="match",
+                peer=self._address,
             )
         content_type = response.headers.get("Content-Type", "application/octet-stream")
         return BackendAnswer(response.status, content_type, self._chunks(response))
@@ -79,6 +82,6 @@
             response.close()
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close all connections to the backend."""
         if self._session is not None:
             await self._session.close()
--- a/packages/heronladder-agent/src/heronladder_agent/metering.py
+++ b/packages/heronladder-agent/src/heronladder_agent/metering.py
@@ -1,7 +1,7 @@
-"""Counting tokens in a model engine's event stream as it passes.
+"""Token metering of responses from model engines.
 
-Engines send one event a generated token (or say the running total in
-``usage``), then one event with the final usage, then ``[DONE]``.
+A streaming engine sends one event per generated token, or reports the running total in ``usage``.
+One event with the final usage and the marker ``[DONE]`` follow.
 """
 
 import json
@@ -15,10 +15,18 @@
 
 
 class StreamMeter:
-    """Meters one event stream.
+    """Counts the tokens of one event stream while it is forwarded.
 
     Args:
-        pass_usage: Whether the caller asked for the event with the usage.
+        pass_usage: Whether the caller requested the event with the final usage.
+
+    Attributes:
+        events: Number of events without usage so far.
+        done: Whether the engine has sent ``[DONE]``.
+        prompt_tokens: Prompt tokens according to the last usage.
+        completion_tokens: Completion tokens, by usage or by the number of events.
+        cached_tokens: Prompt tokens that the engine took from its prefix cache.
+        usage_seen: Whether the engine has reported any usage.
     """
 
     def __init__(self, pass_usage: bool) -> None:
@@ -32,7 +40,14 @@
         self.usage_seen = False
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take in a part of the stream; return what the caller is to receive."""
+        """Meter the next part of the stream.
+
+        Args:
+            chunk: Next bytes from the engine; events may be split anywhere.
+
+        Returns:
+            The complete events to forward to the caller; empty if there are none.
+        """
         data = self._partial_event + chunk if self._partial_event else chunk
         end = data.rfind(b"\n\n")
         if end < 0:
@@ -43,10 +58,10 @@
         return b"".join(event + b"\n\n" for event in passed)
 
     def _count_event(self, event: bytes) -> bool:
-        """Count one event; return whether the caller receives it."""
+        """Count one event and return whether to forward it to the caller."""
         if event.startswith(_DONE):
             self.done = True
-            return False  # the router ends the stream once the bill is durable
+            return False  # The router sends [DONE] once the bill is durable.
         if not event.startswith(_DATA):
             return True
         if _USAGE in event and self._read_usage(event):
@@ -74,7 +89,13 @@
             self.cached_tokens = _token_count(details.get("cached_tokens"))
 
     def end(self, dispatch: agent_pb2.Dispatch) -> agent_pb2.AnswerEnd:
-        """Return how the stream ended."""
+        """Return the result of the stream.
+
+        Without any usage from the engine, the reserved prompt tokens count as used.
+
+        Args:
+            dispatch: The attempt that the stream belongs to.
+        """
         end = agent_pb2.AnswerEnd(
             request_id=dispatch.request_id,
             outcome=ledger_pb2.OUTCOME_RAN,
@@ -83,7 +104,7 @@
             cached_tokens=self.cached_tokens,
         )
         if not self.done:
-            end.error = "the engine broke off its stream"
+            end.error = "the engine ended its stream before [DONE]"
         return end
 
 
@@ -94,10 +115,16 @@
 def end_of_complete_response(
     dispatch: agent_pb2.Dispatch, status: int, body: bytes
 ) -> agent_pb2.AnswerEnd:
-    """Return the end of an answer that came in one piece.
+    """Return the result of a response that is not an event stream.
+
+    The response of a model reports its usage; without a readable usage, the whole reservation is
+    billed. A request to a plain service costs what was reserved for it. An error status of a
+    model costs nothing.
 
-    A model's answer says its usage; a plain service's call costs what was
-    reserved for it; an error of the back end costs nothing.
+    Args:
+        dispatch: The attempt that the response belongs to.
+        status: HTTP status of the backend.
+        body: Complete body of the response.
     """
     end = agent_pb2.AnswerEnd(request_id=dispatch.request_id, outcome=ledger_pb2.OUTCOME_RAN)
     if dispatch.reserved_completion == 0:
--- a/packages/heronladder-agent/src/heronladder_agent/pending_bills.py
+++ b/packages/heronladder-agent/src/heronladder_agent/pending_bills.py
@@ -1,8 +1,9 @@
-"""Bills that control has not confirmed yet.
+"""Bills that control has not confirmed as durable yet.
 
-Router and agent both hold a bill until it is durable. The router sends it as
-a rule and tells the agent with a later dispatch; the agent sends it itself
-after a grace time. Copies fall on the ledger's watermark.
+The router and the agent both hold a bill until it is durable. Normally the router sends it to
+control and reports the confirmation to the agent in a later dispatch. If no confirmation arrives
+within the grace time, the agent sends the bill itself. The watermark of the ledger discards
+duplicates.
 """
 
 import asyncio
@@ -18,7 +19,7 @@
 _CHECK_INTERVAL_S = 1.0
 _SEND_BATCH_SIZE = 500
 
-RouterKey = tuple[str, str]  # name, incarnation
+RouterKey = tuple[str, str]  # (router name, router incarnation)
 
 
 @dataclass
@@ -27,8 +28,8 @@
 
     Attributes:
         settlement: The bill.
-        router: Router and incarnation it was made for.
-        due_s: When the agent sends it itself.
+        router: Name and incarnation of the router that dispatched the request.
+        due_s: Monotonic time at which the agent sends the bill itself, in seconds.
     """
 
     settlement: ledger_pb2.Settlement
@@ -37,11 +38,14 @@
 
 
 class PendingBills:
-    """Holds bills of finished runs until they are durable.
+    """Holds the bills of finished runs until they are durable.
 
     Args:
-        environment: Time.
-        grace_s: Time the router has for sending a bill, in seconds.
+        environment: Source of time.
+        grace_s: Time that the router has to send a bill, in seconds.
+
+    Attributes:
+        changed: Pulse given after bills have been removed.
     """
 
     def __init__(self, environment: Environment, grace_s: float) -> None:
@@ -55,31 +59,36 @@
         return len(self._bills)
 
     def hold(self, settlement: ledger_pb2.Settlement, router: RouterKey) -> None:
-        """Hold a bill."""
+        """Hold a bill until it is durable.
+
+        Args:
+            settlement: The bill.
+            router: Name and incarnation of the router that dispatched the request.
+        """
         due_s = self._environment.monotonic() + self._grace_s
         key = (settlement.lease_id, settlement.sequence)
         self._bills[key] = PendingBill(settlement, router, due_s)
 
     def discard_durable(self, settled: list[agent_pb2.SettledReservation]) -> None:
-        """Drop bills that the router says are durable."""
+        """Remove the bills that the router reports as durable."""
         for reservation in settled:
             self._bills.pop((reservation.lease_id, reservation.sequence), None)
         if settled:
             self.changed.give()
 
     def has_bills_of(self, router: RouterKey) -> bool:
-        """Whether a bill made for a router's incarnation is still held."""
+        """Return whether any bill of this router incarnation is still held."""
         return any(record.router == router for record in self._bills.values())
 
     def make_due(self, router: RouterKey) -> None:
-        """Send all bills of a router that is gone, without waiting for it."""
+        """Send all bills of a router that is gone without waiting for the grace time."""
         for record in self._bills.values():
             if record.router == router:
                 record.due_s = 0.0
         self._due_changed.give()
 
     async def run(self, link: ControlLink) -> None:
-        """Send bills whose grace time is over, for ever."""
+        """Send bills whose grace time has expired; runs until cancelled."""
         while True:
             now = self._environment.monotonic()
             due = [record for record in self._bills.values() if record.due_s <= now][
--- a/packages/heronladder-agent/src/heronladder_agent/role.py
+++ b/packages/heronladder-agent/src/heronladder_agent/role.py
@@ -1,4 +1,4 @@
-"""The agent role: gate, bills, and the link to control, put together."""
+"""Agent role: connects the gate, the held bills and the link to control."""
 
 import asyncio
 from dataclasses import dataclass
@@ -28,16 +28,16 @@
 
     Attributes:
         name: Name of the daemon.
-        region: Its region.
-        zone: Its zone.
-        backend: Name of the Backend resource behind it.
+        region: Region of the daemon.
+        zone: Zone of the daemon.
+        backend: Name of the Backend resource that the agent serves.
         control_addresses: gRPC addresses of the control members.
-        heartbeat_s: Time between heartbeats, in seconds.
-        concurrency: Runs at once.
-        queue_limit: Runs that may wait.
-        keep_s: Time a finished answer is kept, in seconds.
-        keep_bytes: Memory for kept answers, in bytes.
-        settle_grace_s: Time after which it sends a bill itself, in seconds.
+        heartbeat_s: Interval between heartbeats, in seconds.
+        concurrency: Maximum number of concurrent runs.
+        queue_limit: Maximum number of runs that wait for a slot.
+        keep_s: Time for which a finished response is kept, in seconds.
+        keep_bytes: Memory limit for kept responses, in bytes.
+        settle_grace_s: Time after which the agent sends a bill itself, in seconds.
     """
 
     name: str
@@ -54,14 +54,14 @@
 
 
 class AgentRole:
-    """One agent.
+    """One agent daemon in front of one backend.
 
     Args:
         options: Settings.
-        adapter: Calls the back end.
-        stubs: Makes stubs to control.
-        environment: Time and randomness.
-        engine_control: The engine's management interface; None for plain services.
+        adapter: Sends requests to the backend.
+        stubs: Factory for gRPC stubs of the control members.
+        environment: Source of time and randomness.
+        engine_control: Management interface of the engine; None for plain services.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
             self.gate.engine = self.engine
 
     async def start(self) -> None:
-        """Connect to control and begin to take work."""
+        """Connect to control and start the background tasks."""
         self.link.start()
         self._tasks.start("send_records", self.held_bills.run(self.link))
         self._tasks.start("expire_answers", self._expire_answers())
@@ -116,7 +116,7 @@
             self.engine.start()
 
     async def drain(self, grace_s: float) -> None:
-        """Refuse new work, finish what runs, and send all bills.
+        """Refuse new dispatches and wait for the active runs.
 
         Args:
             grace_s: Longest time to wait, in seconds.
@@ -124,13 +124,13 @@
         await self.gate.drain(grace_s)
 
     async def stop(self) -> None:
-        """Leave: say so to control, and end."""
+        """Stop all tasks and deregister from control."""
         await self._stop_tasks()
         await self.gate.stop()
         await self.link.stop()
 
     async def abort(self) -> None:
-        """End at once, as a crash would."""
+        """Stop without deregistering from control, as a crash would."""
         await self._stop_tasks()
         await self.gate.stop()
         await self.link.abort()
@@ -145,7 +145,7 @@
             await asyncio.sleep(_EXPIRY_INTERVAL_S)
             self.gate.runs.expire()
 
-    # ---- routers that come and go -----------------------------------------
+    # ---- routers that join or leave ---------------------------------------
 
     def _on_daemon_notice(self, notice: control_pb2.DaemonNotice) -> None:
         if not notice.gone:
@@ -158,7 +158,13 @@
             self._tasks.start(f"collect-{notice.name}", self._report_collected_router(router))
 
     async def _report_collected_router(self, router: RouterKey) -> None:
-        """Tell control once nothing more is owed for a router that is gone."""
+        """Report to control that no run or bill of a router that is gone remains here.
+
+        Control can then collect the leases of the router.
+
+        Args:
+            router: Name and incarnation of the router.
+        """
         while self.gate.has_active_runs(router):
             await self.gate.run_ended.wait()
         while self.held_bills.has_bills_of(router):
--- a/packages/heronladder-agent/src/heronladder_agent/runs.py
+++ b/packages/heronladder-agent/src/heronladder_agent/runs.py
@@ -1,4 +1,8 @@
-"""Runs of an agent: each attempt is accepted once, and answers are kept a while."""
+"""Table of the attempts that an agent has accepted.
+
+A run is one accepted attempt. The table ensures that each attempt is accepted at most once and
+keeps finished responses for a limited time, so that a retry with the same key can read them.
+"""
 
 from collections import OrderedDict
 from collections.abc import AsyncIterator
@@ -13,16 +17,16 @@
 _TOMBSTONE_AGE_S = 3600.0
 _UNREAD_LIMIT_BYTES = 262_144
 
-AttemptKey = tuple[str, int]  # request id, attempt
+AttemptKey = tuple[str, int]  # (request ID, attempt number)
 
 
 def attempt_key(dispatch: agent_pb2.Dispatch) -> AttemptKey:
-    """Return what an attempt is known by."""
+    """Return the key that identifies the attempt of a dispatch."""
     return (dispatch.request_id, dispatch.attempt)
 
 
 class RunState(Enum):
-    """How far a run is."""
+    """State of a run."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -32,23 +36,24 @@
 
 @dataclass
 class Run:
-    """One accepted attempt and its answer so far.
+    """One accepted attempt and the part of its response received so far.
 
     Attributes:
-        dispatch: The attempt.
-        state: How far it is.
-        status: HTTP status of the back end, once known.
-        content_type: Content type of the back end's answer.
-        chunks: Parts of the answer; parts already read may be dropped from the front.
-        dropped: How many parts were dropped.
-        end: How it ended.
-        refusal: Why it was refused after all.
-        changed: Given at each change.
-        readers: How many read it now.
-        held_bytes: Size of the parts held.
-        ended_s: When it ended.
-        abandoned: Nobody can read the rest of it.
-        cancelled: Its caller gave it up.
+        dispatch: Dispatch of the attempt.
+        state: Current state.
+        status: HTTP status of the backend; 0 until it is known.
+        content_type: Content type of the backend's response.
+        chunks: Buffered chunks of the response. Chunks that have been read are removed from
+            the front unless the response is kept.
+        dropped: Number of chunks removed from the front.
+        end: Result of the run, once it has ended.
+        refusal: Head of the refusal, if the attempt was refused after it had been accepted.
+        changed: Pulse given at each change.
+        readers: Number of current readers.
+        held_bytes: Size of the buffered chunks, in bytes.
+        ended_s: Monotonic time at which the run ended, in seconds.
+        abandoned: Whether no reader can receive the rest of the response.
+        cancelled: Whether the caller cancelled the request.
     """
 
     dispatch: agent_pb2.Dispatch
@@ -67,13 +72,16 @@
     cancelled: bool = False
 
     def add(self, chunk: bytes) -> None:
-        """Add a part of the answer."""
+        """Append a chunk of the response."""
         self.chunks.append(chunk)
         self.held_bytes += len(chunk)
         self.changed.give()
 
     async def wait_for_buffer_space(self) -> None:
-        """Wait while the reader lags far behind: slow readers cost no memory."""
+        """Wait while too many bytes are unread, so that a slow reader cannot exhaust memory.
+
+        Runs whose response is kept or that are abandoned do not wait.
+        """
         while (
             self.held_bytes > _UNREAD_LIMIT_BYTES
             and not self.dispatch.keep_answer
@@ -82,17 +90,20 @@
             await self.changed.wait()
 
     async def wait_for_head(self) -> None:
-        """Wait until the back end began to answer, or the run ended."""
+        """Wait until the status of the backend is known or the run has ended."""
         while self.state is RunState.WAITING or (
             self.state is RunState.RUNNING and not self.status
         ):
             await self.changed.wait()
 
     async def read(self, answer: AgentAnswer) -> AsyncIterator[bytes]:
-        """Yield the whole answer from its start, then set ``answer.end``.
+        """Yield the complete response from its start, then set ``answer.end``.
+
+        If the reader stops early, a run whose response is not kept is abandoned, because no
+        other reader can attach to it.
 
-        When the only reader goes away early, a run whose answer is not kept is
-        abandoned: nobody could ever read the rest.
+        Args:
+            answer: Answer that receives the result of the run.
         """
         self.readers += 1
         position = 0
@@ -122,12 +133,12 @@
 
 
 class RunTable:
-    """All attempts an incarnation has seen.
+    """All attempts that this incarnation of the agent has accepted or refused.
 
     Args:
-        environment: Time.
-        keep_s: Time a finished answer is kept, in seconds.
-        keep_bytes: Memory for kept answers, in bytes.
+        environment: Source of time.
+        keep_s: Time for which a finished response is kept, in seconds.
+        keep_bytes: Memory limit for kept responses, in bytes.
     """
 
     def __init__(self, environment: Environment, keep_s: float, keep_bytes: int) -> None:
@@ -140,30 +151,37 @@
         self._tombstones: OrderedDict[AttemptKey, tuple[float, bool]] = OrderedDict()
 
     def is_known(self, key: AttemptKey) -> bool:
-        """Whether an attempt was accepted or refused here before."""
+        """Return whether an attempt has been accepted or refused here."""
         return key in self._runs or key in self._tombstones
 
     def get(self, key: AttemptKey) -> Run | None:
-        """Return a run that is going on, or whose answer is kept."""
+        """Return the run of an attempt if it is active or its response is kept."""
         return self._runs.get(key)
 
     def has_run(self, key: AttemptKey) -> bool:
-        """Whether an attempt ran here, although its answer is not kept any more."""
+        """Return whether an attempt has run here and its response is no longer kept."""
         return self._tombstones.get(key, (0.0, False))[1]
 
     def active(self) -> list[Run]:
-        """Return all runs that have not ended."""
+        """Return all runs that wait or execute."""
         ended = (RunState.FINISHED, RunState.REFUSED)
         return [run for run in self._runs.values() if run.state not in ended]
 
     def accept(self, dispatch: agent_pb2.Dispatch) -> Run:
-        """Begin the run of an attempt not seen before."""
+        """Create the run of an attempt that is not known yet."""
         run = Run(dispatch)
         self._runs[attempt_key(dispatch)] = run
         return run
 
     def add_tombstone(self, key: AttemptKey, *, has_run: bool = False) -> None:
-        """Remember that an attempt is over, so that a late copy cannot run."""
+        """Record that an attempt is over, so that a delayed duplicate of it cannot run.
+
+        Tombstones are removed after ``_TOMBSTONE_AGE_S``.
+
+        Args:
+            key: Key of the attempt.
+            has_run: Whether the attempt reached the backend.
+        """
         self._runs.pop(key, None)
         now = self._environment.monotonic()
         self._tombstones[key] = (now, has_run)
@@ -174,7 +192,7 @@
             del self._tombstones[oldest]
 
     def finish(self, run: Run) -> None:
-        """Keep a finished answer if it was asked for; else forget all but its id."""
+        """Keep a finished response if its dispatch requests it; otherwise keep only a tombstone."""
         run.ended_s = self._environment.monotonic()
         key = attempt_key(run.dispatch)
         if not run.dispatch.keep_answer:
@@ -185,7 +203,7 @@
         self.expire()
 
     def expire(self) -> None:
-        """Drop kept answers that are too old, or too many for the memory."""
+        """Remove the oldest kept responses that exceed the retention time or memory limit."""
         oldest_kept_s = self._environment.monotonic() - self._keep_s
         while self._kept:
             key = next(iter(self._kept))
--- a/packages/heronladder-agent/src/heronladder_agent/server.py
+++ b/packages/heronladder-agent/src/heronladder_agent/server.py
@@ -1,4 +1,7 @@
-"""The agent's HTTP listener for routers."""
+"""HTTP application through which routers reach an agent.
+
+It translates between HTTP and the gate, which decides on each dispatch.
+"""
 
 import binascii
 
@@ -15,17 +18,17 @@
 
 
 class AgentServer:
-    """Takes dispatches over HTTP.
+    """Receives dispatches, cancellations and copies of bills over HTTP.
 
     Args:
-        gate: The gate that carries them out.
+        gate: Gate that processes them.
     """
 
     def __init__(self, gate: Gate) -> None:
         self._gate = gate
 
     def application(self) -> web.Application:
-        """Return the application that serves dispatches."""
+        """Return the aiohttp application with the routes for routers."""
         application = web.Application(client_max_size=_MAXIMUM_BODY_BYTES)
         application.router.add_post(wire.DISPATCH_PATH, self._dispatch)
         application.router.add_post(wire.CANCEL_PATH, self._cancel)
@@ -36,14 +39,18 @@
         try:
             bill = agent_pb2.HeldBill.FromString(await request.read())
         except DecodeError:
-            raise web.HTTPBadRequest(text="the body is not a HeldBill") from None
+            raise web.HTTPBadRequest(
+                text="the request body is not a valid HeldBill message"
+            ) from None
         held = self._gate.hold(bill.settlement, (bill.router, bill.router_incarnation))
         return web.Response(status=204 if held else _REFUSED_STATUS)
 
     async def _cancel(self, request: web.Request) -> web.Response:
         query = request.query
         if not query.get("attempt", "").isdigit():
-            raise web.HTTPBadRequest(text="give request_id and attempt (a whole number)")
+            raise web.HTTPBadRequest(
+                text="the query needs request_id and attempt (a non-negative integer)"
+            )
         self._gate.cancel((query.get("request_id", ""), int(query["attempt"])))
         return web.Response(status=204)
 
@@ -86,7 +93,7 @@
             if answer.end is not None:
                 await response.write(wire.end_line(answer.end))
         except ConnectionResetError:
-            pass  # the router is gone; the run goes on if its answer is kept
+            pass  # The router has disconnected; the run continues if its response is kept.
         finally:
             await answer.chunks.aclose()  # type: ignore[attr-defined]
         return response
--- a/packages/heronladder-agent/src/heronladder_agent/slots.py
+++ b/packages/heronladder-agent/src/heronladder_agent/slots.py
@@ -1,4 +1,7 @@
-"""Slots at the back end, given to waiting runs by priority, then by age."""
+"""Queue for the concurrency slots of a backend.
+
+Waiting runs get free slots by priority and, within one priority, in order of arrival.
+"""
 
 import asyncio
 import heapq
@@ -9,11 +12,14 @@
 
 
 class SlotQueue:
-    """Bounds how many runs a back end has at once, and how many wait.
+    """Limits how many runs a backend executes concurrently and how many wait for a slot.
 
     Args:
-        slots: Runs at once.
-        queue_limit: Runs that may wait.
+        slots: Maximum number of concurrent runs.
+        queue_limit: Maximum number of waiting runs.
+
+    Attributes:
+        running: Number of slots in use.
     """
 
     def __init__(self, slots: int, queue_limit: int) -> None:
@@ -25,25 +31,28 @@
 
     @property
     def queued(self) -> int:
-        """How many runs wait for a slot."""
+        """Number of runs that wait for a slot."""
         return sum(1 for _, _, future in self._waiting if not future.done())
 
     async def acquire(self, priority: int, timeout_s: float, peer: str) -> None:
         """Wait for a slot.
 
         Args:
-            priority: Higher ones go first.
-            timeout_s: Time after which it is not worth starting, in seconds.
-            peer: Name of the request, for errors.
+            priority: Priority of the run; higher values are served first.
+            timeout_s: Longest time to wait, in seconds. A run that starts later cannot meet
+                the deadline of its request.
+            peer: Request ID for error messages.
 
         Raises:
-            RefusalError: If too many wait, or the time ran out.
+            RefusalError: If the queue is full or no slot is free before the time-out.
         """
         if self.running < self._slots and not self.queued:
             self.running += 1
             return
         if self.queued >= self._queue_limit:
-            raise RefusalError(agent_pb2.REFUSAL_CODE_BUSY, "the queue is full", peer=peer)
+            raise RefusalError(
+                agent_pb2.REFUSAL_CODE_BUSY, "the queue for a slot is full", peer=peer
+            )
         slot: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._arrivals += 1
         heapq.heappush(self._waiting, (-priority, self._arrivals, slot))
@@ -51,7 +60,9 @@
             await asyncio.wait_for(slot, timeout_s)
         except TimeoutError as error:
             raise RefusalError(
-                agent_pb2.REFUSAL_CODE_DEADLINE, "no slot came free in time", peer=peer
+                agent_pb2.REFUSAL_CODE_DEADLINE,
+                "no slot became free before the deadline",
+                peer=peer,
             ) from error
         except asyncio.CancelledError:
             if slot.done() and not slot.cancelled():
@@ -59,7 +70,7 @@
             raise
 
     def release(self) -> None:
-        """Give a slot back, to the next run that waits."""
+        """Release a slot and hand it to the next waiting run, if any."""
         while self._waiting:
             _, _, slot = heapq.heappop(self._waiting)
             if not slot.done():
