--- a/packages/heronladder-agent/src/heronladder_agent/gate.py
+++ b/packages/heronladder-agent/src/heronladder_agent/gate.py
@@ -22,7 +22,7 @@
 from heronladder_agent.runs import AttemptKey, Run, RunState, RunTable, attempt_key
 from heronladder_agent.slots import SlotQueue
 
-_RESPONSE_LIMIT_BYTES = 16 * 1024 * 1024
+_MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 _ROUTER_NOTICE_TIMEOUT_S = 1.0
 _DRAIN_POLL_INTERVAL_S = 0.05
 
@@ -326,7 +326,7 @@
         end = meter.end(dispatch)
         end.cancelled = run.cancelled and not meter.done
         if meter.completion_tokens > dispatch.reserved_completion:
-            end.error = "the engine went past the reservation and was stopped"
+            end.error = "the engine exceeded the token reservation and was stopped"
             self._log.error(
                 "reservation_passed", step="meter", peer=dispatch.request_id, end=end.error
             )
@@ -338,10 +338,8 @@
         async for chunk in response.chunks:
             parts.append(chunk)
             size += len(chunk)
-            if size > _RESPONSE_LIMIT_BYTES:
-                raise BackendError(
-                    f"response over {_RESPONSE_LIMIT_BYTES} bytes", step="read_answer"
-                )
+            if size > _MAX_RESPONSE_BYTES:
+                raise BackendError(f"response over {_MAX_RESPONSE_BYTES} bytes", step="read_answer")
         body = b"".join(parts)
         run.content_type = response.content_type
         run.add(body)
--- a/tests/test_engine_control.py
+++ b/tests/test_engine_control.py
@@ -1,4 +1,7 @@
-"""Orders to engines, their load and caches, and the platform's list, over loopback HTTP."""
+"""Tests of engine management and of the platform's machine list over loopback HTTP.
+
+They cover orders to engines, load reports, prefix cache events and leaving machines.
+"""
 
 import asyncio
 import logging
@@ -21,8 +24,8 @@
 LOG = EventLog("test", "agent")
 
 
-class _Link:
-    """A link to control that is fresh, with one back end configured."""
+class _FakeLink:
+    """Fake link to control with a fresh configuration that holds one backend."""
 
     def __init__(self) -> None:
         self.fresh = True
@@ -35,7 +38,7 @@
         self.configuration.apply(control_pb2.ConfigUpdate(events=[event], revision=revision))
 
 
-async def _until(condition, seconds: float = 10.0) -> None:  # type: ignore[no-untyped-def]
+async def _wait_until(condition, seconds: float = 10.0) -> None:  # type: ignore[no-untyped-def]
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.02)
@@ -55,52 +58,52 @@
         self.addAsyncCleanup(front.stop)
         self.control = HttpEngineControl(front.address)
 
-    async def test_an_engine_is_brought_to_what_its_backend_declares(self) -> None:
-        link = _Link()
-        keeper = EngineReconciler("b", self.control, link, LOG)
+    async def test_engine_is_brought_to_declared_state(self) -> None:
+        link = _FakeLink()
+        reconciler = EngineReconciler("b", self.control, link, LOG)
         link.declare(5, models=["m-1"], adapters=["a-1"], engine_role="prefill")
-        keeper.start()
-        self.addAsyncCleanup(keeper.stop)
-        await _until(lambda: self.engine.role == "prefill")
+        reconciler.start()
+        self.addAsyncCleanup(reconciler.stop)
+        await _wait_until(lambda: self.engine.role == "prefill")
         self.assertEqual((self.engine.models, self.engine.adapters), ({"m-1"}, {"a-1"}))
         link.declare(9, models=["m-1", "m-2"], engine_role="decode")
-        await _until(lambda: self.engine.role == "decode")
+        await _wait_until(lambda: self.engine.role == "decode")
         self.assertIn("m-2", self.engine.models)
         self.assertEqual(self.engine.highest_fence, 9)
 
-    async def test_an_order_with_an_old_fence_is_refused_and_a_stale_agent_gives_none(self) -> None:
+    async def test_outdated_fence_is_refused_and_stale_agent_sends_no_orders(self) -> None:
         self.addAsyncCleanup(self.control.close)
         self.assertTrue(await self.control.order(EngineOrder("set_role", "decode"), 7))
         self.assertFalse(await self.control.order(EngineOrder("set_role", "prefill"), 6))
         self.assertEqual(self.engine.role, "decode")
-        link = _Link()
+        link = _FakeLink()
         link.fresh = False
         link.declare(9, engine_role="prefill")
-        keeper = EngineReconciler("b", self.control, link, LOG)
-        await keeper._send_orders()
+        reconciler = EngineReconciler("b", self.control, link, LOG)
+        await reconciler._send_orders()
         self.assertEqual(self.engine.role, "decode")
 
-    async def test_load_is_read_and_forgotten_when_the_engine_is_gone(self) -> None:
-        keeper = EngineReconciler("b", self.control, _Link(), LOG)
+    async def test_load_is_polled_and_reset_when_engine_is_unreachable(self) -> None:
+        reconciler = EngineReconciler("b", self.control, _FakeLink(), LOG)
         self.engine.set_faults(EngineFaults(slow_factor=100.0))
         self.engine.submit("r", b"x" * 400, 8, 1)
-        keeper.start()
-        self.addAsyncCleanup(keeper.stop)
-        await _until(lambda: keeper.load.running == 1)
+        reconciler.start()
+        self.addAsyncCleanup(reconciler.stop)
+        await _wait_until(lambda: reconciler.load.running == 1)
         self.control._address = "127.0.0.1:1"
-        await _until(lambda: keeper.load.running == 0)
+        await _wait_until(lambda: reconciler.load.running == 0)
 
-    async def test_blocks_move_between_engines_and_gaps_of_events_show(self) -> None:
+    async def test_blocks_are_imported_and_event_gaps_are_visible(self) -> None:
         self.addAsyncCleanup(self.control.close)
         await self.control.import_blocks([11, 22, 33, 44])
         self.assertEqual(await self.control.export_blocks(), [11, 22, 33, 44])
         numbers = [event.number for event in await self.control.cache_events(0)]
-        self.assertEqual(numbers, [1, 2, 4])  # the third was lost on the way
-        self.assertEqual([e.block for e in await self.control.cache_events(2)], [44])
+        self.assertEqual(numbers, [1, 2, 4])  # The engine drops every third event.
+        self.assertEqual([event.block for event in await self.control.cache_events(2)], [44])
 
 
 class PlatformTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_leaving_machine_gets_no_new_work(self) -> None:
+    async def test_leaving_machine_receives_no_new_requests(self) -> None:
         logging.getLogger("heronladder").setLevel(logging.CRITICAL)
         environment = Environment(random.Random(1))
         machines = PlatformList(environment, lag_s=0.0)
@@ -120,9 +123,11 @@
         self.addAsyncCleanup(watch.stop)
         self.assertEqual(len(directory.usable("s")), 1)
         machines.set(Machine("a", "127.0.0.1", leaving=True))
-        await _until(lambda: not directory.usable("s"))
+        await _wait_until(lambda: not directory.usable("s"))
         configuration.apply(control_pb2.ConfigUpdate(events=[event], revision=2))
-        self.assertEqual(directory.usable("s"), [])  # a new configuration does not forget it
+        # A new configuration keeps the machine excluded.
+        self.assertEqual(directory.usable("s"), [])
         await front.stop()
         await asyncio.sleep(1.2)
-        self.assertEqual(directory.usable("s"), [])  # nor does an unreadable list
+        # So does a platform list that cannot be read.
+        self.assertEqual(directory.usable("s"), [])
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,8 @@
-"""The gate: once only, true refusals, kept answers, back-pressure, leaving."""
+"""Tests of an agent's gate.
+
+They cover at-most-once execution, refusals, kept responses, back-pressure, draining, the framing of
+streams between agent and router, and token metering.
+"""
 
 import asyncio
 import random
@@ -24,7 +28,7 @@
 
 
 class ScriptedBackend(BackendAdapter):
-    """Streams numbered events, slowly; may break or refuse."""
+    """Fake backend that streams numbered events; can abort a stream or refuse connections."""
 
     def __init__(self, events: int = 5) -> None:
         self.events = events
@@ -46,7 +50,7 @@
         try:
             for number in range(self.events):
                 if self.break_after and number == self.break_after:
-                    raise BackendError("broke", step="read_answer")
+                    raise BackendError("aborted", step="read_answer")
                 await asyncio.sleep(self.event_s)
                 self.sent += 1
                 yield b"data: %d%s\n\n" % (number, b"x" * self.event_padding)
@@ -56,8 +60,8 @@
             self.closed += 1
 
 
-class FreshLink:
-    """A link to control that is fresh, with one back end configured."""
+class FakeLink:
+    """Fake link to control with a fresh configuration that holds one backend."""
 
     def __init__(self) -> None:
         self.fresh = True
@@ -105,7 +109,7 @@
     ) -> None:
         async def run() -> None:
             self.backend = ScriptedBackend()
-            self.link = FreshLink()
+            self.link = FakeLink()
             environment = Environment(random.Random(1), virtual=True)
             self.held_bills = PendingBills(environment, 5.0)
             options = GateOptions("agent", "b", "i", concurrency, queue, 60.0, 1_000_000)
@@ -116,7 +120,7 @@
 
         run_virtual(run())
 
-    def test_a_stream_passes_whole_and_is_metered(self) -> None:
+    def test_stream_is_forwarded_completely_and_metered(self) -> None:
         async def scenario(gate: Gate) -> None:
             answer = await gate.dispatch(_dispatch(), b"")
             body = await _read(answer)
@@ -127,7 +131,7 @@
 
         self._run(scenario)
 
-    def test_an_attempt_is_accepted_once_and_a_refusal_leaves_a_tombstone(self) -> None:
+    def test_attempt_is_accepted_once_and_refusal_leaves_tombstone(self) -> None:
         async def scenario(gate: Gate) -> None:
             await _read(await gate.dispatch(_dispatch("a"), b""))
             again = await gate.dispatch(_dispatch("a"), b"")
@@ -138,15 +142,15 @@
             self.link.fresh = True
             late_copy = await gate.dispatch(_dispatch("b"), b"")
             self.assertEqual(late_copy.head.refusal, Refusal.REFUSAL_CODE_DUPLICATE)
-            question = await gate.dispatch(_dispatch("c", attach=True), b"")
-            self.assertEqual(question.head.refusal, Refusal.REFUSAL_CODE_UNKNOWN_REQUEST)
-            after_question = await gate.dispatch(_dispatch("c"), b"")
-            self.assertEqual(after_question.head.refusal, Refusal.REFUSAL_CODE_DUPLICATE)
+            attached = await gate.dispatch(_dispatch("c", attach=True), b"")
+            self.assertEqual(attached.head.refusal, Refusal.REFUSAL_CODE_UNKNOWN_REQUEST)
+            after_attach = await gate.dispatch(_dispatch("c"), b"")
+            self.assertEqual(after_attach.head.refusal, Refusal.REFUSAL_CODE_DUPLICATE)
             self.assertEqual(self.backend.calls, ["a"])
 
         self._run(scenario)
 
-    def test_fences_hold(self) -> None:
+    def test_dispatches_to_wrong_agent_or_from_fenced_router_are_refused(self) -> None:
         async def scenario(gate: Gate) -> None:
             cases = [
                 (_dispatch("1", agent_incarnation="old"), Refusal.REFUSAL_CODE_WRONG_INCARNATION),
@@ -164,7 +168,7 @@
 
         self._run(scenario)
 
-    def test_a_kept_answer_goes_on_without_its_reader_and_is_read_from_the_start(self) -> None:
+    def test_kept_response_continues_without_reader_and_can_be_read_from_start(self) -> None:
         async def scenario(gate: Gate) -> None:
             answer = await gate.dispatch(_dispatch(keep_answer=True), b"")
             assert answer.chunks is not None
@@ -174,13 +178,13 @@
             self.assertEqual((await _read(attached)).count(b"data: "), 5)
             again = await gate.dispatch(_dispatch(attach=True), b"")
             self.assertEqual((await _read(again)).count(b"data: "), 5)
-            stranger = await gate.dispatch(_dispatch(attach=True, tenant="other"), b"")
-            self.assertEqual(stranger.head.refusal, Refusal.REFUSAL_CODE_UNKNOWN_REQUEST)
+            other_tenant = await gate.dispatch(_dispatch(attach=True, tenant="other"), b"")
+            self.assertEqual(other_tenant.head.refusal, Refusal.REFUSAL_CODE_UNKNOWN_REQUEST)
             self.assertEqual(self.backend.calls, ["r"])
 
         self._run(scenario)
 
-    def test_an_unkept_answer_cannot_be_attached_to(self) -> None:
+    def test_attaching_to_response_that_is_not_kept_is_refused(self) -> None:
         async def scenario(gate: Gate) -> None:
             answer = await gate.dispatch(_dispatch(), b"")
             assert answer.chunks is not None
@@ -191,7 +195,7 @@
 
         self._run(scenario)
 
-    def test_a_broken_answer_is_not_billed_and_not_attached_to(self) -> None:
+    def test_aborted_response_has_unknown_outcome_and_cannot_be_attached_to(self) -> None:
         async def scenario(gate: Gate) -> None:
             self.backend.break_after = 2
             answer = await gate.dispatch(_dispatch(keep_answer=True), b"")
@@ -205,7 +209,7 @@
 
         self._run(scenario)
 
-    def test_a_caller_that_goes_away_cancels_the_engine_and_pays_what_ran(self) -> None:
+    def test_cancellation_stops_engine_and_bills_generated_tokens(self) -> None:
         async def scenario(gate: Gate) -> None:
             self.backend.events = 15
             answer = await gate.dispatch(_dispatch(), b"")
@@ -222,18 +226,18 @@
 
         self._run(scenario)
 
-    def test_an_engine_that_passes_the_reservation_is_stopped(self) -> None:
+    def test_engine_that_exceeds_reservation_is_stopped(self) -> None:
         async def scenario(gate: Gate) -> None:
             self.backend.events = 500
             answer = await gate.dispatch(_dispatch(reserved_completion=10), b"")
             await _read(answer)
             assert answer.end is not None
-            self.assertIn("past the reservation", answer.end.error)
+            self.assertIn("exceeded the token reservation", answer.end.error)
             self.assertLessEqual(self.backend.sent, 11)
 
         self._run(scenario)
 
-    def test_a_slow_reader_holds_the_engine_back(self) -> None:
+    def test_slow_reader_causes_back_pressure_on_engine(self) -> None:
         async def scenario(gate: Gate) -> None:
             self.backend.events = 200
             self.backend.event_padding = 10_000
@@ -241,13 +245,14 @@
             assert answer.chunks is not None
             await anext(answer.chunks)
             await asyncio.sleep(60)
-            self.assertLess(self.backend.sent, 40)  # 262,144 bytes and a few
+            # The limit of 262,144 unread bytes is reached after 27 events; a few more are in flight.
+            self.assertLess(self.backend.sent, 40)
             await _read(answer)
             self.assertEqual(self.backend.sent, 200)
 
         self._run(scenario)
 
-    def test_slots_go_by_priority_and_a_full_queue_refuses(self) -> None:
+    def test_slots_are_given_by_priority_and_full_queue_refuses(self) -> None:
         async def scenario(gate: Gate) -> None:
             running = await gate.dispatch(_dispatch("running"), b"")
             waiting = [
@@ -264,7 +269,7 @@
 
         self._run(scenario, concurrency=1, queue=2)
 
-    def test_a_wait_past_the_deadline_is_refused_and_never_runs(self) -> None:
+    def test_attempt_waiting_past_its_deadline_is_refused_and_never_runs(self) -> None:
         async def scenario(gate: Gate) -> None:
             self.backend.event_s = 1.0
             running = await gate.dispatch(_dispatch("running"), b"")
@@ -275,7 +280,7 @@
 
         self._run(scenario, concurrency=1)
 
-    def test_leaving_refuses_new_work_at_once_and_cuts_nothing(self) -> None:
+    def test_drain_refuses_new_dispatches_and_completes_active_runs(self) -> None:
         async def scenario(gate: Gate) -> None:
             answer = await gate.dispatch(_dispatch("first"), b"")
             reading = asyncio.ensure_future(_read(answer))
@@ -289,7 +294,7 @@
 
         self._run(scenario)
 
-    def test_an_operators_drain_counts_as_soon_as_it_is_applied(self) -> None:
+    def test_drain_by_operator_is_effective_once_applied(self) -> None:
         async def scenario(gate: Gate) -> None:
             self.link.set_draining(True, 2)
             refused = await gate.dispatch(_dispatch(), b"")
@@ -297,7 +302,7 @@
 
         self._run(scenario)
 
-    def test_a_back_end_that_takes_no_connection_is_a_true_refusal(self) -> None:
+    def test_unreachable_backend_is_refused_without_bill(self) -> None:
         async def scenario(gate: Gate) -> None:
             self.backend.unreachable = True
             refused = await gate.dispatch(_dispatch(), b"")
@@ -308,7 +313,7 @@
 
 
 class StreamTest(unittest.TestCase):
-    def test_the_end_is_split_off_wherever_the_parts_are_cut(self) -> None:
+    def test_end_is_split_off_for_any_chunk_boundaries(self) -> None:
         end = agent_pb2.AnswerEnd(request_id="r", completion_tokens=3)
         body = b"data: one\n\ndata: two: heronladder\n\n"
         stream = body + end_line(end)
@@ -316,31 +321,31 @@
             for second in (first, min(first + 3, len(stream) - 1)):
                 splitter = EndSplitter()
                 parts = [stream[:first], stream[first:second], stream[second:]]
-                passed = b"".join(splitter.feed(part) for part in parts if part)
-                self.assertEqual(passed, body)
+                forwarded = b"".join(splitter.feed(part) for part in parts if part)
+                self.assertEqual(forwarded, body)
                 self.assertEqual(splitter.end(agent_pb2.AnswerEnd), end)
 
-    def test_a_stream_that_broke_off_has_no_end(self) -> None:
+    def test_truncated_stream_has_no_end(self) -> None:
         splitter = EndSplitter()
         splitter.feed(b"data: one\n\n" + end_line(agent_pb2.AnswerEnd(request_id="r"))[:-3])
         self.assertIsNone(splitter.end(agent_pb2.AnswerEnd))
 
-    def test_messages_survive_headers(self) -> None:
+    def test_messages_are_unchanged_by_header_encoding(self) -> None:
         dispatch = _dispatch()
         self.assertEqual(decode(agent_pb2.Dispatch, encode(dispatch)), dispatch)
 
-    def test_usage_is_hidden_from_callers_that_did_not_ask(self) -> None:
+    def test_usage_is_forwarded_only_on_request(self) -> None:
         stream = (
             b'data: {"choices": [{"delta": {"content": "a"}}]}\n\n'
             b'data: {"choices": [], "usage": {"prompt_tokens": 4, "completion_tokens": 9}}\n\n'
             b"data: [DONE]\n\n"
         )
         for size in (1, 7, len(stream)):
-            for asked in (False, True):
-                meter = StreamMeter(pass_usage=asked)
+            for requested in (False, True):
+                meter = StreamMeter(pass_usage=requested)
                 parts = [stream[at : at + size] for at in range(0, len(stream), size)]
-                passed = b"".join(meter.feed(part) for part in parts)
-                self.assertEqual(b"usage" in passed, asked)
-                self.assertNotIn(b"[DONE]", passed)
+                forwarded = b"".join(meter.feed(part) for part in parts)
+                self.assertEqual(b"usage" in forwarded, requested)
+                self.assertNotIn(b"[DONE]", forwarded)
                 self.assertEqual((meter.prompt_tokens, meter.completion_tokens), (4, 9))
                 self.assertTrue(meter.done)
