--- a/packages/heronladder-agent/src/heronladder_agent/gate.py
+++ b/packages/heronladder-agent/src/heronladder_agent/gate.py
@@ -188,6 +188,7 @@
         return self.runs.accept(dispatch)
 
     def _is_backend_draining(self) -> bool:
+        """Return whether the backend is draining or not configured."""
         resource = self._link.configuration.backends().get(self._options.backend)
         return resource is None or resource.backend.draining
 
--- a/packages/heronladder-agent/src/heronladder_agent/metering.py
+++ b/packages/heronladder-agent/src/heronladder_agent/metering.py
@@ -54,8 +54,8 @@
             self._partial_event = data
             return b""
         self._partial_event = data[end + 2 :]
-        passed = [event for event in data[:end].split(b"\n\n") if self._count_event(event)]
-        return b"".join(event + b"\n\n" for event in passed)
+        forwarded = [event for event in data[:end].split(b"\n\n") if self._count_event(event)]
+        return b"".join(event + b"\n\n" for event in forwarded)
 
     def _count_event(self, event: bytes) -> bool:
         """Count one event and return whether to forward it to the caller."""
--- a/packages/heronladder-agent/src/heronladder_agent/pending_bills.py
+++ b/packages/heronladder-agent/src/heronladder_agent/pending_bills.py
@@ -78,22 +78,20 @@
 
     def has_bills_of(self, router: RouterKey) -> bool:
         """Return whether any bill of this router incarnation is still held."""
-        return any(record.router == router for record in self._bills.values())
+        return any(bill.router == router for bill in self._bills.values())
 
     def make_due(self, router: RouterKey) -> None:
-        """Send all bills of a router that is gone without waiting for the grace time."""
-        for record in self._bills.values():
-            if record.router == router:
-                record.due_s = 0.0
+        """End the grace time of all bills of a router that is gone, so that they are sent now."""
+        for bill in self._bills.values():
+            if bill.router == router:
+                bill.due_s = 0.0
         self._due_changed.give()
 
     async def run(self, link: ControlLink) -> None:
         """Send bills whose grace time has expired; runs until cancelled."""
         while True:
             now = self._environment.monotonic()
-            due = [record for record in self._bills.values() if record.due_s <= now][
-                :_SEND_BATCH_SIZE
-            ]
+            due = [bill for bill in self._bills.values() if bill.due_s <= now][:_SEND_BATCH_SIZE]
             if not due:
                 await self._due_changed.wait(_CHECK_INTERVAL_S)
                 continue
@@ -104,9 +102,9 @@
 
     async def _send(self, link: ControlLink, due: list[PendingBill]) -> None:
         command = control_pb2.Command()
-        command.settle.settlements.extend(record.settlement for record in due)
+        command.settle.settlements.extend(bill.settlement for bill in due)
         await link.call(command, _SEND_TIMEOUT_S)
-        for record in due:
-            key = (record.settlement.lease_id, record.settlement.sequence)
+        for bill in due:
+            key = (bill.settlement.lease_id, bill.settlement.sequence)
             self._bills.pop(key, None)
         self.changed.give()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,7 +1,7 @@
 """Tests of an agent's gate.
 
-They cover at-most-once execution, refusals, kept responses, back-pressure, draining, the framing of
-streams between agent and router, and token metering.
+They cover at-most-once execution, refusals, kept responses, back-pressure and draining, and also
+the framing of streams between agent and router and token metering.
 """
 
 import asyncio
@@ -245,7 +245,7 @@
             assert answer.chunks is not None
             await anext(answer.chunks)
             await asyncio.sleep(60)
-            # The limit of 262,144 unread bytes is reached after 27 events; a few more are in flight.
+            # The limit of 262,144 unread bytes corresponds to 27 events; some more are in flight.
             self.assertLess(self.backend.sent, 40)
             await _read(answer)
             self.assertEqual(self.backend.sent, 200)
