--- a/tests/test_engine_control.py
+++ b/tests/test_engine_control.py
@@ -99,7 +99,7 @@
         self.assertEqual(await self.control.export_blocks(), [11, 22, 33, 44])
         numbers = [event.number for event in await self.control.cache_events(0)]
         self.assertEqual(numbers, [1, 2, 4])  # The engine drops every third event.
-        self.assertEqual([event.block for event in await self.control.cache_events(2)], [44])
+        self.assertEqual([e.block for e in await self.control.cache_events(2)], [44])
 
 
 class PlatformTest(unittest.IsolatedAsyncioTestCase):
