--- a/packages/heronladder-agent/src/heronladder_agent/metering.py
+++ b/packages/heronladder-agent/src/heronladder_agent/metering.py
@@ -1,7 +1,7 @@
-"""Counting tokens in a model engine's event stream as it passes.
+"""Token metering of responses from model engines.
 
-Engines send one event a generated token (or say the running total in
-``usage``), then one event with the final usage, then ``[DONE]``.
+A streaming engine sends one event per generated token, or reports the running total in ``usage``.
+One event with the final usage and the marker ``[DONE]`` follow.
 """
 
 import json
@@ -15,15 +15,23 @@
 
 
 class StreamMeter:
-    """Meters one event stream.
+    """Counts the tokens of one event stream while it is forwarded.
 
     Args:
-        pass_usage: Whether the caller asked for the event with the usage.
+        pass_usage: Whether the caller requested the event with the final usage.
+
+    Attributes:
+        events: Number of events without usage so far.
+        done: Whether the engine has sent ``[DONE]``.
+        prompt_tokens: Prompt tokens according to the last usage.
+        completion_tokens: Completion tokens, by usage or by the number of events.
+        cached_tokens: Prompt tokens that the engine took from its prefix cache.
+        usage_seen: Whether the engine has reported any usage.
     """
 
     def __init__(self, pass_usage: bool) -> None:
         self._pass_usage = pass_usage
-        self._open_line = b""
+        self._partial_event = b""
         self.events = 0
         self.done = False
         self.prompt_tokens = 0
@@ -32,21 +40,28 @@
         self.usage_seen = False
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take in a part of the stream; return what the caller is to receive."""
-        data = self._open_line + chunk if self._open_line else chunk
+        """Meter the next part of the stream.
+
+        Args:
+            chunk: Next bytes from the engine; events may be split anywhere.
+
+        Returns:
+            The complete events to forward to the caller; empty if there are none.
+        """
+        data = self._partial_event + chunk if self._partial_event else chunk
         end = data.rfind(b"\n\n")
         if end < 0:
-            self._open_line = data
+            self._partial_event = data
             return b""
-        self._open_line = data[end + 2 :]
-        passed = [event for event in data[:end].split(b"\n\n") if self._take(event)]
-        return b"".join(event + b"\n\n" for event in passed)
+        self._partial_event = data[end + 2 :]
+        forwarded = [event for event in data[:end].split(b"\n\n") if self._count_event(event)]
+        return b"".join(event + b"\n\n" for event in forwarded)
 
-    def _take(self, event: bytes) -> bool:
-        """Count one event; return whether the caller receives it."""
+    def _count_event(self, event: bytes) -> bool:
+        """Count one event and return whether to forward it to the caller."""
         if event.startswith(_DONE):
             self.done = True
-            return False  # the router ends the stream once the bill is durable
+            return False  # The router sends [DONE] once the bill is durable.
         if not event.startswith(_DATA):
             return True
         if _USAGE in event and self._read_usage(event):
@@ -63,18 +78,24 @@
         if not isinstance(usage, dict):
             return False
         self.usage_seen = True
-        self._take_usage(usage)
+        self._apply_usage(usage)
         return True
 
-    def _take_usage(self, usage: dict[str, object]) -> None:
-        self.prompt_tokens = _count(usage.get("prompt_tokens"))
-        self.completion_tokens = _count(usage.get("completion_tokens"))
+    def _apply_usage(self, usage: dict[str, object]) -> None:
+        self.prompt_tokens = _token_count(usage.get("prompt_tokens"))
+        self.completion_tokens = _token_count(usage.get("completion_tokens"))
         details = usage.get("prompt_tokens_details")
         if isinstance(details, dict):
-            self.cached_tokens = _count(details.get("cached_tokens"))
+            self.cached_tokens = _token_count(details.get("cached_tokens"))
 
     def end(self, dispatch: agent_pb2.Dispatch) -> agent_pb2.AnswerEnd:
-        """Return how the stream ended."""
+        """Return the result of the stream.
+
+        Without any usage from the engine, the reserved prompt tokens count as used.
+
+        Args:
+            dispatch: The attempt that the stream belongs to.
+        """
         end = agent_pb2.AnswerEnd(
             request_id=dispatch.request_id,
             outcome=ledger_pb2.OUTCOME_RAN,
@@ -83,21 +104,27 @@
             cached_tokens=self.cached_tokens,
         )
         if not self.done:
-            end.error = "the engine broke off its stream"
+            end.error = "the engine ended its stream before [DONE]"
         return end
 
 
-def _count(value: object) -> int:
+def _token_count(value: object) -> int:
     return value if isinstance(value, int) and value >= 0 else 0
 
 
-def end_of_whole_answer(
+def end_of_complete_response(
     dispatch: agent_pb2.Dispatch, status: int, body: bytes
 ) -> agent_pb2.AnswerEnd:
-    """Return the end of an answer that came in one piece.
+    """Return the result of a response that is not an event stream.
+
+    The response of a model reports its usage; without a readable usage, the whole reservation is
+    billed. A request to a plain service costs what was reserved for it. An error status of a
+    model costs nothing.
 
-    A model's answer says its usage; a plain service's call costs what was
-    reserved for it; an error of the back end costs nothing.
+    Args:
+        dispatch: The attempt that the response belongs to.
+        status: HTTP status of the backend.
+        body: Complete body of the response.
     """
     end = agent_pb2.AnswerEnd(request_id=dispatch.request_id, outcome=ledger_pb2.OUTCOME_RAN)
     if dispatch.reserved_completion == 0:
@@ -114,7 +141,7 @@
         end.prompt_tokens = dispatch.reserved_prompt
         end.completion_tokens = dispatch.reserved_completion
         return end
-    meter._take_usage(usage)
+    meter._apply_usage(usage)
     end.prompt_tokens = meter.prompt_tokens
     end.completion_tokens = meter.completion_tokens
     end.cached_tokens = meter.cached_tokens
