--- a/packages/heronladder-daemon/src/heronladder_daemon/daemon.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/daemon.py
@@ -93,9 +93,9 @@
 
     def _log_early_answers(self) -> None:
         """Log what happened to callers while the program was being loaded."""
-        for failures, error in early_listeners.failed_early():
+        for failures, error in early_listeners.take_failures():
             self._log.warning("early_answers_failed", step="load", times=failures, why=error)
-        for request_id in early_listeners.refused_early():
+        for request_id in early_listeners.take_rejected_request_ids():
             self._log.info(
                 "request_refused",
                 step="load",
@@ -173,7 +173,7 @@
         self._gateway_listener = HttpListener(
             make_gateway_server(self.gateway),
             self.settings.gateway.gateway_listen,
-            last_wait_s=_GATEWAY_LAST_WAIT_S,
+            shutdown_timeout_s=_GATEWAY_LAST_WAIT_S,
         )
         await self._listen(self._gateway_listener)
         lending_listen = self.settings.gateway.lending_listen
--- a/packages/heronladder-daemon/src/heronladder_daemon/early_listeners.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/early_listeners.py
@@ -7,12 +7,12 @@
 
 import socket
 
-from heronladder_daemon.early_answers import EarlyAnswers
+from heronladder_daemon.early_rejecter import EarlyRejecter
 
 BACKLOG = 1024  # connections that may wait; the kernel caps it
 
 _opened: dict[str, socket.socket] = {}
-_answering: list[EarlyAnswers] = []
+_answering: list[EarlyRejecter] = []
 
 
 def bind(host: str, port: int) -> socket.socket:
@@ -43,11 +43,11 @@
     _opened[address] = listener
 
 
-def answer_early(request_id_header: str) -> None:
+def reject_early(request_id_header: str) -> None:
     """Refuse requests on all sockets opened so far, until the first is taken."""
     if not _opened:
         return
-    answers = EarlyAnswers(list(_opened.values()), request_id_header)
+    answers = EarlyRejecter(list(_opened.values()), request_id_header)
     answers.start()
     _answering.append(answers)
 
@@ -60,7 +60,7 @@
     return _opened.pop(address, None)
 
 
-def refused_early() -> list[str]:
+def take_rejected_request_ids() -> list[str]:
     """Return the identifiers of requests refused since the last call, for the log."""
     refused = []
     for answers in _answering:
@@ -69,7 +69,7 @@
     return refused
 
 
-def failed_early() -> list[tuple[int, str]]:
+def take_failures() -> list[tuple[int, str]]:
     """Return how often answering failed since the last call, and the last error of each."""
     failed = []
     for answers in _answering:
--- a/packages/heronladder-daemon/src/heronladder_daemon/early_answers.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/early_rejecter.py
@@ -59,7 +59,7 @@
     return ""
 
 
-def whole_request(data: bytes) -> bool:
+def is_complete_request(data: bytes) -> bool:
     """Whether a request's head and body are there in full."""
     end = data.find(_HEAD_END)
     if end < 0:
@@ -72,7 +72,7 @@
     return len(data) >= end + len(_HEAD_END) + body_bytes
 
 
-class EarlyAnswers:
+class EarlyRejecter:
     """Answers on listening sockets between imports, until it is stopped.
 
     It is a finder of the import system that finds nothing: other finders go on.
@@ -170,7 +170,7 @@
         arriving.data += data
         if not data or len(arriving.data) > _MOST_BYTES:
             self._close(arriving)
-        elif whole_request(bytes(arriving.data)):
+        elif is_complete_request(bytes(arriving.data)):
             self._refuse(arriving)
             self._close(arriving)
 
--- a/packages/heronladder-daemon/src/heronladder_daemon/http_listener.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/http_listener.py
@@ -25,13 +25,13 @@
         address: str,
         *,
         cancel_handlers: bool = False,
-        last_wait_s: float = 1.0,
+        shutdown_timeout_s: float = 1.0,
     ) -> None:
         self._application = application
         self._host, _, port = address.rpartition(":")
         self._port = int(port)
         self._cancel_handlers = cancel_handlers
-        self._last_wait_s = last_wait_s
+        self._last_wait_s = shutdown_timeout_s
         self._runner: Any = None
         self._site: web.SockSite | None = None
 
--- a/tests/test_early_listeners.py
+++ b/tests/test_early_listeners.py
@@ -17,7 +17,7 @@
 
 from aiohttp import web
 from heronladder_daemon import early_listeners
-from heronladder_daemon.early_answers import EarlyAnswers
+from heronladder_daemon.early_rejecter import EarlyRejecter
 from heronladder_daemon.http_listener import HttpListener
 from heronladder_runtime.errors import HeronladderError
 from heronladder_tools.demo_fleet import free_addresses
@@ -126,7 +126,7 @@
         """198 of 405 requests were late after a loss of all: they waited for the load."""
         (address,) = free_addresses(1)
         early_listeners.open_early(address)
-        early_listeners.answer_early("Request-Id")
+        early_listeners.reject_early("Request-Id")
         got = await _exchange_at_import(
             address,
             b"POST /a HTTP/1.1\r\nHost: h\r\nrequest-id: r1\r\nContent-Length: 3\r\n\r\nabc",
@@ -151,18 +151,18 @@
         self.addAsyncCleanup(listener.stop)
         self.assertEqual(await _rest(reader), b"")
         writer.close()
-        self.assertEqual(early_listeners.refused_early(), ["r1"])
+        self.assertEqual(early_listeners.take_rejected_request_ids(), ["r1"])
         served = await _exchange(address, b"GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
         self.assertTrue(served.endswith(b"hello"))
 
-    def _start_answers(self) -> tuple[str, EarlyAnswers]:
+    def _start_answers(self) -> tuple[str, EarlyRejecter]:
         """Answer on a socket of its own, apart from the daemon's; stopped with the test."""
         (address,) = free_addresses(1)
         early_listeners.open_early(address)
         listener = early_listeners.take(address)
         assert listener is not None
         self.addCleanup(listener.close)
-        answers = EarlyAnswers([listener], "Request-Id")
+        answers = EarlyRejecter([listener], "Request-Id")
         answers.start()
         self.addCleanup(answers.stop)
         return address, answers
@@ -172,7 +172,7 @@
         finders = list(sys.meta_path)
         (address,) = free_addresses(1)
         early_listeners.open_early(address)
-        early_listeners.answer_early("Request-Id")
+        early_listeners.reject_early("Request-Id")
         self.assertEqual(len(sys.meta_path), len(finders) + 1)
         reader, writer = await _connect(address)
         writer.write(_WHOLE_REQUEST)  # nothing is loaded between this and the hand-over
@@ -182,8 +182,8 @@
         self.assertEqual(sys.meta_path, finders)
         self.assertTrue((await _rest(reader)).startswith(b"HTTP/1.1 503 "))
         writer.close()
-        self.assertEqual(early_listeners.refused_early(), ["r2"])
-        self.assertEqual(early_listeners.failed_early(), [])
+        self.assertEqual(early_listeners.take_rejected_request_ids(), ["r2"])
+        self.assertEqual(early_listeners.take_failures(), [])
         late_reader, late_writer = await _connect(address)
         late_writer.write(_WHOLE_REQUEST)
         await _import_a_module()
@@ -204,7 +204,7 @@
     async def test_no_thread_answers_and_nothing_is_installed_without_a_socket(self) -> None:
         """The loading thread must be the only one while libraries are loaded."""
         finders = list(sys.meta_path)
-        early_listeners.answer_early("Request-Id")
+        early_listeners.reject_early("Request-Id")
         self.assertEqual(sys.meta_path, finders)
         threads = threading.active_count()
         address, _ = self._start_answers()
@@ -216,8 +216,8 @@
     async def test_an_error_in_polling_breaks_no_import_and_is_told_at_the_hand_over(self) -> None:
         (address,) = free_addresses(1)
         early_listeners.open_early(address)
-        early_listeners.answer_early("Request-Id")
-        answers = next(finder for finder in sys.meta_path if isinstance(finder, EarlyAnswers))
+        early_listeners.reject_early("Request-Id")
+        answers = next(finder for finder in sys.meta_path if isinstance(finder, EarlyRejecter))
         with mock.patch.object(answers._selector, "select", side_effect=OSError("no")):
             await _import_a_module()
         self.assertIn(_SMALL_MODULE, sys.modules)
@@ -228,11 +228,11 @@
         listener = HttpListener(application, address)
         await listener.start()
         self.addAsyncCleanup(listener.stop)
-        ((failures, error),) = early_listeners.failed_early()
+        ((failures, error),) = early_listeners.take_failures()
         self.assertGreaterEqual(failures, 1)
         self.assertEqual(error, "OSError('no')")
-        self.assertEqual(early_listeners.failed_early(), [])
-        self.assertEqual(early_listeners.refused_early(), ["r2"])
+        self.assertEqual(early_listeners.take_failures(), [])
+        self.assertEqual(early_listeners.take_rejected_request_ids(), ["r2"])
 
     async def test_a_request_that_cannot_be_read_is_closed_and_holds_up_no_other(self) -> None:
         address, answers = self._start_answers()
