--- a/packages/heronladder-daemon/src/heronladder_daemon/admin.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/admin.py
@@ -1,4 +1,4 @@
-"""The administrator's listener: health, readiness and metrics."""
+"""HTTP endpoints for administrators: health, readiness and metrics."""
 
 from collections.abc import Callable
 
@@ -6,15 +6,15 @@
 from heronladder_runtime.invariants import BOOK
 from heronladder_runtime.metrics import Metrics
 
-_PROMETHEUS_TYPE = "text/plain"
+_PROMETHEUS_CONTENT_TYPE = "text/plain"
 
 
 class AdminServer:
-    """Serves /healthz, /readyz and /metrics.
+    """Serve /healthz, /readyz and /metrics.
 
     Args:
-        metrics: Metrics of each role of the process.
-        ready: Whether the process can do its work.
+        metrics: Metrics registries to export: one for the process and one for each role.
+        ready: Returns whether all roles of the process are ready.
     """
 
     def __init__(self, metrics: list[Metrics], ready: Callable[[], bool]) -> None:
@@ -22,11 +22,11 @@
         self._ready = ready
 
     def application(self) -> web.Application:
-        """Return the application."""
+        """Return the aiohttp application with these endpoints."""
         application = web.Application()
         application.router.add_get("/healthz", self._health)
         application.router.add_get("/readyz", self._readiness)
-        application.router.add_get("/metrics", self._page)
+        application.router.add_get("/metrics", self._export_metrics)
         return application
 
     async def _health(self, request: web.Request) -> web.Response:
@@ -38,8 +38,8 @@
             status=200 if ready else 503, text="ready\n" if ready else "not ready\n"
         )
 
-    async def _page(self, request: web.Request) -> web.Response:
+    async def _export_metrics(self, request: web.Request) -> web.Response:
         pages = [metrics.page() for metrics in self._metrics]
         violations = sum(BOOK.violations.values())
         pages.append(f"heronladder_invariant_violations {violations}\n".encode())
-        return web.Response(body=b"".join(pages), content_type=_PROMETHEUS_TYPE)
+        return web.Response(body=b"".join(pages), content_type=_PROMETHEUS_CONTENT_TYPE)
--- a/packages/heronladder-daemon/src/heronladder_daemon/compose_agent.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/compose_agent.py
@@ -1,4 +1,4 @@
-"""Makes an agent from settings."""
+"""Builds an agent from the daemon's settings."""
 
 from heronladder_agent.engine_control import HttpEngineControl
 from heronladder_agent.http_adapter import HttpAdapter
@@ -16,9 +16,9 @@
     """Return an agent that is not started yet.
 
     Args:
-        settings: All settings.
-        stubs: Makes stubs to control.
-        environment: Time and randomness.
+        settings: Settings of the daemon.
+        stubs: Creates gRPC stubs for the control members.
+        environment: Source of time and randomness.
     """
     common, agent = settings.common, settings.agent
     options = AgentOptions(
--- a/packages/heronladder-daemon/src/heronladder_daemon/compose_control.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/compose_control.py
@@ -1,4 +1,4 @@
-"""Makes a control member from settings."""
+"""Builds a control member from the daemon's settings."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -31,10 +31,10 @@
     """Return a control member that is not started yet.
 
     Args:
-        settings: All settings.
-        stubs: Makes stubs to other members.
-        environment: Time and randomness.
-        failed: Called when the member cannot go on.
+        settings: Settings of the daemon.
+        stubs: Creates gRPC stubs for the other members.
+        environment: Source of time and randomness.
+        failed: Called with the error when the member cannot continue.
     """
     common, control = settings.common, settings.control
     options = ControlOptions(
@@ -66,7 +66,7 @@
 
 
 def _own_entry(settings: DaemonSettings) -> consensus_pb2.Member | None:
-    """Return this member's entry, if it may ask to be taken into a group."""
+    """Return this member's entry if it may request to join a group, else None."""
     common, control = settings.common, settings.control
     if not control.join_contacts:
         return None
@@ -79,14 +79,14 @@
 
 
 def make_control_server(member: ControlMember, address: str) -> grpc.aio.Server:
-    """Return a gRPC server of a member's services, not started yet.
+    """Return a gRPC server for the services of a control member, not started yet.
 
     Args:
-        member: The member.
+        member: The control member.
         address: IP:port to listen on.
 
     Raises:
-        HeronladderError: If the address cannot be listened on.
+        HeronladderError: If the server cannot listen on the address.
     """
     server = make_server()
     add_ConsensusServicer_to_server(member.consensus_service, server)
--- a/packages/heronladder-daemon/src/heronladder_daemon/compose_gateway.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/compose_gateway.py
@@ -1,4 +1,4 @@
-"""Makes a gateway from settings."""
+"""Builds a gateway from the daemon's settings."""
 
 import grpc.aio
 from aiohttp import web
@@ -11,8 +11,8 @@
 from heronladder_schema.v1.lending_pb2_grpc import add_LendingServicer_to_server
 
 _PERCENT = 100
-_CALLER_IDLE_S = 75.0
-_HEADER_BYTES = 65_536
+_CALLER_KEEPALIVE_S = 75.0
+_MAX_HEADER_LINE_BYTES = 65_536
 
 
 def compose_gateway(
@@ -21,10 +21,10 @@
     """Return a gateway that is not started yet.
 
     Args:
-        settings: All settings.
-        stubs: Makes stubs to control.
-        environment: Time and randomness.
-        names: Header names of its callers and replicas.
+        settings: Settings of the daemon.
+        stubs: Creates gRPC stubs for the control members.
+        environment: Source of time and randomness.
+        names: HTTP header names that its callers and replicas use.
     """
     common, gateway = settings.common, settings.gateway
     options = GatewayOptions(
@@ -57,14 +57,14 @@
 
 
 def make_lending_server(gateway: GatewayRole, address: str) -> grpc.aio.Server:
-    """Return a gRPC server at which others borrow tokens, not started yet.
+    """Return a gRPC server through which other gateways borrow tokens, not started yet.
 
     Args:
-        gateway: The gateway.
+        gateway: The gateway that lends.
         address: IP:port to listen on.
 
     Raises:
-        HeronladderError: If the address cannot be listened on.
+        HeronladderError: If the server cannot listen on the address.
     """
     server = make_server()
     add_LendingServicer_to_server(gateway.tokens.loan_book, server)
@@ -74,13 +74,13 @@
 
 
 def make_gateway_server(gateway: GatewayRole) -> web.Server:
-    """Return the HTTP server that callers of a gateway meet."""
+    """Return the HTTP server for the callers of a gateway."""
     return web.Server(
         gateway.server.handle,
         handler_cancellation=True,
         access_log=None,
-        keepalive_timeout=_CALLER_IDLE_S,
-        max_line_size=_HEADER_BYTES,
-        max_field_size=_HEADER_BYTES,
+        keepalive_timeout=_CALLER_KEEPALIVE_S,
+        max_line_size=_MAX_HEADER_LINE_BYTES,
+        max_field_size=_MAX_HEADER_LINE_BYTES,
         auto_decompress=False,
     )
--- a/packages/heronladder-daemon/src/heronladder_daemon/compose_router.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/compose_router.py
@@ -1,4 +1,4 @@
-"""Makes a router from settings."""
+"""Builds a router from the daemon's settings."""
 
 from heronladder_router.agent_channel import HttpAgentChannel
 from heronladder_router.role import RouterOptions, RouterRole
@@ -11,12 +11,12 @@
 def compose_router(
     settings: DaemonSettings, stubs: StubFactory, environment: Environment
 ) -> tuple[RouterRole, RouterServer]:
-    """Return a router that is not started yet, and its callers' server.
+    """Return a router that is not started yet, and the HTTP server for its callers.
 
     Args:
-        settings: All settings.
-        stubs: Makes stubs to control.
-        environment: Time and randomness.
+        settings: Settings of the daemon.
+        stubs: Creates gRPC stubs for the control members.
+        environment: Source of time and randomness.
     """
     common, router = settings.common, settings.router
     options = RouterOptions(
--- a/packages/heronladder-daemon/src/heronladder_daemon/daemon.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon process: its roles, their listeners, and its planned stop."""
+"""A daemon process: starts its roles and their listeners, and shuts them down gracefully."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
     from heronladder_router.server import RouterServer
 
 _GRPC_STOP_GRACE_S = 0.5
-_GATEWAY_LAST_WORDS_S = 0.8  # of the grace, kept for giving tokens back
-_GATEWAY_LAST_WAIT_S = 0.1
-_BALANCER_NOTICE_S = 2.5
+_GATEWAY_TOKEN_RETURN_S = 0.8  # part of the grace period reserved for returning tokens
+_GATEWAY_SHUTDOWN_TIMEOUT_S = 0.1
+_BALANCER_DETECTION_S = 2.5
 
 
 class Daemon:
-    """A process of heronladder, with the roles its settings name.
+    """A heronladder process that runs the roles named in its settings.
 
     Args:
-        settings: All settings.
-        environment: Time and randomness.
-        gateway_names: Header names of a gateway's callers and replicas.
+        settings: Settings of the daemon.
+        environment: Source of time and randomness.
+        gateway_names: HTTP header names that callers and replicas of a gateway use.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self.settings = settings
         self._environment = environment or Environment()
         self._log = EventLog("daemon", settings.common.name)
-        self._metrics = Metrics()  # of the process; each role has its own
+        self._metrics = Metrics()  # of the process itself; each role has its own
         self._stubs = GrpcStubs()
         self._grpc_server: grpc.aio.Server | None = None
         self._lending_server: grpc.aio.Server | None = None
@@ -69,10 +69,10 @@
     # ---- start ------------------------------------------------------------
 
     async def start(self) -> None:
-        """Start all roles and listeners.
+        """Start all roles and their listeners.
 
         Raises:
-            HeronladderError: If one cannot be started; names the step.
+            HeronladderError: If a role or listener cannot start; names the failed step.
         """
         self.failed = asyncio.get_running_loop().create_future()
         self._environment.lateness.start(self._log, self._metrics)
@@ -85,14 +85,14 @@
             await self._start_router()
         if "gateway" in roles:
             await self._start_gateway()
-        every = (self.control, self.agent, self.router, self.gateway)
-        metrics = [self._metrics, *(role.metrics for role in every if role is not None)]
+        all_roles = (self.control, self.agent, self.router, self.gateway)
+        metrics = [self._metrics, *(role.metrics for role in all_roles if role is not None)]
         await self._start_admin(metrics)
         self._log.info("daemon_started", step="start", roles=self.settings.common.roles)
-        self._log_early_answers()
+        self._log_early_rejections()
 
-    def _log_early_answers(self) -> None:
-        """Log what happened to callers while the program was being loaded."""
+    def _log_early_rejections(self) -> None:
+        """Log the requests rejected, and the errors, while the program was being loaded."""
         for failures, error in early_listeners.take_failures():
             self._log.warning("early_answers_failed", step="load", times=failures, why=error)
         for request_id in early_listeners.take_rejected_request_ids():
@@ -107,15 +107,15 @@
             )
 
     async def listen(self, application: web.Application, address: str) -> None:
-        """Serve one more application for as long as the daemon runs."""
+        """Serve an additional application at IP:port until the daemon stops."""
         await self._listen(HttpListener(application, address))
 
     async def _listen(self, listener: HttpListener) -> None:
         await listener.start()
         self._listeners.append(listener)
 
-    # Each role is imported where it is started: a process pays, in memory and in
-    # time to start, for its own roles only.
+    # Each role is imported in the method that starts it, so that a process does not
+    # spend memory and start time on roles that it does not run.
 
     async def _start_control(self) -> None:
         from heronladder_control.api import ResourceApi, parse_operators
@@ -173,7 +173,7 @@
         self._gateway_listener = HttpListener(
             make_gateway_server(self.gateway),
             self.settings.gateway.gateway_listen,
-            shutdown_timeout_s=_GATEWAY_LAST_WAIT_S,
+            shutdown_timeout_s=_GATEWAY_SHUTDOWN_TIMEOUT_S,
         )
         await self._listen(self._gateway_listener)
         lending_listen = self.settings.gateway.lending_listen
@@ -195,7 +195,7 @@
         self.admin_address = listener.address
 
     def ready(self) -> bool:
-        """Whether all roles can do their work."""
+        """Return whether all roles of the process are ready."""
         control_ready = self.control is None or bool(self.control.node.leader)
         agent_ready = self.agent is None or self.agent.link.fresh
         router_ready = self.router is None or self.router.ready()
@@ -203,7 +203,10 @@
         return control_ready and agent_ready and router_ready and gateway_ready
 
     def reload(self, settings: DaemonSettings) -> None:
-        """Take over what may change while the daemon runs: where control is found."""
+        """Apply the settings that may change at run time and reload the lending key.
+
+        These settings are the addresses of control members and the join contacts.
+        """
         self.settings = settings
         if self.gateway is not None:
             self.gateway.link.add_addresses(settings.common.control_addresses.split(","))
@@ -214,10 +217,11 @@
     # ---- stop -------------------------------------------------------------
 
     async def stop(self) -> None:
-        """Make a planned stop: nothing in flight is cut."""
+        """Shut down gracefully: requests in flight may finish within the grace period."""
         grace_s = seconds(self.settings.router.stop_grace_ms)
         if self.router_server is not None:
-            # The balancer goes on sending until it has noticed; those are served.
+            # The load balancer keeps sending requests until it detects the shutdown;
+            # the router still serves them.
             self.router_server.leaving = True
             await asyncio.sleep(seconds(self.settings.router.balancer_lag_ms))
             self.router_server.draining = True
@@ -226,8 +230,8 @@
         if self.agent is not None:
             await self.agent.drain(grace_s)
         if self.gateway is not None:
-            grace_s = seconds(self.settings.gateway.gateway_grace_ms) - _GATEWAY_LAST_WORDS_S
-            await self.gateway.drain(grace_s, _BALANCER_NOTICE_S, self._stop_accepting)
+            grace_s = seconds(self.settings.gateway.gateway_grace_ms) - _GATEWAY_TOKEN_RETURN_S
+            await self.gateway.drain(grace_s, _BALANCER_DETECTION_S, self._stop_accepting)
             if self._gateway_listener is not None:
                 await self._gateway_listener.stop()
         for role in (self.router, self.agent, self.gateway):
@@ -240,7 +244,7 @@
             await self._gateway_listener.stop_accepting()
 
     async def abort(self) -> None:
-        """End at once, as a crash would, but within this process."""
+        """Stop immediately without draining, as a crash would, but keep the process alive."""
         for role in (self.router, self.agent, self.gateway):
             if role is not None:
                 await role.abort()
--- a/packages/heronladder-daemon/src/heronladder_daemon/early_listeners.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/early_listeners.py
@@ -1,25 +1,25 @@
 """Listening sockets that are opened before the rest of the program is loaded.
 
-Loading the program takes a thin machine about a second. Callers can connect meanwhile:
-their requests are refused with a time to come back (``early_answers``), and the daemon
-takes the sockets over once it runs. Imports nothing that takes time to load.
+Loading the program takes about a second on a machine with little CPU. Callers can already
+connect: their requests are rejected with a retry-after (``early_rejecter``), and the daemon
+takes over the sockets once it runs. This module imports nothing that takes long to load.
 """
 
 import socket
 
 from heronladder_daemon.early_rejecter import EarlyRejecter
 
-BACKLOG = 1024  # connections that may wait; the kernel caps it
+BACKLOG = 1024  # connections that may wait to be accepted; the kernel may lower it
 
-_opened: dict[str, socket.socket] = {}
-_answering: list[EarlyRejecter] = []
+_listeners: dict[str, socket.socket] = {}
+_rejecters: list[EarlyRejecter] = []
 
 
 def bind(host: str, port: int) -> socket.socket:
     """Return a TCP socket bound to an address.
 
     Raises:
-        OSError: If the address cannot be had.
+        OSError: If the socket cannot be bound to the address.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -32,48 +32,48 @@
 
 
 def open_early(address: str) -> None:
-    """Let callers connect to IP:port from now on; ``take`` hands the socket over.
+    """Listen on IP:port for callers until ``take`` hands over the socket.
 
     Raises:
-        OSError: If the address cannot be had.
+        OSError: If the socket cannot be bound to the address.
     """
     host, _, port = address.rpartition(":")
     listener = bind(host, int(port))
     listener.listen(BACKLOG)
-    _opened[address] = listener
+    _listeners[address] = listener
 
 
 def reject_early(request_id_header: str) -> None:
-    """Refuse requests on all sockets opened so far, until the first is taken."""
-    if not _opened:
+    """Reject requests on all sockets opened so far, until the first of them is taken."""
+    if not _listeners:
         return
-    answers = EarlyRejecter(list(_opened.values()), request_id_header)
-    answers.start()
-    _answering.append(answers)
+    rejecter = EarlyRejecter(list(_listeners.values()), request_id_header)
+    rejecter.start()
+    _rejecters.append(rejecter)
 
 
 def take(address: str) -> socket.socket | None:
-    """Return the socket that was opened early for an address, once; else None."""
-    if address in _opened:
-        for answers in _answering:
-            answers.stop()
-    return _opened.pop(address, None)
+    """Return and forget the socket opened early for an address; None if there is none."""
+    if address in _listeners:
+        for rejecter in _rejecters:
+            rejecter.stop()
+    return _listeners.pop(address, None)
 
 
 def take_rejected_request_ids() -> list[str]:
-    """Return the identifiers of requests refused since the last call, for the log."""
+    """Return the identifiers of requests rejected since the last call, for the log."""
     refused = []
-    for answers in _answering:
-        refused += answers.refused
-        answers.refused.clear()
+    for rejecter in _rejecters:
+        refused += rejecter.refused
+        rejecter.refused.clear()
     return refused
 
 
 def take_failures() -> list[tuple[int, str]]:
-    """Return how often answering failed since the last call, and the last error of each."""
-    failed = []
-    for answers in _answering:
-        if answers.failures:
-            failed.append((answers.failures, answers.last_failure))
-        answers.failures = 0
-    return failed
+    """Return the error count since the last call and the last error, for each rejecter."""
+    failures = []
+    for rejecter in _rejecters:
+        if rejecter.failures:
+            failures.append((rejecter.failures, rejecter.last_failure))
+        rejecter.failures = 0
+    return failures
--- a/packages/heronladder-daemon/src/heronladder_daemon/early_rejecter.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/early_rejecter.py
@@ -1,17 +1,17 @@
-"""Refuses requests that come while the program is still being loaded.
+"""Rejects requests that arrive while the program is still being loaded.
 
-A caller that is told at once when to come back loses less than one that waits in the
-kernel's queue. Whole requests on the sockets opened early are answered with 503: nothing
-has run. The thread that loads the program answers them itself, between two imports: the
-import system asks a finder first for each module, and that is the moment to look at the
-sockets. There is no second thread on purpose: a place to run in may change libraries in
-memory as they are loaded, which need not be safe beside one.
+A caller that gets a retry-after at once loses less time than one that waits in the kernel's
+accept queue. Complete requests on the sockets opened early get a 503 response, which says that
+nothing has run. The thread that loads the program sends these responses itself, between two
+imports: the import system calls the first finder for each module, and the finder polls the
+sockets. There is deliberately no second thread: some runtime environments modify libraries in
+memory while they are loaded, which may be unsafe while another thread runs.
 
-A caller whose request is there waits at most for the longest stretch between two imports:
-19 ms of loads of 270 to 385 ms, measured on a machine with 16 processors; 110 ms of 400 to
+A caller whose request has arrived waits at most for the longest interval between two imports:
+19 ms in loads of 270 to 385 ms on a machine with 16 processors; 110 ms in loads of 400 to
 555 ms where ``SSL_CERT_FILE`` names certificates, which aiohttp parses as it is loaded.
-It ends when the daemon takes the sockets over; requests that it has not read in full then
-are closed unread. Loads nothing large.
+Polling ends when the daemon takes over the sockets; connections whose request is incomplete by
+then are closed without a response. This module imports nothing that takes long to load.
 """
 
 from __future__ import annotations
@@ -29,28 +29,28 @@
     from collections.abc import Sequence
     from types import ModuleType
 
-_POLL_EVERY_S = 0.005  # at most so often: most imports take less
-_LONGEST_POLL_S = 0.02  # of many callers, the rest wait for the next poll
-_MOST_CONNECTIONS = 1_000  # more are closed unread: a quarter of the descriptors
-_MOST_BYTES = 8 * 1024 * 1024  # of a request; larger ones are closed (twice the usual limit)
+_MIN_POLL_INTERVAL_S = 0.005  # most imports take less time than this
+_MAX_POLL_S = 0.02  # callers that are not served within it wait for the next poll
+_MAX_CONNECTIONS = 1_000  # a quarter of the file descriptors; others are closed unread
+_MAX_REQUEST_BYTES = 8 * 1024 * 1024  # twice the usual limit; larger requests are closed
 _CHUNK_BYTES = 65_536
-_MOST_NOTED = 1_000  # identifiers kept for the log
-_MOST_FAILURE_CHARACTERS = 200  # of an error's text kept for the log
+_MAX_LOGGED_IDS = 1_000  # request identifiers kept for the log
+_MAX_FAILURE_CHARACTERS = 200  # longer error texts are truncated for the log
 _HEAD_END = b"\r\n\r\n"
 _LAST_CHUNK = b"0\r\n\r\n"
 _BODY = b'{"error":{"message":"this gateway is starting","type":"not_ready","code":"not_ready"}}'
 
 
 @dataclass
-class _Arriving:
-    """A connection and what it has sent so far."""
+class _PartialRequest:
+    """A connection and the bytes received from it so far."""
 
     connection: socket.socket
     data: bytearray = field(default_factory=bytearray)
 
 
 def header(head: bytes, name: str) -> str:
-    """Return a header's value from the head of a request, or ""."""
+    """Return the value of a header in the head of a request, or "" if it is absent."""
     wanted = name.lower().encode()
     for line in head.split(b"\r\n")[1:]:
         key, _, value = line.partition(b":")
@@ -60,7 +60,7 @@
 
 
 def is_complete_request(data: bytes) -> bool:
-    """Whether a request's head and body are there in full."""
+    """Return whether the head and body of a request have arrived in full."""
     end = data.find(_HEAD_END)
     if end < 0:
         return False
@@ -73,18 +73,18 @@
 
 
 class EarlyRejecter:
-    """Answers on listening sockets between imports, until it is stopped.
+    """Rejects requests on listening sockets between imports, until it is stopped.
 
-    It is a finder of the import system that finds nothing: other finders go on.
+    It is an import-system finder that never finds a module, so that the other finders run.
 
     Args:
-        listeners: Sockets that listen already; they stay open.
-        request_id_header: Name of the header that identifies a request.
+        listeners: Sockets that already listen; ``stop`` leaves them open.
+        request_id_header: Name of the header that carries the request identifier.
     """
 
     def __init__(self, listeners: list[socket.socket], request_id_header: str) -> None:
-        self.refused: list[str] = []  # identifiers of requests, for the log
-        self.failures = 0  # errors while answering, for the log
+        self.refused: list[str] = []  # request identifiers, for the log
+        self.failures = 0  # number of errors while polling, for the log
         self.last_failure = ""
         self._listeners = listeners
         self._request_id_header = request_id_header
@@ -93,14 +93,14 @@
         self._polled_at = 0.0
 
     def start(self) -> None:
-        """Answer between imports from now on."""
+        """Start to reject requests between imports."""
         for listener in self._listeners:
             listener.setblocking(False)
             self._selector.register(listener, selectors.EVENT_READ)
         sys.meta_path.insert(0, self)
 
     def stop(self) -> None:
-        """Answer once more, then no longer; unread connections are closed."""
+        """Poll a last time, then stop and close connections with incomplete requests."""
         if self not in sys.meta_path:
             return
         sys.meta_path.remove(self)
@@ -110,17 +110,17 @@
     def find_spec(
         self, fullname: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> None:
-        """Answer callers if it is time to; called as a module is about to be loaded."""
-        if not self._polling and time.monotonic() - self._polled_at >= _POLL_EVERY_S:
+        """Poll the sockets if a poll is due; the import system calls this before each load."""
+        if not self._polling and time.monotonic() - self._polled_at >= _MIN_POLL_INTERVAL_S:
             self._poll()
 
     def _poll(self) -> None:
-        """Answer what has come. An error is noted: it must not end an import."""
-        self._polling = True  # what answers may import a module itself
+        """Reject the requests that have arrived; record errors, as none may break an import."""
+        self._polling = True  # the code below may itself import modules
         try:
-            self._serve_until(time.monotonic() + _LONGEST_POLL_S)
+            self._serve_until(time.monotonic() + _MAX_POLL_S)
         except Exception as error:
-            self._note_failure(error)
+            self._record_failure(error)
         self._polled_at = time.monotonic()
         self._polling = False
 
@@ -130,52 +130,52 @@
             if not ready:
                 return
             for key, _ in ready:
-                if isinstance(key.data, _Arriving):
+                if isinstance(key.data, _PartialRequest):
                     self._read_or_close(key.data)
                 elif isinstance(key.fileobj, socket.socket):
                     self._accept(key.fileobj)
 
-    def _note_failure(self, error: Exception) -> None:
+    def _record_failure(self, error: Exception) -> None:
         self.failures += 1
-        self.last_failure = repr(error)[:_MOST_FAILURE_CHARACTERS]
+        self.last_failure = repr(error)[:_MAX_FAILURE_CHARACTERS]
 
     def _accept(self, listener: socket.socket) -> None:
         try:
             connection, _ = listener.accept()
         except OSError:
-            return  # the caller left again
-        if len(self._selector.get_map()) >= _MOST_CONNECTIONS:
+            return  # the caller has disconnected
+        if len(self._selector.get_map()) >= _MAX_CONNECTIONS:
             connection.close()
             return
         connection.setblocking(False)
-        arriving = _Arriving(connection)
-        self._selector.register(connection, selectors.EVENT_READ, arriving)
-        self._read_or_close(arriving)  # most have sent their request by now
+        partial = _PartialRequest(connection)
+        self._selector.register(connection, selectors.EVENT_READ, partial)
+        self._read_or_close(partial)  # most callers have sent their request by now
 
-    def _read_or_close(self, arriving: _Arriving) -> None:
-        """Read from a connection; one that cannot be answered must not hold up others."""
+    def _read_or_close(self, partial: _PartialRequest) -> None:
+        """Read from a connection; on an error, close it so that it cannot block others."""
         try:
-            self._read(arriving)
+            self._read(partial)
         except Exception as error:
-            self._note_failure(error)
-            self._close(arriving)
+            self._record_failure(error)
+            self._close(partial)
 
-    def _read(self, arriving: _Arriving) -> None:
+    def _read(self, partial: _PartialRequest) -> None:
         try:
-            data = arriving.connection.recv(_CHUNK_BYTES)
+            data = partial.connection.recv(_CHUNK_BYTES)
         except BlockingIOError:
             return
         except OSError:
             data = b""
-        arriving.data += data
-        if not data or len(arriving.data) > _MOST_BYTES:
-            self._close(arriving)
-        elif is_complete_request(bytes(arriving.data)):
-            self._refuse(arriving)
-            self._close(arriving)
-
-    def _refuse(self, arriving: _Arriving) -> None:
-        head = bytes(arriving.data).partition(_HEAD_END)[0]
+        partial.data += data
+        if not data or len(partial.data) > _MAX_REQUEST_BYTES:
+            self._close(partial)
+        elif is_complete_request(bytes(partial.data)):
+            self._reject(partial)
+            self._close(partial)
+
+    def _reject(self, partial: _PartialRequest) -> None:
+        head = bytes(partial.data).partition(_HEAD_END)[0]
         request_id = header(head, self._request_id_header)
         lines = [
             "HTTP/1.1 503 Service Unavailable",
@@ -187,20 +187,20 @@
         ]
         if request_id:
             lines.append(f"{self._request_id_header}: {request_id}")
-        answer = "\r\n".join([*lines, "", ""]).encode("latin-1") + _BODY
+        response = "\r\n".join([*lines, "", ""]).encode("latin-1") + _BODY
         try:
-            arriving.connection.sendall(answer)
+            partial.connection.sendall(response)
         except OSError:
-            return  # the caller left
-        if request_id and len(self.refused) < _MOST_NOTED:
+            return  # the caller has disconnected
+        if request_id and len(self.refused) < _MAX_LOGGED_IDS:
             self.refused.append(request_id)
 
-    def _close(self, arriving: _Arriving) -> None:
-        self._selector.unregister(arriving.connection)
-        arriving.connection.close()
+    def _close(self, partial: _PartialRequest) -> None:
+        self._selector.unregister(partial.connection)
+        partial.connection.close()
 
     def _close_all(self) -> None:
         for key in list(self._selector.get_map().values()):
-            if isinstance(key.data, _Arriving):
+            if isinstance(key.data, _PartialRequest):
                 key.data.connection.close()
         self._selector.close()
--- a/packages/heronladder-daemon/src/heronladder_daemon/http_listener.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/http_listener.py
@@ -1,4 +1,4 @@
-"""An HTTP listener on an address from the settings."""
+"""An HTTP listener at an address from the settings, on a socket that may be open already."""
 
 import socket
 from typing import Any
@@ -13,10 +13,11 @@
     """Serves one application at one address.
 
     Args:
-        application: The application, or a server without routes of its own.
-        address: IP:port; port 0 takes one from the kernel.
-        cancel_handlers: Whether a handler is cancelled when its caller goes away.
-        last_wait_s: Time that handlers have to end once the listener stops.
+        application: An application, or a low-level server without routes.
+        address: IP:port; with port 0 the kernel selects a free port.
+        cancel_handlers: Whether a handler of an application is cancelled when its
+            caller disconnects.
+        last_wait_s: Time that running handlers have to finish after ``stop``, in seconds.
     """
 
     def __init__(
@@ -37,14 +38,14 @@
 
     @property
     def address(self) -> str:
-        """The address in force, with the port the kernel gave."""
+        """The actual address, with the port that the kernel selected."""
         return f"{self._host}:{self._port}"
 
     async def start(self) -> None:
-        """Listen.
+        """Start to listen.
 
         Raises:
-            HeronladderError: If the address cannot be had.
+            HeronladderError: If the socket cannot be bound to the address.
         """
         self._runner = self._make_runner()
         await self._runner.setup()
@@ -72,16 +73,16 @@
         return web.ServerRunner(self._application, shutdown_timeout=self._last_wait_s)
 
     async def stop_accepting(self) -> None:
-        """Take no new connections; requests on those that are open go on.
+        """Accept no new connections; requests on open connections continue.
 
-        Connections at rest stay open: aiohttp's ``pre_shutdown`` would end the
-        task that reads them and leave the caller's next request unanswered.
+        Idle connections stay open: aiohttp's ``pre_shutdown`` would end the task
+        that reads them, and the caller's next request would get no response.
         """
         if self._site is not None:
             await self._site.stop()
             self._site = None
 
     async def stop(self) -> None:
-        """Stop listening and end all handlers."""
+        """Stop listening and end all handlers, after the shutdown time-out at the latest."""
         if self._runner is not None:
             await self._runner.cleanup()
--- a/packages/heronladder-daemon/src/heronladder_daemon/members.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/members.py
@@ -1,11 +1,11 @@
-"""Settings that name members of control groups."""
+"""Parsers for the settings that list members of control groups."""
 
 from heronladder_runtime.errors import SettingsError
 from heronladder_schema.v1 import consensus_pb2
 
 
 def parse_members(text: str) -> list[consensus_pb2.Member]:
-    """Return the members of ``initial_members``: NAME=GRPC_ADDRESS/API_ADDRESS,...
+    """Parse the setting ``initial_members``: NAME=GRPC_ADDRESS/API_ADDRESS,...
 
     Raises:
         SettingsError: If an entry is malformed.
@@ -28,7 +28,7 @@
 
 
 def parse_regions(text: str) -> dict[str, list[str]]:
-    """Return the addresses of ``region_addresses``: REGION=IP:port|IP:port,...
+    """Parse the setting ``region_addresses``: REGION=IP:port|IP:port,...
 
     Raises:
         SettingsError: If an entry is malformed.
--- a/packages/heronladder-daemon/src/heronladder_daemon/runner.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/runner.py
@@ -1,4 +1,4 @@
-"""Runs a daemon until it is told to stop: signals, and settings read again."""
+"""Runs a daemon until a stop signal; reloads settings on SIGHUP or a change of their file."""
 
 import asyncio
 import signal
@@ -12,19 +12,19 @@
 from heronladder_daemon.daemon import Daemon
 
 EXIT_FAILED = 1
-_FILE_POLL_S = 2.0
+_FILE_POLL_INTERVAL_S = 2.0
 
 SettingsLoader = Callable[[], DaemonSettings]
 
 
 class SettingsReloader:
-    """Reads settings again when told to, or when their file has changed.
+    """Reloads settings on request or when their file has changed.
 
     Args:
-        daemon: The daemon they are for.
-        load: Reads and checks them.
-        file: The file they come from; None when there is none to watch.
-        log: Where events are reported.
+        daemon: The daemon that the settings are for.
+        load: Reads and validates the settings.
+        file: The settings file to watch; None if there is none.
+        log: Log for events.
     """
 
     def __init__(
@@ -34,9 +34,9 @@
         self._load = load
         self._file = file
         self._log = log
-        self._seen = self._stamp()
+        self._loaded_signature = self._file_signature()
 
-    def _stamp(self) -> tuple[int, int]:
+    def _file_signature(self) -> tuple[int, int]:
         if self._file is None:
             return (0, 0)
         try:
@@ -46,8 +46,8 @@
         return (status.st_mtime_ns, status.st_size)
 
     def reload(self) -> None:
-        """Take the settings as they are now; keep the old ones if the new are wrong."""
-        self._seen = self._stamp()
+        """Apply the current settings; keep the previous ones if the new ones are invalid."""
+        self._loaded_signature = self._file_signature()
         try:
             settings = self._load()
             self._daemon.reload(settings)
@@ -57,10 +57,10 @@
         self._log.info("settings_reloaded", step="reload")
 
     async def watch(self) -> None:
-        """Reload whenever the file has changed without a word."""
+        """Poll the settings file and reload it when it has changed without a SIGHUP."""
         while self._file is not None:
-            await asyncio.sleep(_FILE_POLL_S)
-            if self._stamp() != self._seen:
+            await asyncio.sleep(_FILE_POLL_INTERVAL_S)
+            if self._file_signature() != self._loaded_signature:
                 self.reload()
 
 
@@ -69,8 +69,8 @@
 
     Args:
         daemon: The daemon, not started yet.
-        load: Reads its settings again.
-        file: File the settings come from, to be watched.
+        load: Reads and validates its settings again.
+        file: Settings file to watch for changes; None if there is none.
 
     Returns:
         The exit code of the process.
@@ -87,11 +87,11 @@
     except HeronladderError as error:
         log.error("start_failed", step=error.step, peer=error.peer, why=error.message)
         return EXIT_FAILED
-    watching = asyncio.create_task(reloader.watch())
+    watch_task = asyncio.create_task(reloader.watch())
     assert daemon.failed is not None
     daemon.failed.add_done_callback(lambda _: stopping.set())
     await stopping.wait()
-    watching.cancel()
+    watch_task.cancel()
     if daemon.failed.done():
         failure = daemon.failed.result()
         log.error("daemon_failed", step=failure.step, peer=failure.peer, why=failure.message)
