--- a/packages/heronladder-daemon/src/heronladder_daemon/admin.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/admin.py
@@ -10,7 +10,7 @@
 
 
 class AdminServer:
-    """Serve /healthz, /readyz and /metrics.
+    """HTTP server for /healthz, /readyz and /metrics.
 
     Args:
         metrics: Metrics registries to export: one for the process and one for each role.
--- a/packages/heronladder-daemon/src/heronladder_daemon/early_listeners.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/early_listeners.py
@@ -62,11 +62,11 @@
 
 def take_rejected_request_ids() -> list[str]:
     """Return the identifiers of requests rejected since the last call, for the log."""
-    refused = []
+    rejected_ids = []
     for rejecter in _rejecters:
-        refused += rejecter.refused
-        rejecter.refused.clear()
-    return refused
+        rejected_ids += rejecter.rejected_ids
+        rejecter.rejected_ids.clear()
+    return rejected_ids
 
 
 def take_failures() -> list[tuple[int, str]]:
--- a/packages/heronladder-daemon/src/heronladder_daemon/early_rejecter.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/early_rejecter.py
@@ -83,7 +83,7 @@
     """
 
     def __init__(self, listeners: list[socket.socket], request_id_header: str) -> None:
-        self.refused: list[str] = []  # request identifiers, for the log
+        self.rejected_ids: list[str] = []  # request identifiers, for the log
         self.failures = 0  # number of errors while polling, for the log
         self.last_failure = ""
         self._listeners = listeners
@@ -192,8 +192,8 @@
             partial.connection.sendall(response)
         except OSError:
             return  # the caller has disconnected
-        if request_id and len(self.refused) < _MAX_LOGGED_IDS:
-            self.refused.append(request_id)
+        if request_id and len(self.rejected_ids) < _MAX_LOGGED_IDS:
+            self.rejected_ids.append(request_id)
 
     def _close(self, partial: _PartialRequest) -> None:
         self._selector.unregister(partial.connection)
--- a/packages/heronladder-daemon/src/heronladder_daemon/http_listener.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/http_listener.py
@@ -17,7 +17,7 @@
         address: IP:port; with port 0 the kernel selects a free port.
         cancel_handlers: Whether a handler of an application is cancelled when its
             caller disconnects.
-        last_wait_s: Time that running handlers have to finish after ``stop``, in seconds.
+        shutdown_timeout_s: Time that running handlers have to finish after ``stop``, in seconds.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         self._host, _, port = address.rpartition(":")
         self._port = int(port)
         self._cancel_handlers = cancel_handlers
-        self._last_wait_s = shutdown_timeout_s
+        self._shutdown_timeout_s = shutdown_timeout_s
         self._runner: Any = None
         self._site: web.SockSite | None = None
 
@@ -68,9 +68,9 @@
                 self._application,
                 handler_cancellation=self._cancel_handlers,
                 access_log=None,
-                shutdown_timeout=self._last_wait_s,
+                shutdown_timeout=self._shutdown_timeout_s,
             )
-        return web.ServerRunner(self._application, shutdown_timeout=self._last_wait_s)
+        return web.ServerRunner(self._application, shutdown_timeout=self._shutdown_timeout_s)
 
     async def stop_accepting(self) -> None:
         """Accept no new connections; requests on open connections continue.
--- a/tests/test_early_listeners.py
+++ b/tests/test_early_listeners.py
@@ -1,4 +1,4 @@
-"""Callers that connect before the daemon is loaded."""
+"""Tests of listening sockets that accept callers before the daemon is loaded."""
 
 import asyncio
 import importlib
@@ -22,14 +22,14 @@
 from heronladder_runtime.errors import HeronladderError
 from heronladder_tools.demo_fleet import free_addresses
 
-_LOADED_BEFORE_LISTENING = """
+_PRINT_EARLY_MODULES_SCRIPT = """
 import sys
 import heronladder_platform.__main__
 print(" ".join(sorted(sys.modules)))
 """
 _SMALL_MODULE = "colorsys"
-_LONGER_THAN_POLLS_ARE_APART_S = 0.02
-_WHOLE_REQUEST = b"GET /a HTTP/1.1\r\nHost: h\r\nRequest-Id: r2\r\n\r\n"
+_LONGER_THAN_POLL_INTERVAL_S = 0.02
+_COMPLETE_REQUEST = b"GET /a HTTP/1.1\r\nHost: h\r\nRequest-Id: r2\r\n\r\n"
 
 
 async def _hello(request: web.Request) -> web.Response:
@@ -41,8 +41,8 @@
     return await asyncio.open_connection(host, int(port))
 
 
-async def _rest(reader: asyncio.StreamReader) -> bytes:
-    """Return what comes until the connection ends, also by a reset."""
+async def _read_to_end(reader: asyncio.StreamReader) -> bytes:
+    """Return all bytes until the connection ends; b"" if it is reset."""
     try:
         async with asyncio.timeout(5):
             return await reader.read()
@@ -53,31 +53,31 @@
 async def _exchange(address: str, request: bytes) -> bytes:
     reader, writer = await _connect(address)
     writer.write(request)
-    got = await _rest(reader)
+    got = await _read_to_end(reader)
     writer.close()
     return got
 
 
-async def _exchange_at_import(address: str, request: bytes) -> bytes:
-    """Send a request, load a module, and return what came."""
+async def _exchange_during_import(address: str, request: bytes) -> bytes:
+    """Send a request, import a module, and return the bytes received."""
     reader, writer = await _connect(address)
     writer.write(request)
-    await _import_a_module()
-    got = await _rest(reader)
+    await _import_module_after_poll_interval()
+    got = await _read_to_end(reader)
     writer.close()
     return got
 
 
-async def _import_a_module() -> None:
-    """Load a module anew, later than the polls are apart."""
-    await asyncio.sleep(_LONGER_THAN_POLLS_ARE_APART_S)
+async def _import_module_after_poll_interval() -> None:
+    """Import a module again, after the minimum interval between polls has passed."""
+    await asyncio.sleep(_LONGER_THAN_POLL_INTERVAL_S)
     sys.modules.pop(_SMALL_MODULE, None)
     importlib.import_module(_SMALL_MODULE)
 
 
 @asynccontextmanager
-async def _gateway_that_loads(front: str, ready: str) -> AsyncIterator[asyncio.subprocess.Process]:
-    """Start a gateway whose settings name its listeners only; it ends once it is loaded."""
+async def _loading_gateway(front: str, ready: str) -> AsyncIterator[asyncio.subprocess.Process]:
+    """Start a gateway with only listeners in its settings; it exits once it is loaded."""
     with tempfile.TemporaryDirectory() as folder:
         settings = Path(folder) / "node.json"
         settings.write_text(json.dumps({"listen": {"front": front, "readiness": ready}}))
@@ -92,7 +92,7 @@
         yield process
 
 
-async def _connect_once_it_listens(
+async def _connect_when_listening(
     address: str,
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     while True:
@@ -103,7 +103,7 @@
 
 
 class EarlyListenersTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_caller_that_connected_early_is_answered_once_the_daemon_runs(self) -> None:
+    async def test_early_caller_gets_response_once_daemon_runs(self) -> None:
         (address,) = free_addresses(1)
         host, _, port = address.rpartition(":")
         early_listeners.open_early(address)
@@ -120,14 +120,17 @@
         await listener.stop()
         self.assertIsNone(early_listeners.take(address))
 
-    async def test_a_request_during_the_load_is_refused_at_once_and_later_ones_are_served(
+    async def test_rejects_requests_while_loading_and_serves_later_ones(
         self,
     ) -> None:
-        """198 of 405 requests were late after a loss of all: they waited for the load."""
+        """Guards against requests that wait until the program is loaded.
+
+        After the loss of all gateways, 198 of 405 requests were late for this reason.
+        """
         (address,) = free_addresses(1)
         early_listeners.open_early(address)
         early_listeners.reject_early("Request-Id")
-        got = await _exchange_at_import(
+        got = await _exchange_during_import(
             address,
             b"POST /a HTTP/1.1\r\nHost: h\r\nrequest-id: r1\r\nContent-Length: 3\r\n\r\nabc",
         )
@@ -139,90 +142,93 @@
         self.assertIn(b"Request-Id: r1", head)
         self.assertEqual(json.loads(body)["error"]["code"], "not_ready")
         chunked = b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
-        self.assertTrue((await _exchange_at_import(address, chunked)).startswith(b"HTTP/1.1 503 "))
-        # Half a request, and the daemon takes over: closed unread, never answered.
+        self.assertTrue(
+            (await _exchange_during_import(address, chunked)).startswith(b"HTTP/1.1 503 ")
+        )
+        # The daemon takes over while a request is incomplete: the connection is closed
+        # without a response.
         reader, writer = await _connect(address)
         writer.write(b"POST /a HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc")
-        await _import_a_module()
+        await _import_module_after_poll_interval()
         application = web.Application()
         application.router.add_get("/", _hello)
         listener = HttpListener(application, address)
         await listener.start()
         self.addAsyncCleanup(listener.stop)
-        self.assertEqual(await _rest(reader), b"")
+        self.assertEqual(await _read_to_end(reader), b"")
         writer.close()
         self.assertEqual(early_listeners.take_rejected_request_ids(), ["r1"])
         served = await _exchange(address, b"GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
         self.assertTrue(served.endswith(b"hello"))
 
-    def _start_answers(self) -> tuple[str, EarlyRejecter]:
-        """Answer on a socket of its own, apart from the daemon's; stopped with the test."""
+    def _start_rejecter(self) -> tuple[str, EarlyRejecter]:
+        """Start a rejecter on a separate socket; it stops at the end of the test."""
         (address,) = free_addresses(1)
         early_listeners.open_early(address)
         listener = early_listeners.take(address)
         assert listener is not None
         self.addCleanup(listener.close)
-        answers = EarlyRejecter([listener], "Request-Id")
-        answers.start()
-        self.addCleanup(answers.stop)
-        return address, answers
+        rejecter = EarlyRejecter([listener], "Request-Id")
+        rejecter.start()
+        self.addCleanup(rejecter.stop)
+        return address, rejecter
 
-    async def test_a_request_that_comes_as_the_daemon_takes_over_does_not_end_it(self) -> None:
-        """It is refused by the last poll; one after that is left to the daemon."""
+    async def test_request_during_handover_does_not_stop_daemon(self) -> None:
+        """The last poll rejects the request; a later request is left to the daemon."""
         finders = list(sys.meta_path)
         (address,) = free_addresses(1)
         early_listeners.open_early(address)
         early_listeners.reject_early("Request-Id")
         self.assertEqual(len(sys.meta_path), len(finders) + 1)
         reader, writer = await _connect(address)
-        writer.write(_WHOLE_REQUEST)  # nothing is loaded between this and the hand-over
+        writer.write(_COMPLETE_REQUEST)  # no module is imported between this and the handover
         listener = early_listeners.take(address)
         assert listener is not None
         self.addCleanup(listener.close)
         self.assertEqual(sys.meta_path, finders)
-        self.assertTrue((await _rest(reader)).startswith(b"HTTP/1.1 503 "))
+        self.assertTrue((await _read_to_end(reader)).startswith(b"HTTP/1.1 503 "))
         writer.close()
         self.assertEqual(early_listeners.take_rejected_request_ids(), ["r2"])
         self.assertEqual(early_listeners.take_failures(), [])
         late_reader, late_writer = await _connect(address)
-        late_writer.write(_WHOLE_REQUEST)
-        await _import_a_module()
+        late_writer.write(_COMPLETE_REQUEST)
+        await _import_module_after_poll_interval()
         connection, _ = listener.accept()
-        self.assertEqual(connection.recv(1_000), _WHOLE_REQUEST)
+        self.assertEqual(connection.recv(1_000), _COMPLETE_REQUEST)
         connection.close()
-        self.assertEqual(await _rest(late_reader), b"")
+        self.assertEqual(await _read_to_end(late_reader), b"")
         late_writer.close()
 
-    async def test_stopping_twice_does_no_harm(self) -> None:
+    async def test_stop_is_idempotent(self) -> None:
         finders = list(sys.meta_path)
-        _, answers = self._start_answers()
-        answers.stop()
-        answers.stop()
+        _, rejecter = self._start_rejecter()
+        rejecter.stop()
+        rejecter.stop()
         self.assertEqual(sys.meta_path, finders)
-        self.assertEqual(answers.failures, 0)
+        self.assertEqual(rejecter.failures, 0)
 
-    async def test_no_thread_answers_and_nothing_is_installed_without_a_socket(self) -> None:
-        """The loading thread must be the only one while libraries are loaded."""
+    async def test_starts_no_thread_and_installs_no_finder_without_socket(self) -> None:
+        """No second thread may run while libraries are loaded."""
         finders = list(sys.meta_path)
         early_listeners.reject_early("Request-Id")
         self.assertEqual(sys.meta_path, finders)
         threads = threading.active_count()
-        address, _ = self._start_answers()
+        address, _ = self._start_rejecter()
         self.assertTrue(
-            (await _exchange_at_import(address, _WHOLE_REQUEST)).startswith(b"HTTP/1.1 503 ")
+            (await _exchange_during_import(address, _COMPLETE_REQUEST)).startswith(b"HTTP/1.1 503 ")
         )
         self.assertEqual(threading.active_count(), threads)
 
-    async def test_an_error_in_polling_breaks_no_import_and_is_told_at_the_hand_over(self) -> None:
+    async def test_poll_error_breaks_no_import_and_is_reported_at_handover(self) -> None:
         (address,) = free_addresses(1)
         early_listeners.open_early(address)
         early_listeners.reject_early("Request-Id")
-        answers = next(finder for finder in sys.meta_path if isinstance(finder, EarlyRejecter))
-        with mock.patch.object(answers._selector, "select", side_effect=OSError("no")):
-            await _import_a_module()
+        rejecter = next(finder for finder in sys.meta_path if isinstance(finder, EarlyRejecter))
+        with mock.patch.object(rejecter._selector, "select", side_effect=OSError("no")):
+            await _import_module_after_poll_interval()
         self.assertIn(_SMALL_MODULE, sys.modules)
-        # It goes on: the next import answers.
-        got = await _exchange_at_import(address, _WHOLE_REQUEST)
+        # Polling continues: the next import rejects the request.
+        got = await _exchange_during_import(address, _COMPLETE_REQUEST)
         self.assertTrue(got.startswith(b"HTTP/1.1 503 "))
         application = web.Application()
         listener = HttpListener(application, address)
@@ -234,57 +240,57 @@
         self.assertEqual(early_listeners.take_failures(), [])
         self.assertEqual(early_listeners.take_rejected_request_ids(), ["r2"])
 
-    async def test_a_request_that_cannot_be_read_is_closed_and_holds_up_no_other(self) -> None:
-        address, answers = self._start_answers()
+    async def test_unreadable_request_is_closed_and_blocks_no_other(self) -> None:
+        address, rejecter = self._start_rejecter()
         wrong_reader, wrong_writer = await _connect(address)
         wrong_writer.write(b"GET /a HTTP/1.1\r\nContent-Length: \xb2\r\n\r\n")
-        got = await _exchange_at_import(address, _WHOLE_REQUEST)
+        got = await _exchange_during_import(address, _COMPLETE_REQUEST)
         self.assertTrue(got.startswith(b"HTTP/1.1 503 "))
-        self.assertEqual(await _rest(wrong_reader), b"")
+        self.assertEqual(await _read_to_end(wrong_reader), b"")
         wrong_writer.close()
-        self.assertEqual(answers.failures, 1)
-        self.assertIn("ValueError", answers.last_failure)
+        self.assertEqual(rejecter.failures, 1)
+        self.assertIn("ValueError", rejecter.last_failure)
 
-    async def test_an_import_while_a_poll_runs_does_not_poll_again(self) -> None:
-        _, answers = self._start_answers()
+    async def test_import_during_poll_does_not_poll_again(self) -> None:
+        _, rejecter = self._start_rejecter()
         polls = 0
 
-        def imports_a_module(timeout: float) -> list[object]:
+        def select_with_import(timeout: float) -> list[object]:
             nonlocal polls
             polls += 1
             sys.modules.pop(_SMALL_MODULE, None)
             importlib.import_module(_SMALL_MODULE)
             return []
 
-        answers._polled_at = 0.0
-        with mock.patch.object(answers._selector, "select", side_effect=imports_a_module):
-            answers.find_spec("a_module")
+        rejecter._polled_at = 0.0
+        with mock.patch.object(rejecter._selector, "select", side_effect=select_with_import):
+            rejecter.find_spec("a_module")
         self.assertEqual(polls, 1)
-        self.assertEqual(answers.failures, 0)
+        self.assertEqual(rejecter.failures, 0)
 
-    async def test_polls_are_apart_however_many_modules_are_loaded(self) -> None:
-        _, answers = self._start_answers()
-        answers.find_spec("a_module")
+    async def test_polls_keep_minimum_interval(self) -> None:
+        _, rejecter = self._start_rejecter()
+        rejecter.find_spec("a_module")
         with (
-            mock.patch("time.monotonic", return_value=answers._polled_at + 0.004),
-            mock.patch.object(answers._selector, "select", return_value=[]) as select,
+            mock.patch("time.monotonic", return_value=rejecter._polled_at + 0.004),
+            mock.patch.object(rejecter._selector, "select", return_value=[]) as select,
         ):
-            answers.find_spec("a_module")
+            rejecter.find_spec("a_module")
         select.assert_not_called()
 
-    async def test_a_gateway_that_loads_refuses_between_imports(self) -> None:
+    async def test_loading_gateway_rejects_between_imports(self) -> None:
         (front, ready) = free_addresses(2)
-        async with asyncio.timeout(20), _gateway_that_loads(front, ready) as process:
-            reader, writer = await _connect_once_it_listens(front)
-            writer.write(_WHOLE_REQUEST)
-            got = await _rest(reader)
+        async with asyncio.timeout(20), _loading_gateway(front, ready) as process:
+            reader, writer = await _connect_when_listening(front)
+            writer.write(_COMPLETE_REQUEST)
+            got = await _read_to_end(reader)
             writer.close()
-            _, told = await process.communicate()
-        self.assertTrue(got.startswith(b"HTTP/1.1 503 "), told)
+            _, stderr_output = await process.communicate()
+        self.assertTrue(got.startswith(b"HTTP/1.1 503 "), stderr_output)
         self.assertIn(b"Request-Id: r2", got)
-        self.assertEqual(process.returncode, 2, told)
+        self.assertEqual(process.returncode, 2, stderr_output)
 
-    async def test_an_address_in_use_is_refused_with_the_address(self) -> None:
+    async def test_error_for_address_in_use_names_address(self) -> None:
         (address,) = free_addresses(1)
         first = HttpListener(web.Application(), address)
         await first.start()
@@ -294,31 +300,34 @@
             await HttpListener(web.Application(), address).start()
         await first.stop()
 
-    async def test_settings_that_change_during_the_load_do_not_end_the_process(self) -> None:
-        """Found when two exits in 40 days of the canteens were looked into."""
+    async def test_sighup_while_loading_does_not_end_process(self) -> None:
+        """Guards against a SIGHUP that ends the process before its handler is installed.
+
+        In operation this caused two exits in 40 days.
+        """
         (front, ready) = free_addresses(2)
-        async with asyncio.timeout(20), _gateway_that_loads(front, ready) as process:
-            _, writer = await _connect_once_it_listens(front)
+        async with asyncio.timeout(20), _loading_gateway(front, ready) as process:
+            _, writer = await _connect_when_listening(front)
             process.send_signal(signal.SIGHUP)
             writer.close()
-            _, told = await process.communicate()
-        # It goes on to read its settings, which lack a field here.
-        self.assertEqual(process.returncode, 2, told)
-        self.assertIn(b"missing or wrong", told)
+            _, stderr_output = await process.communicate()
+        # The process continues and reads its settings, which lack a field here.
+        self.assertEqual(process.returncode, 2, stderr_output)
+        self.assertIn(b"missing or wrong", stderr_output)
 
-    async def test_a_stop_during_the_load_is_a_planned_stop(self) -> None:
-        """It ended by the signal, which counts as a failure where exits are watched."""
+    async def test_sigterm_while_loading_exits_cleanly(self) -> None:
+        """Guards against an exit by signal, which process monitors count as a failure."""
         (front, ready) = free_addresses(2)
-        async with asyncio.timeout(20), _gateway_that_loads(front, ready) as process:
-            _, writer = await _connect_once_it_listens(front)
+        async with asyncio.timeout(20), _loading_gateway(front, ready) as process:
+            _, writer = await _connect_when_listening(front)
             process.send_signal(signal.SIGTERM)
             writer.close()
-            _, told = await process.communicate()
-        self.assertEqual(process.returncode, 0, told)
+            _, stderr_output = await process.communicate()
+        self.assertEqual(process.returncode, 0, stderr_output)
 
-    def test_what_is_loaded_before_listening_is_small(self) -> None:
-        """Gateways listened 1.2 s after their start: aiohttp and gRPC were loaded first."""
-        command = [sys.executable, "-c", _LOADED_BEFORE_LISTENING]
+    def test_imports_no_large_package_before_listening(self) -> None:
+        """Guards against a late listen: loading aiohttp and gRPC first delayed it by 1.2 s."""
+        command = [sys.executable, "-c", _PRINT_EARLY_MODULES_SCRIPT]
         got = subprocess.run(command, check=True, capture_output=True, text=True, timeout=30)
         loaded = got.stdout.split()
         for large in ("aiohttp", "grpc", "google.protobuf", "typer", "asyncio"):
--- a/tests/test_foreign_configurations.py
+++ b/tests/test_foreign_configurations.py
@@ -1,8 +1,9 @@
-"""Configurations of other writers are refused with a clear error, or can be applied and kept.
+"""Tests that configurations from other programs are rejected clearly, or applied and stored.
 
-Limits or an engine that are no object, texts with half a character and a cold start of 24 days were
-answered 500 with a stack trace, which operators repeat; "false" in quotes opened a route to all. A
-configuration that raised while it is applied would end each control member, again at each start.
+They guard against 500 responses with a stack trace, which operators retry: limits or an engine of
+another type than object, lone surrogates and a cold start of 24 days caused them. The text "false"
+as a flag made a route public. A configuration that raises an exception while it is applied would
+end every control member, and again at every restart.
 """
 
 import copy
@@ -19,17 +20,17 @@
 from heronladder_schema.v1 import control_pb2, resources_pb2
 from platform_stand_ins import configuration, route
 
-_DRAWS = 3_000
+_SAMPLES = 3_000
 _NUMBERS = (0, 1, -1, 2**31 - 1, 2**31, 2**32, 2**53 - 1, 2**53, 2**60, 2**63, 2**64 - 1)
 _FRACTIONS = (0.5, 1e-300, 1e300, 1e400, -0.0)
 _TEXTS = ("", "\ud800", "\x00", "a" * 1_000, "é", "/", "//", "a b", "\n", "10.0.0.1:1", "false")
-_OTHERS = (None, [], {}, True, False, [[]], [""], [None], {"a": 1})
-_ALL = (*_NUMBERS, *_FRACTIONS, *_TEXTS, *_OTHERS)
-_Place = tuple[str | int, ...]
+_OTHER_VALUES = (None, [], {}, True, False, [[]], [""], [None], {"a": 1})
+_ALL_VALUES = (*_NUMBERS, *_FRACTIONS, *_TEXTS, *_OTHER_VALUES)
+_Path = tuple[str | int, ...]
 
 
-def _whole() -> dict[str, Any]:
-    """Return a configuration that names every field."""
+def _full_configuration() -> dict[str, Any]:
+    """Return a configuration that sets every field."""
     split = [{"service": "app", "weight": 1}, {"service": "app", "weight": 3}]
     routes = (
         route("/safe/", trafficSplit=split, gapAimMs=3, allowedRegions=["r1"], priority=2),
@@ -43,23 +44,23 @@
     return document
 
 
-def _places(value: Any, place: _Place = ()) -> Iterator[_Place]:
-    """Yield where each field and entry of a document stands."""
+def _field_paths(value: Any, path: _Path = ()) -> Iterator[_Path]:
+    """Yield the path of each field and list entry of a document."""
     items: Any = ()
     if isinstance(value, dict):
         items = value.items()
     elif isinstance(value, list):
         items = enumerate(value)
     for name, inner in items:
-        yield (*place, name)
-        yield from _places(inner, (*place, name))
+        yield (*path, name)
+        yield from _field_paths(inner, (*path, name))
 
 
-def _changed(document: Any, places: list[_Place], source: Random) -> Any:
-    """Return a copy in which some fields are lost or of another kind or size."""
+def _mutate(document: Any, paths: list[_Path], source: Random) -> Any:
+    """Return a copy with some fields removed or replaced by other types or sizes."""
     changed = copy.deepcopy(document)
     for _ in range(source.choice((1, 1, 2, 4))):
-        *outer, name = source.choice(places)
+        *outer, name = source.choice(paths)
         holder = changed
         try:
             for step in outer:
@@ -67,52 +68,54 @@
             if source.random() < 0.2:
                 del holder[name]
             else:
-                holder[name] = source.choice(_ALL)
+                holder[name] = source.choice(_ALL_VALUES)
         except (KeyError, IndexError, TypeError):
-            continue  # an earlier change took it away
+            continue  # an earlier mutation removed it
     return changed
 
 
 class ForeignConfigurationTest(unittest.TestCase):
-    def _refused(self, **changes: Any) -> None:
-        document = _whole() | changes
+    def _assert_rejected(self, **changes: Any) -> None:
+        document = _full_configuration() | changes
         with self.assertRaises(DocumentError):
             read_configuration(json.dumps(document).encode())
 
-    def test_what_is_no_object_is_refused(self) -> None:
-        self._refused(limits=5)
-        self._refused(services=[_whole()["services"][0] | {"engine": "fast"}])
-        self._refused(services=[_whole()["services"][0] | {"coldStartS": 2**31 - 1}])
+    def test_rejects_other_types_for_objects(self) -> None:
+        self._assert_rejected(limits=5)
+        self._assert_rejected(services=[_full_configuration()["services"][0] | {"engine": "fast"}])
+        self._assert_rejected(
+            services=[_full_configuration()["services"][0] | {"coldStartS": 2**31 - 1}]
+        )
 
-    def test_a_text_is_no_flag(self) -> None:
+    def test_rejects_texts_for_flags(self) -> None:
         for name in ("allowAnonymous", "resumable", "sticky"):
-            self._refused(routes=[route("/safe/", **{name: "false"})])
+            self._assert_rejected(routes=[route("/safe/", **{name: "false"})])
 
-    def test_half_a_character_is_refused(self) -> None:
-        for half in ("\ud800", "a\udfff"):
-            self._refused(routes=[route("/safe/", host=half)])
-            heartbeat = json.dumps({"service": half, "slots": 1}).replace("\\ud", "\\uD")
+    def test_rejects_lone_surrogates(self) -> None:
+        for surrogate in ("\ud800", "a\udfff"):
+            self._assert_rejected(routes=[route("/safe/", host=surrogate)])
+            heartbeat = json.dumps({"service": surrogate, "slots": 1}).replace("\\ud", "\\uD")
             with self.assertRaises(DocumentError):
                 read_replica("i-1", heartbeat.encode())
-        named = _whole() | {"routes": [route("/safe/", host="caf\U0001f600")]}
+        named = _full_configuration() | {"routes": [route("/safe/", host="caf\U0001f600")]}
         self.assertEqual(read_configuration(json.dumps(named).encode()).version, 1)
 
-    def test_drawn_ones_are_refused_or_can_be_applied_and_kept(self) -> None:
+    def test_random_configurations_are_rejected_or_applied_and_stored(self) -> None:
         source = Random(5)
-        document = _whole()
-        places = list(_places(document))
+        document = _full_configuration()
+        paths = list(_field_paths(document))
         applied = 0
-        for _ in range(_DRAWS):
-            body = json.dumps(_changed(document, places, source)).encode()
+        for _ in range(_SAMPLES):
+            body = json.dumps(_mutate(document, paths, source)).encode()
             try:
                 read = read_configuration(body)
             except DocumentError:
                 continue
-            applied += self._apply_and_keep(read)
-        self.assertGreater(applied, _DRAWS // 10)
+            applied += self._apply_and_restore(read)
+        self.assertGreater(applied, _SAMPLES // 10)
 
-    def _apply_and_keep(self, read: resources_pb2.FleetConfiguration) -> bool:
-        """Apply a configuration, draw of its tokens, and read the snapshot back."""
+    def _apply_and_restore(self, read: resources_pb2.FleetConfiguration) -> bool:
+        """Apply a configuration, draw tokens, restore the snapshot; return whether it applied."""
         state = ControlState("fleet")
         command = control_pb2.Command()
         command.apply_configuration.configuration.CopyFrom(read)
--- a/tests/test_foreign_words.py
+++ b/tests/test_foreign_words.py
@@ -1,4 +1,4 @@
-"""Heartbeats of other writers name no replica to use, and change nothing that is known."""
+"""Tests that invalid heartbeats from other programs are rejected and change no state."""
 
 import json
 import unittest
@@ -9,7 +9,7 @@
 from heronladder_platform.replica_heartbeats import read_replica
 from platform_stand_ins import Received, StandInReplica, answer, configuration, start_fleet
 
-_GOOD: dict[str, Any] = {
+_VALID: dict[str, Any] = {
     "service": "app",
     "address": "10.0.0.9:8080",
     "zone": "z1",
@@ -20,21 +20,34 @@
     "sequence": 4,
     "born": 1_791_443_401_234,
 }
-_NEEDED = ("service", "address", "zone", "version", "slots", "state", "sequence")
-_WRONG = (None, [], {}, "", -1, 0.5, 10**400, True, "x" * 5_000, [["v1"]], "warming", "1:2:3")
-_BAD_BODIES = (
+_REQUIRED = ("service", "address", "zone", "version", "slots", "state", "sequence")
+_INVALID_VALUES = (
+    None,
+    [],
+    {},
+    "",
+    -1,
+    0.5,
+    10**400,
+    True,
+    "x" * 5_000,
+    [["v1"]],
+    "warming",
+    "1:2:3",
+)
+_INVALID_BODIES = (
     b"",
     b"\xff\xfe\x00",
     b"[" * 100_000,
     b'{"a":' * 100_000,
     b"null",
     b"[]",
-    json.dumps(_GOOD)[:-3].encode(),
-    json.dumps(_GOOD).replace(": 4,", ": Infinity,").encode(),
-    json.dumps(_GOOD).replace(": 8,", ": NaN,").encode(),
-    json.dumps(_GOOD | {"more": "x" * 70_000}).encode(),
+    json.dumps(_VALID)[:-3].encode(),
+    json.dumps(_VALID).replace(": 4,", ": Infinity,").encode(),
+    json.dumps(_VALID).replace(": 8,", ": NaN,").encode(),
+    json.dumps(_VALID | {"more": "x" * 70_000}).encode(),
 )
-_BAD_FIELDS: tuple[dict[str, Any], ...] = (
+_INVALID_FIELDS: tuple[dict[str, Any], ...] = (
     {"state": "warming"},
     {"slots": None},
     {"slots": 2**40},
@@ -51,53 +64,59 @@
 )
 
 
-class ReadingTest(unittest.TestCase):
-    def test_what_is_not_as_it_should_be_is_refused_whole(self) -> None:
-        bodies = [*_BAD_BODIES, *(json.dumps(_GOOD | wrong).encode() for wrong in _BAD_FIELDS)]
+class HeartbeatParsingTest(unittest.TestCase):
+    def test_rejects_invalid_heartbeats(self) -> None:
+        bodies = [
+            *_INVALID_BODIES,
+            *(json.dumps(_VALID | wrong).encode() for wrong in _INVALID_FIELDS),
+        ]
         for body in bodies:
             with self.subTest(body=body[:80]), self.assertRaises(DocumentError):
                 read_replica("i-1", body)
 
-    def test_one_without_a_start_or_cold_time_is_read(self) -> None:
-        told = {name: _GOOD[name] for name in _NEEDED}
-        replica = read_replica("i-1", json.dumps(told).encode())
+    def test_accepts_heartbeat_without_start_or_cold_time(self) -> None:
+        heartbeat = {name: _VALID[name] for name in _REQUIRED}
+        replica = read_replica("i-1", json.dumps(heartbeat).encode())
         self.assertEqual((replica.start_ms, replica.cold_ms, replica.slots), (0, 0, 8))
 
-    def test_random_words_are_refused_clearly_and_never_taken(self) -> None:
-        """10,000 heartbeats with fields lost, of other types, or bytes changed."""
+    def test_rejects_all_randomly_damaged_heartbeats(self) -> None:
+        """Parse 10,000 heartbeats with missing fields, wrong types or truncated bodies."""
         source = Random(11)
-        taken = 0
+        accepted = 0
         for _ in range(10_000):
-            told = dict(_GOOD)
-            lost = source.choice(_NEEDED)
+            heartbeat = dict(_VALID)
+            name = source.choice(_REQUIRED)
             if source.random() < 0.5:
-                del told[lost]
+                del heartbeat[name]
             else:
-                wrong = source.choice(_WRONG)
-                told[lost] = {"deeper": wrong} if lost in ("version", "zone") else wrong
-                if lost == "service":
-                    told[lost] = [wrong]
-            body = bytearray(json.dumps(told).encode())
+                wrong = source.choice(_INVALID_VALUES)
+                heartbeat[name] = {"deeper": wrong} if name in ("version", "zone") else wrong
+                if name == "service":
+                    heartbeat[name] = [wrong]
+            body = bytearray(json.dumps(heartbeat).encode())
             if source.random() < 0.3:
                 del body[source.randrange(len(body)) :]
             try:
                 read_replica("i-1", bytes(body))
-                taken += 1
+                accepted += 1
             except DocumentError:
                 continue
-        self.assertEqual(taken, 0)
+        self.assertEqual(accepted, 0)
 
 
-class RefusingTest(unittest.IsolatedAsyncioTestCase):
-    async def test_they_change_nothing_known_and_others_are_served(self) -> None:
+class HeartbeatRejectionTest(unittest.IsolatedAsyncioTestCase):
+    async def test_rejected_heartbeats_change_no_state_and_requests_are_served(self) -> None:
         async def serve(replica: StandInReplica, received: Received) -> bytes:
             return answer(received)
 
         fleet = await start_fleet(configuration(1))
         self.addAsyncCleanup(fleet.stop)
         replica = await fleet.add_replica("good", serve)
-        told = replica.heartbeat()
-        bodies = [*_BAD_BODIES, *(json.dumps(told | wrong).encode() for wrong in _BAD_FIELDS)]
+        heartbeat = replica.heartbeat()
+        bodies = [
+            *_INVALID_BODIES,
+            *(json.dumps(heartbeat | wrong).encode() for wrong in _INVALID_FIELDS),
+        ]
         for identity in ("good", "never-heard"):
             for body in bodies:
                 path = f"/api/Replicas.Heartbeat/{identity}"
@@ -106,7 +125,7 @@
                     self.assertEqual(got.status, 400, got)
         assert fleet.control.control is not None
         self.assertIsNone(fleet.control.control.state.fleet.replica("never-heard"))
-        undeclared = told | {"service": "not declared"}
+        undeclared = heartbeat | {"service": "not declared"}
         path = "/api/Replicas.Heartbeat/other-writer"
         await fleet.call(fleet.control_address, "POST", path, undeclared)
         self.assertEqual((await fleet.request("/safe/")).status, 200)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The translation to the users' platform, and what its operator is answered."""
+"""Tests of the translation to the users' platform and of the responses to its operator."""
 
 import json
 import unittest
@@ -23,7 +23,7 @@
 )
 
 _ROOT = Path(__file__).parent.parent
-_PLATFORM_WORDS = (
+_PLATFORM_NAMES = (
     "Server-Stamp",
     "Not-Executed",
     "Expect-Instance",
@@ -58,16 +58,16 @@
 
 
 class BoundaryTest(unittest.TestCase):
-    def test_no_other_package_knows_the_platform_s_names(self) -> None:
+    def test_no_other_package_contains_platform_names(self) -> None:
         found = [
             f"{path.relative_to(_ROOT)}: {word}"
             for path in sorted((_ROOT / "packages").rglob("*.py"))
-            for word in _PLATFORM_WORDS
+            for word in _PLATFORM_NAMES
             if word in path.read_text() and not (word == "pathPrefix" and "validation" in path.name)
         ]
         self.assertEqual(found, [])
 
-    def test_the_folder_shadows_no_module_and_stays_small(self) -> None:
+    def test_folder_shadows_no_module_and_stays_small(self) -> None:
         self.assertFalse((_ROOT / "platform" / "__init__.py").exists())
         lines = sum(
             len(path.read_text().splitlines()) for path in (_ROOT / "platform").rglob("*.py")
@@ -76,7 +76,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_a_seed_forms_the_group_and_any_other_machine_joins(self) -> None:
+    def test_seeds_form_group_and_other_machines_join(self) -> None:
         seed = translate(_SETTINGS, CONTROL)
         self.assertEqual(
             seed.control.initial_members,
@@ -89,7 +89,7 @@
             self.assertEqual(other.control.initial_members, "")
             self.assertIn("10.0.0.1:7340", other.control.join_contacts)
 
-    def test_what_plays_showed_a_gain_of_is_on(self) -> None:
+    def test_enables_only_options_that_improve_results(self) -> None:
         front = {"listen": {"front": "10.0.0.2:80"}}
         gateway = translate(_SETTINGS | front, GATEWAY).gateway
         for name in ("measured_patience", "behind_after_ms"):
@@ -97,7 +97,7 @@
         for name in ("wait_for_places", "measured_speed"):
             self.assertEqual(getattr(gateway, name), 0, name)
 
-    def test_a_wrong_file_names_its_field(self) -> None:
+    def test_error_names_missing_settings_field(self) -> None:
         wrong = {key: value for key, value in _SETTINGS.items() if key != "internalPorts"}
         with self.assertRaises(SettingsError) as raised:
             translate(wrong, GATEWAY)
@@ -105,7 +105,7 @@
 
 
 class DocumentTest(unittest.TestCase):
-    def test_a_configuration_keeps_the_document_and_hides_the_keys(self) -> None:
+    def test_configuration_keeps_document_and_hides_keys(self) -> None:
         document = configuration(3, route("/a/"), unknown={"field": [1, 2]})
         body = json.dumps(document).encode()
         read = read_configuration(body)
@@ -113,7 +113,7 @@
         self.assertEqual(read.routes[0].kind, resources_pb2.ROUTE_KIND_REPEATABLE)
         self.assertNotIn(KEY, str(read.tenants))
 
-    def test_what_cannot_be_read_in_full_names_the_field(self) -> None:
+    def test_error_names_invalid_field(self) -> None:
         good: dict[str, Any] = configuration(1, route("/a/"))
         cases = {
             "version": good | {"version": "7"},
@@ -129,13 +129,13 @@
         with self.assertRaises(DocumentError):
             read_configuration(json.dumps(good).encode()[:-5])
 
-    def test_a_heartbeat_without_its_address_is_refused(self) -> None:
+    def test_rejects_heartbeat_without_address(self) -> None:
         with self.assertRaises(DocumentError):
             read_replica("i-1", b'{"service": "s", "zone": "z", "state": "ready"}')
 
 
-class HomesTest(unittest.IsolatedAsyncioTestCase):
-    """A request reached any replica, whatever the regions of its route or tenant."""
+class AllowedRegionsTest(unittest.IsolatedAsyncioTestCase):
+    """Guards against requests to replicas outside the regions of their route or tenant."""
 
     async def asyncSetUp(self) -> None:
         away = route("/away/", allowedRegions=["r2"])
@@ -153,12 +153,12 @@
         for zone in ("z1", "z2"):
             await self.fleet.add_replica(f"in-{zone}", script, zone=zone)
 
-    async def test_route_and_tenant_both_bind(self) -> None:
+    async def test_applies_regions_of_route_and_tenant(self) -> None:
         for path in ("/away/", "/both/") * 4:
             self.assertEqual((await self.fleet.request(path)).status, 200)
         self.assertEqual(set(self.served), {"in-z2"})
 
-    async def test_without_a_region_in_common_nothing_is_sent(self) -> None:
+    async def test_sends_nothing_without_common_region(self) -> None:
         got = await self.fleet.request("/none/")
         self.assertEqual((got.status, got.headers["Heronladder-Outcome"]), (503, "not-run"))
         self.assertIn(b"region_unserved", got.body)
@@ -172,23 +172,23 @@
     async def asyncTearDown(self) -> None:
         await self.fleet.stop()
 
-    async def _held(self) -> tuple[int, bytes]:
+    async def _describe_configuration(self) -> tuple[int, bytes]:
         got = await self.fleet.call(self.fleet.control_address, "GET", "/api/Config.Describe")
         return got.status, got.body
 
-    async def test_the_highest_version_holds_and_reads_back_as_sent(self) -> None:
-        self.assertEqual((await self._held())[0], 503)
+    async def test_keeps_highest_version_and_returns_it_unchanged(self) -> None:
+        self.assertEqual((await self._describe_configuration())[0], 503)
         second = json.dumps(configuration(2, extra="kept")).encode()
         self.assertEqual((await self.fleet.replace(second)).status, 200)
-        self.assertEqual(await self._held(), (200, second))
+        self.assertEqual(await self._describe_configuration(), (200, second))
         self.assertEqual((await self.fleet.replace(second)).status, 200)
         lower = await self.fleet.replace(configuration(1))
         self.assertEqual(lower.status, 200)
         other = await self.fleet.replace(configuration(2, route("/other/")))
         self.assertEqual(other.status, 409)
-        self.assertEqual(await self._held(), (200, second))
+        self.assertEqual(await self._describe_configuration(), (200, second))
 
-    async def test_invalid_configurations_are_refused_and_leave_nothing(self) -> None:
+    async def test_rejects_invalid_configurations_without_effect(self) -> None:
         good = json.dumps(configuration(1)).encode()
         await self.fleet.replace(good)
         split = [{"service": "app", "weight": 0}, {"service": "app", "weight": 0}]
@@ -206,9 +206,9 @@
             got = await self.fleet.replace(document)
             self.assertEqual(got.status, 400, name)
             self.assertTrue(json.loads(got.body)["error"], name)
-        self.assertEqual(await self._held(), (200, good))
+        self.assertEqual(await self._describe_configuration(), (200, good))
 
-    async def test_malformed_heartbeats_and_unknown_leavers(self) -> None:
+    async def test_malformed_heartbeat_and_unknown_deregistration(self) -> None:
         address = self.fleet.control_address
         wrong = await self.fleet.call(address, "POST", "/api/Replicas.Heartbeat/i-1", b"{")
         self.assertEqual(wrong.status, 400)
--- a/tests/test_role_imports.py
+++ b/tests/test_role_imports.py
@@ -1,10 +1,10 @@
-"""A process loads only the roles it runs: memory and the time to start are paid for."""
+"""Checks that a process imports only the roles it runs, to limit memory and start time."""
 
 import subprocess
 import sys
 import unittest
 
-_SCRIPT = """
+_PRINT_MODULES_SCRIPT = """
 import sys
 import heronladder_platform.__main__
 import heronladder_daemon.compose_{role}
@@ -12,25 +12,25 @@
 """
 
 
-def _loaded(role: str) -> str:
-    """Return the names of our modules that a process of a role has loaded."""
-    command = [sys.executable, "-c", _SCRIPT.format(role=role)]
+def _imported_modules(role: str) -> str:
+    """Return the names of the heronladder modules that a process with a role imports."""
+    command = [sys.executable, "-c", _PRINT_MODULES_SCRIPT.format(role=role)]
     return subprocess.run(command, check=True, capture_output=True, text=True, timeout=30).stdout
 
 
 class RoleImportsTest(unittest.TestCase):
-    def test_a_gateway_loads_neither_control_nor_agent_nor_the_other_router(self) -> None:
-        loaded = _loaded("gateway")
-        self.assertIn("heronladder_router.gateway_role", loaded)
+    def test_gateway_imports_no_control_agent_or_router_role(self) -> None:
+        imported = _imported_modules("gateway")
+        self.assertIn("heronladder_router.gateway_role", imported)
         for other in ("heronladder_control", "heronladder_agent", "heronladder_consensus"):
-            self.assertNotIn(other, loaded)
-        self.assertNotIn("heronladder_router.leases", loaded)
-
-    def test_control_loads_neither_gateway_nor_agent(self) -> None:
-        loaded = _loaded("control")
-        self.assertIn("heronladder_control.member", loaded)
-        self.assertNotIn("heronladder_agent", loaded)
-        self.assertNotIn("heronladder_router.gateway_role", loaded)
+            self.assertNotIn(other, imported)
+        self.assertNotIn("heronladder_router.leases", imported)
+
+    def test_control_imports_no_gateway_or_agent(self) -> None:
+        imported = _imported_modules("control")
+        self.assertIn("heronladder_control.member", imported)
+        self.assertNotIn("heronladder_agent", imported)
+        self.assertNotIn("heronladder_router.gateway_role", imported)
 
 
 if __name__ == "__main__":
--- a/tests/test_stretched_group.py
+++ b/tests/test_stretched_group.py
@@ -1,4 +1,4 @@
-"""One control group over two regions: one name, one state, and loans that cross."""
+"""Tests of a control group across two regions: shared name, equal state, remote loans."""
 
 import asyncio
 import random
@@ -41,10 +41,10 @@
     return compose_gateway(settings, stubs, environment, platform_names.GATEWAY_NAMES)
 
 
-class OneNameTest(unittest.IsolatedAsyncioTestCase):
-    """Each process took the region of its machine for the name of its group."""
+class SharedGroupNameTest(unittest.IsolatedAsyncioTestCase):
+    """Guards against processes that use their region as the name of the group."""
 
-    async def test_a_gateway_acts_on_a_loan_message_from_the_other_region(self) -> None:
+    async def test_gateway_handles_loan_request_from_other_region(self) -> None:
         borrower, lender = _gateway("z1"), _gateway("z2")
         request = lending_pb2.LendRequest(
             group=borrower.tokens.borrowed._group.name_for(is_remote=True),
@@ -54,10 +54,10 @@
             ask=lending_pb2.LoanAsk(number=1, tenant="t", tokens=5, wait_ms=1),
         )
         reply = await lender.tokens.loan_book.Lend(request, None)
-        # It has no tokens and no control here; but the message was meant for it.
+        # The lender has no tokens and no control here, but it accepts the group name.
         self.assertEqual(reply.outcome, lending_pb2.LOAN_OUTCOME_NO_CONTROL)
 
-    async def test_members_in_two_regions_make_the_same_state_of_one_log(self) -> None:
+    async def test_members_in_two_regions_build_equal_state_from_same_log(self) -> None:
         states = []
         for zone in ZONES:
             settings = translate(_document("core", zone), CONTROL)
@@ -73,12 +73,13 @@
         self.assertEqual(*states)
 
 
-class NameInTheLogTest(unittest.TestCase):
+class GroupNameInLogTest(unittest.TestCase):
     def _run(self, groups: list[str], named: bool) -> tuple[list[str], dict[str, str]]:
-        """Run a group whose members are set up with these names.
+        """Run a group whose members are configured with these group names.
 
         Returns:
-            The name in each running member's state; why each other member ended.
+            The group name in the state of each running member, and the error message of
+            each member that ended, by member name.
         """
 
         async def work() -> tuple[list[str], dict[str, str]]:
@@ -113,10 +114,10 @@
 
         return run_virtual(work())
 
-    def test_the_log_names_the_group_once(self) -> None:
+    def test_log_holds_one_group_name(self) -> None:
         self.assertEqual(self._run(["fleet"] * 3, named=True), (["fleet"] * 3, {}))
 
-    def test_a_member_of_another_name_ends(self) -> None:
+    def test_member_with_other_group_name_ends(self) -> None:
         found, ended = self._run(["fleet", "fleet", "other"], named=True)
         self.assertEqual(len(found) + len(ended), 3)
         self.assertEqual(len(set(found)), 1, (found, ended))
@@ -124,11 +125,11 @@
         for why in ended.values():
             self.assertIn("setting group", why)
 
-    def test_a_group_without_a_name_of_its_own_writes_none(self) -> None:
+    def test_unnamed_group_writes_no_name(self) -> None:
         self.assertEqual(self._run(["r1"] * 3, named=False), ([""] * 3, {}))
 
 
-class FolderTest(unittest.IsolatedAsyncioTestCase):
+class SnapshotGroupNameTest(unittest.IsolatedAsyncioTestCase):
     def _member(self, failures: list[HeronladderError]) -> ControlMember:
         source = random.Random(1)
         stubs: Any = None
@@ -136,7 +137,7 @@
         disk = MemoryDisk(source).handle()
         return ControlMember(options, disk, stubs, Environment(source), failures.append)
 
-    async def test_a_snapshot_from_before_groups_had_names_is_taken_in(self) -> None:
+    async def test_accepts_snapshot_without_group_name(self) -> None:
         old = ControlState("r1")
         budget = resources_pb2.Resource(budget=resources_pb2.Budget(tokens=9, period=1))
         budget.metadata.name = "b"
@@ -150,7 +151,7 @@
         assert account is not None
         self.assertEqual(account.available, 9)
 
-    async def test_a_snapshot_of_another_group_ends_the_member(self) -> None:
+    async def test_snapshot_of_other_group_ends_member(self) -> None:
         other = ControlState("other")
         name = control_pb2.Command(name_group=control_pb2.NameGroup(name="other"))
         other.apply(1, name.SerializeToString())
