--- a/packages/heronladder-agent/src/heronladder_agent/adapters.py
+++ b/packages/heronladder-agent/src/heronladder_agent/adapters.py
@@ -2,14 +2,14 @@
 
 from abc import ABC, abstractmethod
 
-from heronladder_runtime.answers import BackendAnswer, BackendCall
+from heronladder_runtime.responses import BackendCall, BackendResponse
 
 
 class BackendAdapter(ABC):
     """Calls one back end by its own protocol."""
 
     @abstractmethod
-    async def open(self, call: BackendCall) -> BackendAnswer:
+    async def open(self, call: BackendCall) -> BackendResponse:
         """Send a call and return its answer as it comes.
 
         Closing the answer's chunks cancels the call at the back end.
--- a/packages/heronladder-agent/src/heronladder_agent/gate.py
+++ b/packages/heronladder-agent/src/heronladder_agent/gate.py
@@ -3,14 +3,14 @@
 import asyncio
 from dataclasses import dataclass
 
-from heronladder_runtime.answers import EVENT_STREAM, AgentAnswer, BackendAnswer, BackendCall
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.invariants import invariant
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
-from heronladder_runtime.pulse import Pulse
-from heronladder_runtime.settlements import settlement_of
+from heronladder_runtime.responses import EVENT_STREAM, AgentResponse, BackendCall, BackendResponse
+from heronladder_runtime.settlements import make_settlement
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import agent_pb2, ledger_pb2
 
@@ -81,9 +81,9 @@
         self._tasks = TaskGroupOwner(self._log)
         self._slots = SlotQueue(options.concurrency, options.queue_limit)
         self._routers: dict[str, str] = {}
-        self._routers_changed = Pulse()
+        self._routers_changed = ChangeSignal()
         self.runs = RunTable(environment, options.keep_s, options.keep_bytes)
-        self.run_ended = Pulse()
+        self.run_ended = ChangeSignal()
         self.draining = False
         self.engine: EngineKeeper | None = None
 
@@ -92,7 +92,7 @@
     def admit_router(self, name: str, incarnation: str) -> None:
         """Take dispatches of a router's incarnation, and of no earlier one."""
         self._routers[name] = incarnation
-        self._routers_changed.give()
+        self._routers_changed.notify_waiters()
 
     def bar_router(self, name: str, incarnation: str) -> None:
         """Take no more dispatches of a router's incarnation."""
@@ -105,7 +105,7 @@
 
     # ---- dispatches -------------------------------------------------------
 
-    async def dispatch(self, dispatch: agent_pb2.Dispatch, body: bytes) -> AgentAnswer:
+    async def dispatch(self, dispatch: agent_pb2.Dispatch, body: bytes) -> AgentResponse:
         """Run an attempt, or attach to one, and return its answer as it comes."""
         self._records.forget(list(dispatch.settled))
         try:
@@ -118,11 +118,11 @@
         self._tasks.start(f"run-{dispatch.request_id}", self._execute(run, body))
         await run.wait_for_head()
         if run.refusal is not None:
-            return AgentAnswer(run.refusal)
+            return AgentResponse(run.refusal)
         return self._answer(run)
 
-    def _answer(self, run: Run) -> AgentAnswer:
-        answer = AgentAnswer(self._head(run.dispatch), run.status, run.content_type)
+    def _answer(self, run: Run) -> AgentResponse:
+        answer = AgentResponse(self._head(run.dispatch), run.status, run.content_type)
         answer.chunks = run.read(answer)
         return answer
 
@@ -137,7 +137,7 @@
             leaving=self.draining or self._backend_drains(),
         )
 
-    def _refused(self, dispatch: agent_pb2.Dispatch, error: RefusalError) -> AgentAnswer:
+    def _refused(self, dispatch: agent_pb2.Dispatch, error: RefusalError) -> AgentResponse:
         """Refuse an attempt, and make sure that no late copy of it can run."""
         key = attempt_key(dispatch)
         incarnation_matches = dispatch.agent_incarnation == self._options.incarnation
@@ -147,7 +147,7 @@
         head = self._head(dispatch)
         head.refusal = error.code
         head.message = error.message
-        return AgentAnswer(head)
+        return AgentResponse(head)
 
     async def _know_router(self, dispatch: agent_pb2.Dispatch) -> None:
         """Wait a little for the notice of a router that has just started."""
@@ -191,7 +191,7 @@
         resource = self._link.configuration.backends().get(self._options.backend)
         return resource is None or resource.backend.draining
 
-    def _attach(self, dispatch: agent_pb2.Dispatch) -> AgentAnswer:
+    def _attach(self, dispatch: agent_pb2.Dispatch) -> AgentResponse:
         """Return the whole answer of an attempt that runs, or ran, here."""
         name = dispatch.request_id
         if dispatch.agent_incarnation != self._options.incarnation:
@@ -228,7 +228,7 @@
         if run is not None and not run.dispatch.keep_answer:
             run.cancelled = True
             run.abandoned = True
-            run.changed.give()
+            run.changed.notify_waiters()
 
     def hold(self, settlement: ledger_pb2.Settlement, router: RouterKey) -> bool:
         """Hold a copy of a bill that its router cannot make durable now.
@@ -294,19 +294,19 @@
         run.state = RunState.REFUSED
         self.runs.bury(attempt_key(dispatch))
         self._metrics.add("agent_refusals", agent_pb2.RefusalCode.Name(error.code))
-        run.changed.give()
-        self.run_ended.give()
+        run.changed.notify_waiters()
+        self.run_ended.notify_waiters()
 
-    async def _take_answer(self, run: Run, answer: BackendAnswer) -> agent_pb2.AnswerEnd:
+    async def _take_answer(self, run: Run, answer: BackendResponse) -> agent_pb2.AnswerEnd:
         if answer.content_type.startswith(EVENT_STREAM):
             return await self._take_stream(run, answer)
         return await self._take_whole(run, answer)
 
-    async def _take_stream(self, run: Run, answer: BackendAnswer) -> agent_pb2.AnswerEnd:
+    async def _take_stream(self, run: Run, answer: BackendResponse) -> agent_pb2.AnswerEnd:
         dispatch = run.dispatch
         run.content_type = answer.content_type
         run.status = answer.status
-        run.changed.give()
+        run.changed.notify_waiters()
         meter = StreamMeter(dispatch.include_usage)
         chunks = aiter(answer.chunks)
         try:
@@ -332,7 +332,7 @@
             )
         return end
 
-    async def _take_whole(self, run: Run, answer: BackendAnswer) -> agent_pb2.AnswerEnd:
+    async def _take_whole(self, run: Run, answer: BackendResponse) -> agent_pb2.AnswerEnd:
         parts = []
         size = 0
         async for chunk in answer.chunks:
@@ -360,14 +360,14 @@
         run.end.running = self._slots.running
         run.end.queued = self._slots.queued
         dispatch = run.dispatch
-        self._records.hold(settlement_of(dispatch, run.end), _router_of(dispatch))
+        self._records.hold(make_settlement(dispatch, run.end), _router_of(dispatch))
         run.state = RunState.FINISHED
         if not run.status:
             run.status = 502
         self.runs.finish(run)
         self._metrics.add("agent_tokens", "completion", run.end.completion_tokens)
-        run.changed.give()
-        self.run_ended.give()
+        run.changed.notify_waiters()
+        self.run_ended.notify_waiters()
 
     # ---- leaving ----------------------------------------------------------
 
--- a/packages/heronladder-agent/src/heronladder_agent/http_adapter.py
+++ b/packages/heronladder-agent/src/heronladder_agent/http_adapter.py
@@ -3,7 +3,7 @@
 from collections.abc import AsyncIterator
 
 import aiohttp
-from heronladder_runtime.answers import BackendAnswer, BackendCall
+from heronladder_runtime.responses import BackendCall, BackendResponse
 
 from heronladder_agent.adapters import BackendAdapter
 from heronladder_agent.errors import BackendError, BackendUnreachableError
@@ -37,7 +37,7 @@
             )
         return self._session
 
-    async def open(self, call: BackendCall) -> BackendAnswer:
+    async def open(self, call: BackendCall) -> BackendResponse:
         """Send a call and return its answer as it comes."""
         dispatch = call.dispatch
         headers = {
@@ -67,7 +67,7 @@
                 f"the back end answered request {echoed}", step="match", peer=self._address
             )
         content_type = response.headers.get("Content-Type", "application/octet-stream")
-        return BackendAnswer(response.status, content_type, self._chunks(response))
+        return BackendResponse(response.status, content_type, self._chunks(response))
 
     async def _chunks(self, response: aiohttp.ClientResponse) -> AsyncIterator[bytes]:
         try:
--- a/packages/heronladder-agent/src/heronladder_agent/records.py
+++ b/packages/heronladder-agent/src/heronladder_agent/records.py
@@ -8,10 +8,10 @@
 import asyncio
 from dataclasses import dataclass
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.errors import PeerUnavailableError
-from heronladder_runtime.pulse import Pulse
 from heronladder_schema.v1 import agent_pb2, control_pb2, ledger_pb2
 
 _SEND_TIMEOUT_S = 5.0
@@ -48,8 +48,8 @@
         self._environment = environment
         self._grace_s = grace_s
         self._held: dict[tuple[int, int], HeldRecord] = {}
-        self._due = Pulse()
-        self.changed = Pulse()
+        self._due = ChangeSignal()
+        self.changed = ChangeSignal()
 
     def __len__(self) -> int:
         return len(self._held)
@@ -65,7 +65,7 @@
         for reservation in settled:
             self._held.pop((reservation.lease_id, reservation.sequence), None)
         if settled:
-            self.changed.give()
+            self.changed.notify_waiters()
 
     def holds_any_of(self, router: RouterKey) -> bool:
         """Whether a bill made for a router's incarnation is still held."""
@@ -76,7 +76,7 @@
         for record in self._held.values():
             if record.router == router:
                 record.due_s = 0.0
-        self._due.give()
+        self._due.notify_waiters()
 
     async def run(self, link: ControlLink) -> None:
         """Send bills whose grace time is over, for ever."""
@@ -98,4 +98,4 @@
         for record in due:
             key = (record.settlement.lease_id, record.settlement.sequence)
             self._held.pop(key, None)
-        self.changed.give()
+        self.changed.notify_waiters()
--- a/packages/heronladder-agent/src/heronladder_agent/role.py
+++ b/packages/heronladder-agent/src/heronladder_agent/role.py
@@ -6,7 +6,7 @@
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.errors import PeerUnavailableError
-from heronladder_runtime.link_handlers import LinkHandlers
+from heronladder_runtime.link_handlers import ControlLinkHandlers
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
 from heronladder_runtime.rpc import StubFactory
@@ -84,7 +84,7 @@
             zone=options.zone,
             region=options.region,
         )
-        handlers = LinkHandlers(daemon_notice=self._notice)
+        handlers = ControlLinkHandlers(daemon_notice=self._notice)
         self.link = ControlLink(
             record, options.control_addresses, stubs, options.heartbeat_s, handlers, environment
         )
--- a/packages/heronladder-agent/src/heronladder_agent/runs.py
+++ b/packages/heronladder-agent/src/heronladder_agent/runs.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from heronladder_runtime.answers import AgentAnswer
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
-from heronladder_runtime.pulse import Pulse
+from heronladder_runtime.responses import AgentResponse
 from heronladder_schema.v1 import agent_pb2
 
 _TOMBSTONE_AGE_S = 3600.0
@@ -59,7 +59,7 @@
     dropped: int = 0
     end: agent_pb2.AnswerEnd | None = None
     refusal: agent_pb2.AnswerHead | None = None
-    changed: Pulse = field(default_factory=Pulse)
+    changed: ChangeSignal = field(default_factory=ChangeSignal)
     readers: int = 0
     held_bytes: int = 0
     ended_s: float = 0.0
@@ -70,7 +70,7 @@
         """Add a part of the answer."""
         self.chunks.append(chunk)
         self.held_bytes += len(chunk)
-        self.changed.give()
+        self.changed.notify_waiters()
 
     async def wait_for_room(self) -> None:
         """Wait while the reader lags far behind: slow readers cost no memory."""
@@ -88,7 +88,7 @@
         ):
             await self.changed.wait()
 
-    async def read(self, answer: AgentAnswer) -> AsyncIterator[bytes]:
+    async def read(self, answer: AgentResponse) -> AsyncIterator[bytes]:
         """Yield the whole answer from its start, then set ``answer.end``.
 
         When the only reader goes away early, a run whose answer is not kept is
@@ -111,14 +111,14 @@
             self.readers -= 1
             if self.state is not RunState.FINISHED and not self.dispatch.keep_answer:
                 self.abandoned = True
-                self.changed.give()
+                self.changed.notify_waiters()
 
     def _drop_read(self) -> None:
         if self.dispatch.keep_answer:
             return
         self.held_bytes -= len(self.chunks.pop(0))
         self.dropped += 1
-        self.changed.give()
+        self.changed.notify_waiters()
 
 
 class RunTable:
--- a/packages/heronladder-agent/src/heronladder_agent/server.py
+++ b/packages/heronladder-agent/src/heronladder_agent/server.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 from google.protobuf.message import DecodeError
 from heronladder_runtime import wire
-from heronladder_runtime.answers import EVENT_STREAM, AgentAnswer
+from heronladder_runtime.responses import EVENT_STREAM, AgentResponse
 from heronladder_schema.v1 import agent_pb2
 
 from heronladder_agent.gate import Gate
@@ -64,7 +64,7 @@
         return await self._whole(answer, headers)
 
     @staticmethod
-    async def _whole(answer: AgentAnswer, headers: dict[str, str]) -> web.Response:
+    async def _whole(answer: AgentResponse, headers: dict[str, str]) -> web.Response:
         assert answer.chunks is not None
         body = b"".join([chunk async for chunk in answer.chunks])
         if answer.end is not None:
@@ -74,7 +74,7 @@
 
     @staticmethod
     async def _stream(
-        request: web.Request, answer: AgentAnswer, headers: dict[str, str]
+        request: web.Request, answer: AgentResponse, headers: dict[str, str]
     ) -> web.StreamResponse:
         assert answer.chunks is not None
         response = web.StreamResponse(status=answer.status, headers=headers)
@@ -84,7 +84,7 @@
             async for chunk in answer.chunks:
                 await response.write(chunk)
             if answer.end is not None:
-                await response.write(wire.end_line(answer.end))
+                await response.write(wire.stream_end_line(answer.end))
         except ConnectionResetError:
             pass  # the router is gone; the run goes on if its answer is kept
         finally:
--- a/packages/heronladder-consensus/src/heronladder_consensus/election.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/election.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections.abc import Callable
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.errors import StorageError
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.rpc_errors import RPC_ERRORS
 from heronladder_schema.v1 import consensus_pb2
 
@@ -37,7 +37,7 @@
         self._knew_a_leader = False  # since this process started
         self._asks_for_term = 0  # of its pre-vote that is under way; 0: of none
         self._voted_s = float("-inf")  # when it gave its newest vote
-        self._overtaken = Pulse()
+        self._overtaken = ChangeSignal()
 
     async def run(self) -> None:
         """Stand whenever no leader was heard of for an election timeout."""
@@ -76,7 +76,7 @@
 
     def overtaken(self) -> None:
         """Note that this member led until it heard of a newer term."""
-        self._overtaken.give()
+        self._overtaken.notify_waiters()
 
     async def _lead_again(self) -> None:
         """Stand without patience; once more when votes just given hold no more."""
--- a/packages/heronladder-consensus/src/heronladder_consensus/member_state.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/member_state.py
@@ -7,11 +7,11 @@
 import asyncio
 from enum import Enum
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.errors import HeronladderError, StorageError
 from heronladder_runtime.invariants import invariant
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.rpc import StubFactory
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import consensus_pb2
@@ -85,8 +85,8 @@
         self.role = Role.FOLLOWER
         self.leader: str = ""
         self.last_heard_s = float("-inf")
-        self.changed = Pulse()
-        self.appended = Pulse()
+        self.changed = ChangeSignal()
+        self.appended = ChangeSignal()
         self.write_lock = asyncio.Lock()
         self._entering: asyncio.Task[StorageError | None] | None = None
 
@@ -155,7 +155,7 @@
         if membership is not None:
             entry.membership.CopyFrom(membership)
         self.log.append(entry)
-        self.appended.give()
+        self.appended.notify_waiters()
         return entry.index
 
     async def flush_locked(self) -> None:
@@ -179,7 +179,7 @@
         """Commit all entries up to ``index``."""
         if index > self.commit_index:
             self.commit_index = index
-            self.changed.give()
+            self.changed.notify_waiters()
 
     # ---- terms and roles --------------------------------------------------
 
@@ -244,5 +244,5 @@
         self.role = Role.FOLLOWER
         self.leader = ""
         self.event_log.info("leader_stepped_down", step="election", term=self.term, reason=reason)
-        self.changed.give()
-        self.appended.give()
+        self.changed.notify_waiters()
+        self.appended.notify_waiters()
--- a/packages/heronladder-consensus/src/heronladder_consensus/node.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/node.py
@@ -167,7 +167,7 @@
         self.event_log.info("leader_elected", step="election", term=self.term)
         self.replication.start_leading()
         self.membership_keeper.start_leading()
-        self.changed.give()
+        self.changed.notify_waiters()
 
     async def enter_term(self, term: int, voted_for: str = "") -> None:
         """Move to a term; one that led stands again if the newer term has no leader."""
@@ -221,7 +221,7 @@
                 # A member that cannot apply must not go on as if it had.
                 self._fail_to_apply(HeronladderError(repr(error), step="apply", peer=self.name))
                 return
-            self.changed.give()
+            self.changed.notify_waiters()
             is_due = self.applied_index - self.log.base_index >= self.timing.snapshot_entries
             if is_due and not self._saving_snapshot:
                 # Apart: a disk that holds a snapshot up must not hold up what peers commit.
--- a/packages/heronladder-consensus/src/heronladder_consensus/peer_calls.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/peer_calls.py
@@ -105,14 +105,14 @@
         )
         timeout_s = max(least_s, adaptive.timeout_s)
         began_s = self._environment.monotonic()
-        late_before_s = self._environment.lateness.total_s()
+        late_before_s = self._environment.loop_lag.total_s()
         stub = self._stubs.consensus(peer.address)
         try:
             reply = await getattr(stub, method)(request, timeout=timeout_s)
         except RPC_ERRORS:
             if self._environment.monotonic() - began_s >= timeout_s:
                 adaptive.expired()
-                late_s = self._environment.lateness.total_s() - late_before_s
+                late_s = self._environment.loop_lag.total_s() - late_before_s
                 self._report(peer.name, method, timeout_s, late_s)
             raise
         adaptive.answered(self._environment.monotonic() - began_s)
--- a/packages/heronladder-consensus/src/heronladder_consensus/replication.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/replication.py
@@ -89,7 +89,7 @@
         while node.is_leader and node.term == term:
             await asyncio.sleep(node.timing.heartbeat_s)
             now = node.environment.monotonic()
-            looks.append((now, node.environment.lateness.total_s()))
+            looks.append((now, node.environment.loop_lag.total_s()))
             while looks[0][0] < now - patience_s:
                 looks.popleft()
             late_s = looks[-1][1] - looks[0][1]
@@ -161,7 +161,7 @@
         progress.next_index = progress.match_index + 1
         progress.acknowledged_round = max(progress.acknowledged_round, sent_round)
         self.advance_commit()
-        node.changed.give()
+        node.changed.notify_waiters()
 
     async def _send_word(self, member: consensus_pb2.Member, term: int) -> None:
         """Tell a peer whose disk refuses the snapshot that this member still leads.
@@ -273,7 +273,7 @@
     def begin_round(self) -> int:
         """Begin a read round: peers are asked anew, whatever they answered before."""
         self._round += 1
-        self._node.appended.give()
+        self._node.appended.notify_waiters()
         return self._round
 
     def round_confirmed(self, read_round: int) -> bool:
--- a/packages/heronladder-consensus/src/heronladder_consensus/snapshots.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/snapshots.py
@@ -91,7 +91,7 @@
             if snapshot.meta.index <= self._node.commit_index:
                 return
             await self._install_locked(snapshot)
-        self._node.changed.give()
+        self._node.changed.notify_waiters()
 
     async def _install_locked(self, snapshot: StoredSnapshot) -> None:
         node = self._node
--- a/packages/heronladder-control/src/heronladder_control/command_packing.py
+++ b/packages/heronladder-control/src/heronladder_control/command_packing.py
@@ -10,7 +10,7 @@
 
 from heronladder_schema.v1 import control_pb2
 
-PACK_OVER_BYTES = 4_096  # smaller commands gain nothing
+COMPRESSION_THRESHOLD_BYTES = 4_096  # smaller commands gain nothing
 _PACKED = b"\x00"  # no command begins with it: field numbers begin at 1
 _LEVEL = 1  # the fastest: routes are alike, higher levels save little
 
@@ -18,7 +18,7 @@
 def encode_command(command: control_pb2.Command) -> bytes:
     """Return a command as a log entry."""
     data = command.SerializeToString()
-    if len(data) <= PACK_OVER_BYTES:
+    if len(data) <= COMPRESSION_THRESHOLD_BYTES:
         return data
     return _PACKED + zlib.compress(data, _LEVEL)
 
--- a/packages/heronladder-control/src/heronladder_control/config_feed.py
+++ b/packages/heronladder-control/src/heronladder_control/config_feed.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from typing import TYPE_CHECKING
 
-from heronladder_runtime.config_packing import PART_BYTES, pack, part, without_document
+from heronladder_runtime.config_packing import PART_BYTES, pack, part, without_source_document
 from heronladder_runtime.configuration import (
     CRASHING_REQUEST_KIND,
     EVACUATION_KIND,
@@ -128,7 +128,7 @@
         if not is_router:
             update.events.extend(wanted)
             return update
-        update.events.extend(without_document(event) for event in wanted)
+        update.events.extend(without_source_document(event) for event in wanted)
         packed = self._router_updates[key] = pack(update)
         if len(self._router_updates) > _UPDATES_KEPT:
             self._router_updates.popitem(last=False)
--- a/packages/heronladder-control/src/heronladder_control/crashes/refusals.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/refusals.py
@@ -1,9 +1,9 @@
 """When the leader refuses a suspect, and when it lets it through again."""
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
-from heronladder_runtime.pulse import Pulse
 from heronladder_schema.v1 import control_pb2
 
 from heronladder_control.crashes.table import CrashTable
@@ -53,7 +53,7 @@
         self._log = log
         self._enough_since_s: dict[str, float] = {}
         self._refused_since_s: dict[str, float] = {}
-        self.reported = Pulse()
+        self.reported = ChangeSignal()
         metrics.gauge("crashing_requests_refused", lambda: len(table.refused()))
 
     @property
@@ -100,7 +100,7 @@
         if body == "refuse_request":
             self._report_refusal(command.refuse_request)
         elif body == "report_crashes":
-            self.reported.give()
+            self.reported.notify_waiters()
             for crash in command.report_crashes.replicas:
                 self._metrics.add("crashes_reported")
                 self._log.info(
--- a/packages/heronladder-control/src/heronladder_control/daemon_builds.py
+++ b/packages/heronladder-control/src/heronladder_control/daemon_builds.py
@@ -36,7 +36,7 @@
         for session in list(self._member.sessions.values()):
             if session.hello.highest_version < version:
                 session.close()
-            session.wake.give()
+            session.wake.notify_waiters()
 
     def fill(self, session: DaemonSession, frame: control_pb2.ControlFrame) -> None:
         """Add the cluster version to a frame, if the daemon was not told of it."""
--- a/packages/heronladder-control/src/heronladder_control/daemon_session.py
+++ b/packages/heronladder-control/src/heronladder_control/daemon_session.py
@@ -1,7 +1,7 @@
 """One daemon's stream to the leader: what it was told, and what is to be said on it."""
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.config_packing import PART_BYTES
-from heronladder_runtime.pulse import Pulse
 from heronladder_schema.v1 import control_pb2
 
 from heronladder_control.lender_news import LenderNews
@@ -27,7 +27,7 @@
         self.in_force_told = 0
         self.hold_below = 0  # newest order to act by no older revision; 0: none
         self.hold_told = 0  # newest such order that was sent
-        self.wake = Pulse()
+        self.wake = ChangeSignal()
         self.closed = False
         self.answers: list[control_pb2.DaemonAnswer] = []
         self.notices: dict[str, control_pb2.DaemonNotice] = {}
@@ -49,4 +49,4 @@
     def close(self) -> None:
         """End the stream."""
         self.closed = True
-        self.wake.give()
+        self.wake.notify_waiters()
--- a/packages/heronladder-control/src/heronladder_control/fleet.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet.py
@@ -4,7 +4,7 @@
 
 from heronladder_runtime.configuration import FLEET_KIND, FLEET_NAME, REPLICA_KIND
 from heronladder_runtime.fleet_validation import validate_fleet
-from heronladder_runtime.replica_starts import is_earlier_start
+from heronladder_runtime.replica_incarnations import is_earlier_incarnation
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_control.prepaid import PrepaidTable
@@ -96,7 +96,7 @@
     def is_replaced(self, told: resources_pb2.Replica) -> bool:
         """Whether another replica registered at the address of this start of one."""
         known = self.replica(told.id)
-        return known is not None and known.replaced and not is_earlier_start(known, told)
+        return known is not None and known.replaced and not is_earlier_incarnation(known, told)
 
     @staticmethod
     def _merged(
@@ -107,10 +107,10 @@
         But for one that was only taken for replaced, and is proved to run.
         """
         merged = resources_pb2.Replica()
-        if is_earlier_start(told, known):
+        if is_earlier_incarnation(told, known):
             merged.CopyFrom(known)
             return merged
-        if is_earlier_start(known, told):
+        if is_earlier_incarnation(known, told):
             merged.CopyFrom(told)
             merged.sequence = 0
             merged.draining = told.draining or told.gone
@@ -137,10 +137,14 @@
             return success()  # it left before it ever registered
         if self._is_overtaken(told):
             return success()
-        starts = known is None or is_earlier_start(known, told)
+        starts = known is None or is_earlier_incarnation(known, told)
         before = known if known is not None else resources_pb2.Replica()
         state = self._merged(before, told, returns=order.returns)
-        if (starts or order.cold_news) and not state.gone and not is_earlier_start(told, state):
+        if (
+            (starts or order.cold_news)
+            and not state.gone
+            and not is_earlier_incarnation(told, state)
+        ):
             state.cold_ms = told.cold_ms
             state.cold_revision = index if told.cold_ms else 0
         if known is None or state != known:
@@ -168,7 +172,7 @@
             and other.id != told.id
             and other.address == told.address
             and not other.gone
-            and is_earlier_start(told, other)
+            and is_earlier_incarnation(told, other)
             for other in others
         )
 
--- a/packages/heronladder-control/src/heronladder_control/fleet_service.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet_service.py
@@ -11,9 +11,9 @@
 
 from heronladder_consensus.errors import LeadershipLostError, NotLeaderError
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
-from heronladder_runtime.cluster_versions import at_version
+from heronladder_runtime.cluster_versions import reduce_to_version
 from heronladder_runtime.configuration import EVACUATION_KIND, REPLICA_KIND
-from heronladder_runtime.replica_starts import is_earlier_start
+from heronladder_runtime.replica_incarnations import is_earlier_incarnation
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_control.cold_reports import ColdReports
@@ -146,7 +146,9 @@
         """Return what the log may hold of a replica: the rest would count as news each time."""
         command = control_pb2.Command()
         command.register_replica.replica.CopyFrom(replica)
-        return at_version(command, self._member.state.cluster_version).register_replica.replica
+        return reduce_to_version(
+            command, self._member.state.cluster_version
+        ).register_replica.replica
 
     def unreadable(self, identity: str, why: str) -> None:
         """Note a heartbeat that cannot be used; what is known of its replica stays as it is."""
@@ -253,7 +255,7 @@
         """
         replica = order.replica
         known = self._member.state.fleet.replica(replica.id)
-        if not replica.gone or known is None or not is_earlier_start(replica, known):
+        if not replica.gone or known is None or not is_earlier_incarnation(replica, known):
             return False
         self._member.metrics.add("leaves_of_earlier_starts")
         self._member.log.info(
--- a/packages/heronladder-control/src/heronladder_control/in_force.py
+++ b/packages/heronladder-control/src/heronladder_control/in_force.py
@@ -117,7 +117,7 @@
         self._commits.clear()
         self._looked_s = now
 
-    def note_contact(self, name: str) -> None:
+    def record_leader_contact(self, name: str) -> None:
         """Note a sign of a daemon whose stream is not open yet."""
         progress = self.daemons.get(name)
         if progress is not None:
--- a/packages/heronladder-control/src/heronladder_control/leader_asks.py
+++ b/packages/heronladder-control/src/heronladder_control/leader_asks.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, SilenceWatch, within
-from heronladder_runtime.cluster_versions import at_version, is_allowed
+from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, SilenceWatch, wait_excluding_loop_lag
+from heronladder_runtime.cluster_versions import is_allowed, reduce_to_version
 from heronladder_runtime.rpc_errors import RPC_ERRORS
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
@@ -84,31 +84,33 @@
         asked = SilenceWatch(self._member.environment)
         while True:
             waited = asked.silence()
-            left_s = waited.left_s(patience_s)
-            if left_s <= 0:
+            remaining_s = waited.remaining_s(patience_s)
+            if remaining_s <= 0:
                 return None
             request.age_ms = int(waited.silent_s * MILLISECONDS_PER_SECOND)
             if order is not None:
                 order.sent()
-            reply = await self._ask_once(request, left_s)
+            reply = await self._ask_once(request, remaining_s)
             if reply is not None and not (reply.not_leader or self._is_too_early(reply)):
                 return reply
-            left_s = asked.silence().left_s(patience_s)
+            remaining_s = asked.silence().remaining_s(patience_s)
             if reply is not None and self._is_too_early(reply):
-                if left_s <= _VERSION_LOOK_S:
+                if remaining_s <= _VERSION_LOOK_S:
                     return reply
                 await asyncio.sleep(_VERSION_LOOK_S)
                 continue
             is_replica = request.command.HasField("register_replica")
-            if not await self._member.admission.ask(max(0.0, left_s), first=not is_replica):
+            if not await self._member.admission.ask(max(0.0, remaining_s), first=not is_replica):
                 return None
 
     async def _ask_once(
-        self, request: control_pb2.CarryRequest, left_s: float
+        self, request: control_pb2.CarryRequest, remaining_s: float
     ) -> control_pb2.CarryReply | None:
         if self._member.node.is_leader:
             try:
-                return await within(self._member.environment, left_s, self._carry(request))
+                return await wait_excluding_loop_lag(
+                    self._member.environment, remaining_s, self._carry(request)
+                )
             except TimeoutError:
                 return None
         address = self._member.leader_address()
@@ -119,11 +121,11 @@
             if not is_allowed(request.command, version):
                 return self._not_in_force(request.command)
             if self._may_be_batched(request, version):
-                return await self._relay.ask(request.command.register_replica, left_s)
+                return await self._relay.ask(request.command.register_replica, remaining_s)
             request = self._at_version(request, version)
         try:
             stub = self._member.stubs.control(address)
-            reply: control_pb2.CarryReply = await stub.Carry(request, timeout=left_s)
+            reply: control_pb2.CarryReply = await stub.Carry(request, timeout=remaining_s)
         except RPC_ERRORS:
             return None
         return reply
@@ -145,7 +147,7 @@
         """Return a request that an earlier build at the other end writes into the log as it is."""
         reduced = control_pb2.CarryRequest()
         reduced.CopyFrom(request)
-        reduced.command.CopyFrom(at_version(request.command, version))
+        reduced.command.CopyFrom(reduce_to_version(request.command, version))
         return reduced
 
     @staticmethod
--- a/packages/heronladder-control/src/heronladder_control/member.py
+++ b/packages/heronladder-control/src/heronladder_control/member.py
@@ -118,13 +118,13 @@
             )
         if body == "set_in_force":
             self.in_force_since_s = self.environment.monotonic()
-            self.in_force_changed.give()
+            self.in_force_changed.notify_waiters()
         self.fleet_service.applied(command, result)
         self.refusals.applied(command, is_leader=self.node.is_leader)
         if not self.node.is_leader:
             return
         if body in FLEET_COMMANDS or body in RESOURCE_COMMANDS:
-            self.progress.give()
+            self.progress.notify_waiters()
         self.service.applied(command, result)
         self.allotments.applied(command, result)
 
@@ -208,7 +208,7 @@
         next_drop_s = self.environment.monotonic() + _CLAIM_DROP_INTERVAL_S
         ended = EndedReplicas(self.environment)
         while self.node.is_leader:
-            seen = self.progress.given
+            seen = self.progress.notification_count
             await self.cluster_versions.tend()
             await self._name_group()
             await self._put_in_force()
@@ -222,7 +222,7 @@
                 next_drop_s += _CLAIM_DROP_INTERVAL_S
                 await self._drop_old_claims()
             await asyncio.sleep(_IN_FORCE_PAUSE_S * len(self.in_force.daemons))
-            if self.progress.given == seen:
+            if self.progress.notification_count == seen:
                 await self.progress.wait(self.cluster_versions.look_s or _CHORE_INTERVAL_S)
 
     async def _put_in_force(self) -> None:
--- a/packages/heronladder-control/src/heronladder_control/member_context.py
+++ b/packages/heronladder-control/src/heronladder_control/member_context.py
@@ -5,11 +5,15 @@
 
 from heronladder_consensus.members import find_member
 from heronladder_consensus.node import ConsensusNode
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
-from heronladder_runtime.cluster_versions import ClusterVersionError, at_version, require_allowed
+from heronladder_runtime.cluster_versions import (
+    ClusterVersionError,
+    reduce_to_version,
+    require_allowed,
+)
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.rpc import StubFactory
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import consensus_pb2, control_pb2, ledger_pb2
@@ -60,8 +64,8 @@
         self.tasks = TaskGroupOwner(self.log)
         self.prepaid_watch = PrepaidWatch(environment)
         self.in_force = InForceTracker(environment, options.freshness_s)
-        self.progress = Pulse()
-        self.in_force_changed = Pulse()
+        self.progress = ChangeSignal()
+        self.in_force_changed = ChangeSignal()
         self.in_force_since_s = 0.0
         self.sessions: dict[str, DaemonSession] = {}
         self.admission = Admission(
@@ -106,7 +110,7 @@
         order.CopyFrom(command)
         order.DiscardUnknownFields()
         with self._decisions.made(order):
-            result = await self.node.propose(encode_command(at_version(order, version)))
+            result = await self.node.propose(encode_command(reduce_to_version(order, version)))
         self.metrics.observe("command", self.environment.monotonic() - started_s, body)
         return result
 
--- a/packages/heronladder-control/src/heronladder_control/prepaid_watch.py
+++ b/packages/heronladder-control/src/heronladder_control/prepaid_watch.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
-from heronladder_runtime.prepaid_window import WINDOW_HOLDS_S, paced
+from heronladder_runtime.prepaid_window import WINDOW_VALIDITY_S, rate_allowance
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
 from heronladder_control.prepaid import PrepaidTable
@@ -101,7 +101,7 @@
         known_ms = self._wall_ahead_ms.get(router, math.inf)
         self._wall_ahead_ms[router] = min(known_ms, ahead_ms)
 
-    def note_contact(self, holder: HolderKey, heartbeat: control_pb2.Heartbeat) -> None:
+    def record_leader_contact(self, holder: HolderKey, heartbeat: control_pb2.Heartbeat) -> None:
         """Take in when a router heard this leader.
 
         Only once what the heartbeat promises is in the log: by then the router may have used
@@ -150,13 +150,15 @@
         """
         order = control_pb2.ClosePrepaidHolder(holder=holder[0], incarnation=holder[1])
         silent_s = self.lived_on_s(holder)
-        if silent_s is None or silent_s >= WINDOW_HOLDS_S:
+        if silent_s is None or silent_s >= WINDOW_VALIDITY_S:
             return order
         for account in table.accounts.values():
             entry = self._entry(account, holder)
             if entry is not None and entry.HasField("promise"):
                 promise = entry.promise
-                order.charges[account.tenant] = promise.most + 1 + paced(promise.pace, silent_s)
+                order.charges[account.tenant] = (
+                    promise.most + 1 + rate_allowance(promise.pace, silent_s)
+                )
         return order
 
     def lived_on_s(self, holder: HolderKey) -> float | None:
--- a/packages/heronladder-control/src/heronladder_control/promise_notes.py
+++ b/packages/heronladder-control/src/heronladder_control/promise_notes.py
@@ -8,9 +8,9 @@
 
 import asyncio
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
 from heronladder_runtime.errors import HeronladderError
-from heronladder_runtime.pulse import Pulse
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
 from heronladder_control.daemon_session import DaemonSession
@@ -39,7 +39,7 @@
         # By router: its newest heartbeat with promises.
         self._due: dict[str, tuple[DaemonSession, control_pb2.Heartbeat]] = {}
         self._wall_ahead_ms: dict[str, int] = {}
-        self._wake = Pulse()
+        self._wake = ChangeSignal()
 
     def heartbeat(self, session: DaemonSession, heartbeat: control_pb2.Heartbeat) -> None:
         """Take in the promises of a heartbeat."""
@@ -49,13 +49,15 @@
         self._wall_ahead_ms[name] = heartbeat.wall_ms - now_ms
         self._member.prepaid_watch.wall_clock(name, heartbeat)
         if not heartbeat.promises:  # all that it promised is in the log
-            self._member.prepaid_watch.note_contact((name, session.record.incarnation), heartbeat)
+            self._member.prepaid_watch.record_leader_contact(
+                (name, session.record.incarnation), heartbeat
+            )
             return
         risen = self._risen.setdefault((name, session.record.incarnation), {})
         for tenant, promise in heartbeat.promises.items():
             risen[tenant] = promise
         self._due[name] = (session, heartbeat)
-        self._wake.give()
+        self._wake.notify_waiters()
 
     def forget(self, name: str) -> None:
         """Forget a router whose stream ended."""
@@ -100,9 +102,9 @@
             # One that was declared gone meanwhile must not rely on what was not taken.
             if self._member.state.is_current(record.name, record.incarnation):
                 holder = (record.name, record.incarnation)
-                self._member.prepaid_watch.note_contact(holder, heartbeat)
+                self._member.prepaid_watch.record_leader_contact(holder, heartbeat)
                 session.promises_noted = heartbeat.number
-                session.wake.give()
+                session.wake.notify_waiters()
 
     def _fill(self, notes: control_pb2.NotePromises) -> None:
         """Add what a leader to come needs to tell how long ago this was."""
--- a/packages/heronladder-control/src/heronladder_control/recalls.py
+++ b/packages/heronladder-control/src/heronladder_control/recalls.py
@@ -35,7 +35,7 @@
         if session is None or lease.holder == ask.holder:
             continue
         session.recalls[lease.lease_id] = keep
-        session.wake.give()
+        session.wake.notify_waiters()
 
 
 def recall_prepaid(
@@ -49,4 +49,4 @@
     for session in sessions:
         if session.record.role == ROLE_ROUTER and session.record.name != order.holder:
             session.prepaid_recalls.add(order.tenant)
-            session.wake.give()
+            session.wake.notify_waiters()
--- a/packages/heronladder-control/src/heronladder_control/registration_relay.py
+++ b/packages/heronladder-control/src/heronladder_control/registration_relay.py
@@ -10,7 +10,7 @@
 import asyncio
 from collections import deque
 
-from heronladder_runtime.clock import within
+from heronladder_runtime.clock import wait_excluding_loop_lag
 from heronladder_runtime.rpc_errors import RPC_ERRORS
 from heronladder_schema.v1 import control_pb2
 
@@ -56,7 +56,7 @@
             self._running = True
             self._member.tasks.start("registration_relay", self._run())
         try:
-            return await within(self._member.environment, left_s, answer)
+            return await wait_excluding_loop_lag(self._member.environment, left_s, answer)
         except TimeoutError:
             return None
 
--- a/packages/heronladder-control/src/heronladder_control/replica_limits.py
+++ b/packages/heronladder-control/src/heronladder_control/replica_limits.py
@@ -14,8 +14,8 @@
 from heronladder_runtime.metrics import Metrics
 from heronladder_runtime.replica_limit import (
     ENDED_REPORTED_S,
-    GRANT_HOLDS_S,
-    MOST_REPORTS,
+    GRANT_VALIDITY_S,
+    MAX_REPORTS,
     Incarnation,
     LimitReport,
     from_message,
@@ -128,7 +128,7 @@
     def holds_s(self, now_s: float) -> float:
         """Return how long a send that is granted now may be held."""
         if now_s - self.report.observed_s < _UNOBSERVED_S or now_s - self.long_s < _LONG_PAUSE_S:
-            return GRANT_HOLDS_S
+            return GRANT_VALIDITY_S
         self.long_s = now_s
         return _LONG_HOLDS_S
 
@@ -169,7 +169,7 @@
         self._known_in_term = self._term()
         self._shared.clear()
         self._asked.clear()
-        self._grants_from_s = self._environment.monotonic() + GRANT_HOLDS_S
+        self._grants_from_s = self._environment.monotonic() + GRANT_VALIDITY_S
 
     # ---- reports of routers -------------------------------------------------
 
@@ -282,11 +282,11 @@
             for incarnation, shared in self._shared.items()
             if shared.version > told
         )
-        for _, incarnation in news[:MOST_REPORTS]:
+        for _, incarnation in news[:MAX_REPORTS]:
             report = self._shared[incarnation].report
             frame.replica_limits.append(to_message(incarnation, report, now_s))
-        all_told = len(news) <= MOST_REPORTS
-        session.sent_limits = self._version if all_told else news[MOST_REPORTS - 1][0]
+        all_told = len(news) <= MAX_REPORTS
+        session.sent_limits = self._version if all_told else news[MAX_REPORTS - 1][0]
 
     def _drop_old(self, now_s: float) -> None:
         if now_s < self._next_drop_s:
--- a/packages/heronladder-control/src/heronladder_control/replica_loads.py
+++ b/packages/heronladder-control/src/heronladder_control/replica_loads.py
@@ -8,7 +8,7 @@
 import heapq
 from collections.abc import Mapping
 
-from heronladder_runtime.replica_sums import MOST_TOLD
+from heronladder_runtime.replica_load_totals import MAX_REPORTED_REPLICAS
 from heronladder_schema.v1 import control_pb2
 
 # The busiest are chosen anew so often while all routers tell once: at each word of 300 routers
@@ -64,9 +64,11 @@
 
         While there is room for all, all: each is told at once, and none is sorted.
         """
-        if len(self._sums) <= MOST_TOLD:
+        if len(self._sums) <= MAX_REPORTED_REPLICAS:
             return list(self._sums)
         if self._told_since * _CHOSEN_A_ROUND >= len(self._told):
             self._told_since = 0
-            self._busiest = heapq.nlargest(MOST_TOLD, self._sums, key=self._sums.__getitem__)
+            self._busiest = heapq.nlargest(
+                MAX_REPORTED_REPLICAS, self._sums, key=self._sums.__getitem__
+            )
         return self._busiest
--- a/packages/heronladder-control/src/heronladder_control/rollouts/conductor.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/conductor.py
@@ -13,7 +13,7 @@
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
 from heronladder_runtime.configuration import ROLLOUT_KIND
 from heronladder_runtime.rollouts.evidence import Evidence
-from heronladder_runtime.rollouts.verdict import Decision, Verdict, Watch
+from heronladder_runtime.rollouts.verdict import Decision, TrialMonitor, Verdict
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_control.daemons import ROLE_ROUTER
@@ -39,13 +39,15 @@
     ordered_revision: int
     began_s: float  # on this member's clock, as far as is known
     book: GrantBook
-    watch: Watch
+    watch: TrialMonitor
     told: dict[str, control_pb2.RolloutReport] = field(default_factory=dict)  # by incarnation
     told_s: dict[str, float] = field(default_factory=dict)  # when a word came last
     pace: RequestPace = field(default_factory=RequestPace)
     noted_s: float = float("-inf")
     requests_noted: int = 0
-    verdict: Verdict = field(default_factory=lambda: Verdict(Decision.GO_ON, "nothing counted yet"))
+    verdict: Verdict = field(
+        default_factory=lambda: Verdict(Decision.CONTINUE, "nothing counted yet")
+    )
 
     @property
     def requests(self) -> int:
@@ -134,12 +136,12 @@
                 record.ordered_revision,
                 self._now_s() - note.elapsed_ms / MILLISECONDS_PER_SECOND,
                 GrantBook(note.ceiling),
-                Watch(self._unread_routes()),
+                TrialMonitor(self._pending_prefill_routes()),
             )
             self._conducted[service] = known
         return known
 
-    def _unread_routes(self) -> frozenset[str]:
+    def _pending_prefill_routes(self) -> frozenset[str]:
         fleet = self._member.state.fleet.configuration()
         routes = fleet.routes if fleet is not None else ()
         return frozenset(route.name for route in routes if route.affinity)
@@ -170,8 +172,10 @@
         evidence = Evidence()
         for word in conducted.told.values():
             evidence.add(Evidence.from_messages(word.answers))
-        if record.phase in RUNNING and conducted.verdict.decision is not Decision.GO_BACK:
-            conducted.verdict = conducted.watch.judge(evidence, alone=record.phase == MOVING)
+        if record.phase in RUNNING and conducted.verdict.decision is not Decision.ROLL_BACK:
+            conducted.verdict = conducted.watch.judge(
+                evidence, without_baseline=record.phase == MOVING
+            )
         elapsed_s = self._now_s() - conducted.began_s
         conducted.pace.note(self._now_s(), conducted.requests)
         sent = sum(word.sent for word in conducted.told.values())
--- a/packages/heronladder-control/src/heronladder_control/rollouts/exposure.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/exposure.py
@@ -48,8 +48,10 @@
         least = _TRIAL_SHARE * self.share * requests + _TRIAL_SLACK * self.slack
         per_s = requests / max(elapsed_s, _RATE_KNOWN_S)
         kept = self.share * per_s * duration_s + self.slack - per_s * _KEPT_S
-        paced = min(1.0, _AT_ONCE + (1.0 - _AT_ONCE) * elapsed_s / max(duration_s, _RATE_KNOWN_S))
-        return int(max(least, min(_USABLE * self.whole(requests), kept) * paced))
+        rate_allowance = min(
+            1.0, _AT_ONCE + (1.0 - _AT_ONCE) * elapsed_s / max(duration_s, _RATE_KNOWN_S)
+        )
+        return int(max(least, min(_USABLE * self.whole(requests), kept) * rate_allowance))
 
     def newcomer(self, requests: int) -> int:
         """Return what a version may have been granted that no order has named."""
--- a/packages/heronladder-control/src/heronladder_control/rollouts/plan.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/plan.py
@@ -82,7 +82,7 @@
         A version against which nothing speaks but that its answers are too few gets more time:
         its replicas, or what routers tell of it, may have come late.
         """
-        if self.verdict.lacks_answers:
+        if self.verdict.lacks_responses:
             return self.elapsed_s >= _PROVED_WITHIN * self.duration_s
         return self.elapsed_s >= self.duration_s
 
@@ -122,7 +122,7 @@
 
 
 def _bad(view: RolloutView) -> Step | None:
-    if view.verdict.decision is Decision.GO_BACK:
+    if view.verdict.decision is Decision.ROLL_BACK:
         return Step(ROLLED_BACK, view.verdict.reason)
     return None
 
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -79,7 +79,7 @@
             return  # it was given up before its first word came
         if not self._member.leader_address():
             await self._member.admission.stream()
-        self._member.in_force.note_contact(first.hello.daemon.name)
+        self._member.in_force.record_leader_contact(first.hello.daemon.name)
         refusal = await self._register(first.hello)
         if refusal is not None:
             yield refusal
@@ -167,7 +167,7 @@
         if session is None or session.hold_below >= revision:
             return False
         session.hold_below = revision
-        session.wake.give()
+        session.wake.notify_waiters()
         return True
 
     @staticmethod
@@ -261,7 +261,7 @@
             async for frame in frames:
                 if frame.parts_received:
                     self._config_feed.confirmed(session, frame.parts_received)
-                    session.wake.give()
+                    session.wake.notify_waiters()
                 if frame.HasField("heartbeat"):
                     self._heartbeat(session, frame.heartbeat)
                 for call in frame.calls:
@@ -298,8 +298,8 @@
             heartbeat.control_time_ms / MILLISECONDS_PER_SECOND,
         )
         session.heartbeat_ack = heartbeat.number
-        session.wake.give()
-        self._member.progress.give()
+        session.wake.notify_waiters()
+        self._member.progress.notify_waiters()
 
     async def _carry_out(self, session: DaemonSession, call: control_pb2.DaemonCall) -> None:
         try:
@@ -309,7 +309,7 @@
             return
         self._parts.allotments.annotate(call.command, result)
         session.answers.append(control_pb2.DaemonAnswer(call_id=call.call_id, result=result))
-        session.wake.give()
+        session.wake.notify_waiters()
 
     async def _leave(self, session: DaemonSession) -> None:
         if self.sessions.get(session.record.name) is session:  # else a successor has its name
@@ -350,13 +350,13 @@
 
     def _wake_all(self) -> None:
         for session in self.sessions.values():
-            session.wake.give()
+            session.wake.notify_waiters()
 
     def _wake_those_behind(self, in_force_revision: int) -> None:
         for name in self._member.in_force.behind(in_force_revision):
             session = self.sessions.get(name)
             if session is not None:
-                session.wake.give()
+                session.wake.notify_waiters()
 
     def _tell_others(self, role: str, name: str, incarnation: str, *, gone: bool) -> None:
         for session in self.sessions.values():
@@ -367,7 +367,7 @@
                 previous = self._member.state.daemons.daemons[name].previous
                 if previous:
                     self._notice(session, name, previous[-1], True)
-            session.wake.give()
+            session.wake.notify_waiters()
 
     def _tell_lenders(self, name: str) -> None:
         """Tell routers that lend of another one that came, changed or went."""
@@ -375,7 +375,7 @@
         few = len(self.sessions) <= _LENDERS_TOLD_AT_ONCE
         for session in self.sessions.values():
             if session.record.lending_address and session.lenders.know(record) and few:
-                session.wake.give()
+                session.wake.notify_waiters()
 
     # ---- members and other regions ----------------------------------------------------
 
--- a/packages/heronladder-control/src/heronladder_control/state.py
+++ b/packages/heronladder-control/src/heronladder_control/state.py
@@ -7,7 +7,7 @@
 from google.protobuf.unknown_fields import UnknownFieldSet
 from heronladder_consensus.state_machine import StateMachine
 from heronladder_runtime.cluster_versions import (
-    FIRST_VERSION,
+    INITIAL_VERSION,
     LATEST_VERSION,
     ClusterVersionError,
 )
@@ -68,7 +68,7 @@
         self.evacuations = EvacuationTable(self.resources)
         self.crashes = CrashTable(self.resources)
         self.in_force_revision = 0
-        self._cluster_version = FIRST_VERSION
+        self._cluster_version = INITIAL_VERSION
         self.applied_index = 0
         self.listeners: list[_AppliedListener] = []
         self.restored: Callable[[], None] | None = None  # called after a snapshot was taken in
@@ -299,7 +299,7 @@
         self.rollouts.save(snapshot)
         self.crashes.save(snapshot)
         data = snapshot.SerializeToString(deterministic=True)
-        return data if self.cluster_version == FIRST_VERSION else _VERSIONED + data
+        return data if self.cluster_version == INITIAL_VERSION else _VERSIONED + data
 
     def digests(self) -> dict[str, str]:
         """Return a digest of the prepaid accounts: equal at members that agree on them."""
--- a/packages/heronladder-daemon/src/heronladder_daemon/admin.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/admin.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from aiohttp import web
-from heronladder_runtime.invariants import BOOK
+from heronladder_runtime.invariants import INVARIANT_COUNTERS
 from heronladder_runtime.metrics import Metrics
 
 _PROMETHEUS_TYPE = "text/plain"
@@ -40,6 +40,6 @@
 
     async def _page(self, request: web.Request) -> web.Response:
         pages = [metrics.page() for metrics in self._metrics]
-        violations = sum(BOOK.violations.values())
+        violations = sum(INVARIANT_COUNTERS.violations.values())
         pages.append(f"heronladder_invariant_violations {violations}\n".encode())
         return web.Response(body=b"".join(pages), content_type=_PROMETHEUS_TYPE)
--- a/packages/heronladder-daemon/src/heronladder_daemon/daemon.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/daemon.py
@@ -14,7 +14,7 @@
 from heronladder_runtime.metrics import Metrics
 from heronladder_runtime.rpc import GrpcStubs
 from heronladder_runtime.settings import DaemonSettings
-from heronladder_runtime.start_hint import RETRY_AT_START_S
+from heronladder_runtime.startup_retry import RETRY_AT_START_S
 
 from heronladder_daemon import early_listeners
 from heronladder_daemon.admin import AdminServer
@@ -75,7 +75,7 @@
             HeronladderError: If one cannot be started; names the step.
         """
         self.failed = asyncio.get_running_loop().create_future()
-        self._environment.lateness.start(self._log, self._metrics)
+        self._environment.loop_lag.start(self._log, self._metrics)
         roles = self.settings.roles
         if "control" in roles:
             await self._start_control()
@@ -255,5 +255,5 @@
             if server is not None:
                 await server.stop(_GRPC_STOP_GRACE_S)
         await self._stubs.close()
-        self._environment.lateness.stop()
+        self._environment.loop_lag.stop()
         self._log.info("daemon_stopped", step="stop")
--- a/packages/heronladder-daemon/src/heronladder_daemon/early_answers.py
+++ b/packages/heronladder-daemon/src/heronladder_daemon/early_answers.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from heronladder_runtime.start_hint import RETRY_AT_START_S
+from heronladder_runtime.startup_retry import RETRY_AT_START_S
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/packages/heronladder-emulator/src/heronladder_emulator/engine.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/engine.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 
 import xxhash
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
-from heronladder_runtime.pulse import Pulse
 
 from heronladder_emulator.books import Books, EngineRun
 from heronladder_emulator.prefix_cache import BLOCK_BYTES, PrefixCache, block_hashes
@@ -101,7 +101,7 @@
     failed: bool = False
     cancelled: bool = False
     arrival: int = 0
-    changed: Pulse = field(default_factory=Pulse)
+    changed: ChangeSignal = field(default_factory=ChangeSignal)
 
 
 def prompt_tokens(prompt: bytes) -> int:
@@ -149,7 +149,7 @@
         self._waiting: list[Sequence] = []
         self._running: list[Sequence] = []
         self._arrivals = 0
-        self._wake = Pulse()
+        self._wake = ChangeSignal()
         self._task: asyncio.Task[None] | None = None
         self._loads: deque[tuple[float, int, int]] = deque(maxlen=_EVENTS_KEPT)
         self._events: deque[tuple[float, int, str, int]] = deque(maxlen=_EVENTS_KEPT)
@@ -185,7 +185,7 @@
         sequence.cached_tokens = min(count, matched * BLOCK_BYTES // BYTES_PER_TOKEN)
         sequence.prefill_left = count - sequence.cached_tokens
         self._waiting.append(sequence)
-        self._wake.give()
+        self._wake.notify_waiters()
         return sequence
 
     async def tokens(self, sequence: Sequence) -> AsyncIterator[str]:
@@ -216,7 +216,7 @@
         sequence.cancelled = False
         if sequence not in self._running and not sequence.run.finished:
             self._waiting.append(sequence)
-            self._wake.give()
+            self._wake.notify_waiters()
 
     # ---- steps ------------------------------------------------------------
 
@@ -267,7 +267,7 @@
                 sequence.run.generated += 1
             if sequence.run.generated >= sequence.length:
                 sequence.run.finished = True
-            sequence.changed.give()
+            sequence.changed.notify_waiters()
         self._running = [entry for entry in self._running if not entry.run.finished]
 
     def _publish(self, added: list[int], removed: list[int]) -> None:
@@ -331,6 +331,6 @@
             for sequence in [*self._running, *self._waiting]:
                 sequence.failed = True
                 sequence.cancelled = True
-                sequence.changed.give()
+                sequence.changed.notify_waiters()
             self.cache.clear()
-        self._wake.give()
+        self._wake.notify_waiters()
--- a/packages/heronladder-emulator/src/heronladder_emulator/memory_stubs.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/memory_stubs.py
@@ -44,7 +44,7 @@
         """Return a stub of the Lending service of the process at an address."""
         return _Stub(self._network, self._name, self._network.resolve(address), "lending")
 
-    async def greeted(self, address: str) -> None:
+    async def wait_for_greeting(self, address: str) -> None:
         """Return at once: streams here need no connection."""
 
     async def close(self) -> None:
--- a/packages/heronladder-emulator/src/heronladder_emulator/network.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/network.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from heronladder_runtime.pulse import Pulse
+from heronladder_runtime.change_signal import ChangeSignal
 
 from heronladder_emulator.network_errors import NetworkError, RefusedError
 from heronladder_emulator.pipe import BREAK_AFTER_S, PROBE_S, Pipe
@@ -108,7 +108,7 @@
         self.endpoints: dict[str, Endpoint] = {}
         self.names: dict[str, str] = {}  # process by IP number
         self._cuts: list[Cut] = []
-        self.changed = Pulse()
+        self.changed = ChangeSignal()
         self._pipes: dict[Pipe, None] = {}
 
     # ---- processes --------------------------------------------------------
@@ -187,7 +187,7 @@
         self._cuts.remove(cut)
         for pipe in list(self._pipes):
             pipe.flush()
-        self.changed.give()
+        self.changed.notify_waiters()
 
     def open(self, source: str, target: str) -> bool:
         """Whether messages get from one process to another."""
--- a/packages/heronladder-emulator/src/heronladder_emulator/pipe.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/pipe.py
@@ -6,7 +6,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any
 
-from heronladder_runtime.pulse import Pulse
+from heronladder_runtime.change_signal import ChangeSignal
 
 from heronladder_emulator.network_errors import NetworkError
 
@@ -35,7 +35,7 @@
         self._held: deque[Any] = deque()
         self._in_flight: deque[Any] = deque()
         self._last_arrival_s = 0.0
-        self._changed = Pulse()
+        self._changed = ChangeSignal()
         self._break_timer: asyncio.TimerHandle | None = None
         self._ended = False
         self.broken = False
@@ -84,7 +84,7 @@
         if self.broken:
             return
         self._arrived.append(self._in_flight.popleft())
-        self._changed.give()
+        self._changed.notify_waiters()
 
     async def writable(self) -> None:
         """Wait while the receiver lags behind."""
@@ -110,7 +110,7 @@
             if silent_s >= BREAK_AFTER_S:
                 self._break()
         part = self._arrived.popleft()
-        self._changed.give()
+        self._changed.notify_waiters()
         return part
 
     def break_off(self) -> None:
@@ -127,7 +127,7 @@
     def _break(self) -> None:
         self.broken = True
         self._network.forget(self)
-        self._changed.give()
+        self._changed.notify_waiters()
 
     def close(self) -> None:
         """Forget the stream."""
--- a/packages/heronladder-router/src/heronladder_router/agent_channel.py
+++ b/packages/heronladder-router/src/heronladder_router/agent_channel.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 from heronladder_runtime import wire
-from heronladder_runtime.answers import EVENT_STREAM, AgentAnswer
+from heronladder_runtime.responses import EVENT_STREAM, AgentResponse
 from heronladder_schema.v1 import agent_pb2
 
 from heronladder_router.errors import ChannelLostError, ChannelNotSentError
@@ -36,7 +36,7 @@
     @abstractmethod
     async def dispatch(
         self, address: str, dispatch: agent_pb2.Dispatch, body: bytes
-    ) -> AgentAnswer:
+    ) -> AgentResponse:
         """Send a dispatch; return the agent's answer as it comes.
 
         Its chunks raise ``ChannelLostError`` when the agent is lost on the way.
@@ -76,7 +76,7 @@
 
     async def dispatch(
         self, address: str, dispatch: agent_pb2.Dispatch, body: bytes
-    ) -> AgentAnswer:
+    ) -> AgentResponse:
         """Send a dispatch over HTTP."""
         headers = {wire.DISPATCH_HEADER: wire.encode(dispatch)}
         url = f"http://{address}{wire.DISPATCH_PATH}"
@@ -88,7 +88,7 @@
             raise ChannelLostError(repr(error), step="dispatch", peer=address) from error
         return await self._read_head(address, response)
 
-    async def _read_head(self, address: str, response: aiohttp.ClientResponse) -> AgentAnswer:
+    async def _read_head(self, address: str, response: aiohttp.ClientResponse) -> AgentResponse:
         text = response.headers.get(wire.HEAD_HEADER)
         if text is None:
             response.close()
@@ -97,7 +97,7 @@
             )
         head = wire.decode(agent_pb2.AnswerHead, text)
         content_type = response.headers.get("Content-Type", "")
-        answer = AgentAnswer(head, response.status, content_type)
+        answer = AgentResponse(head, response.status, content_type)
         if answer.refused:
             response.release()
             return answer
@@ -109,9 +109,9 @@
 
     @staticmethod
     async def _stream(
-        address: str, response: aiohttp.ClientResponse, answer: AgentAnswer
+        address: str, response: aiohttp.ClientResponse, answer: AgentResponse
     ) -> AsyncIterator[bytes]:
-        splitter = wire.EndSplitter()
+        splitter = wire.StreamEndParser()
         try:
             async for chunk in response.content.iter_any():
                 passed = splitter.feed(chunk)
@@ -127,7 +127,7 @@
 
     @staticmethod
     async def _whole(
-        address: str, response: aiohttp.ClientResponse, answer: AgentAnswer
+        address: str, response: aiohttp.ClientResponse, answer: AgentResponse
     ) -> AsyncIterator[bytes]:
         try:
             body = await response.read()
--- a/packages/heronladder-router/src/heronladder_router/attaching.py
+++ b/packages/heronladder-router/src/heronladder_router/attaching.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections.abc import AsyncIterator
 
-from heronladder_runtime.answers import EVENT_STREAM, AgentAnswer
-from heronladder_runtime.settlements import settlement_of
+from heronladder_runtime.responses import EVENT_STREAM, AgentResponse
+from heronladder_runtime.settlements import make_settlement
 from heronladder_schema.v1 import agent_pb2, ledger_pb2
 
 from heronladder_router.caller_answer import CallerAnswer
@@ -99,7 +99,7 @@
         return False
 
     async def _attached(
-        self, request: CallerRequest, claim: ledger_pb2.Claim, answer: AgentAnswer
+        self, request: CallerRequest, claim: ledger_pb2.Claim, answer: AgentResponse
     ) -> CallerAnswer:
         assert answer.chunks is not None
         self._parts.metrics.add("attached")
@@ -118,7 +118,7 @@
         return CallerAnswer(claim.request_id, answer.status, answer.content_type, body)
 
     async def _pass(
-        self, request: CallerRequest, claim: ledger_pb2.Claim, answer: AgentAnswer
+        self, request: CallerRequest, claim: ledger_pb2.Claim, answer: AgentResponse
     ) -> AsyncIterator[bytes]:
         """Yield an event stream that another router had begun; then see to its bill."""
         assert answer.chunks is not None
@@ -136,7 +136,7 @@
         yield DONE_EVENT
 
     async def _settle(
-        self, request: CallerRequest, claim: ledger_pb2.Claim, answer: AgentAnswer
+        self, request: CallerRequest, claim: ledger_pb2.Claim, answer: AgentResponse
     ) -> None:
         """Send the bill of an answer that another router had begun.
 
@@ -153,7 +153,7 @@
             tenant=claim.tenant,
             service=request.service,
         )
-        settlement = settlement_of(dispatch, answer.end, already_billed=claim.already_billed)
+        settlement = make_settlement(dispatch, answer.end, already_billed=claim.already_billed)
         await self._parts.bookkeeper.settle_durably(settlement, claim.agent)
 
 
--- a/packages/heronladder-router/src/heronladder_router/attempt.py
+++ b/packages/heronladder-router/src/heronladder_router/attempt.py
@@ -3,8 +3,8 @@
 import asyncio
 from dataclasses import dataclass
 
-from heronladder_runtime.answers import AgentAnswer
-from heronladder_runtime.settlements import lost_settlement, not_run_settlement, settlement_of
+from heronladder_runtime.responses import AgentResponse
+from heronladder_runtime.settlements import lost_settlement, make_settlement, not_run_settlement
 from heronladder_schema.v1 import agent_pb2, ledger_pb2
 
 from heronladder_router.bookkeeping import Bookkeeper
@@ -31,7 +31,7 @@
     reservation: Reservation
     address: str
     agent: str
-    answer: AgentAnswer | None = None
+    answer: AgentResponse | None = None
     claim: ledger_pb2.Claim | None = None
     earlier_billed: bool = False
     settled: bool = False
@@ -51,7 +51,7 @@
 
     async def bill(self, bookkeeper: Bookkeeper, end: agent_pb2.AnswerEnd) -> None:
         """Settle the attempt as its agent says it ended; wait until that is durable."""
-        settlement = settlement_of(self.dispatch, end, already_billed=self.already_billed)
+        settlement = make_settlement(self.dispatch, end, already_billed=self.already_billed)
         durable = self._settle(bookkeeper, settlement)
         await bookkeeper.wait_durable(durable, settlement, self.agent)
 
--- a/packages/heronladder-router/src/heronladder_router/bookkeeping.py
+++ b/packages/heronladder-router/src/heronladder_router/bookkeeping.py
@@ -72,7 +72,7 @@
         """
         done, _ = await asyncio.wait([durable], timeout=self._settle_wait_s)
         if not done:
-            await self._witnesses.give(settlement, agent)
+            await self._witnesses.notify_waiters(settlement, agent)
 
     async def billed_before(self, durable: asyncio.Future[Standing]) -> bool | None:
         """Return whether another bill went before one just settled; None if unknown."""
--- a/packages/heronladder-router/src/heronladder_router/confirmations.py
+++ b/packages/heronladder-router/src/heronladder_router/confirmations.py
@@ -7,10 +7,10 @@
 can have been forgotten.
 """
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.errors import PeerUnavailableError
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import control_pb2
 
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self._agents: dict[ReservationKey, AgentKey] = {}
-        self.closed = Pulse()
+        self.closed = ChangeSignal()
 
     def open(self, reservation: Reservation, agent: str, incarnation: str) -> None:
         """Note that an attempt under a reservation goes to an agent."""
@@ -36,7 +36,7 @@
     def close(self, reservation: Reservation) -> None:
         """Note that a reservation's settlement is durable."""
         if self._agents.pop((reservation.lease_id, reservation.sequence), None) is not None:
-            self.closed.give()
+            self.closed.notify_waiters()
 
     async def wait_all_closed(self, opened: list[ReservationKey]) -> None:
         """Wait until all of some reservations are settled."""
--- a/packages/heronladder-router/src/heronladder_router/crash_reports.py
+++ b/packages/heronladder-router/src/heronladder_router/crash_reports.py
@@ -13,7 +13,7 @@
 from heronladder_runtime.errors import HeronladderError
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
-from heronladder_runtime.replica_starts import is_earlier_start
+from heronladder_runtime.replica_incarnations import is_earlier_incarnation
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
@@ -120,7 +120,7 @@
         records = {record.id: record for record in self._link.configuration.replicas()}
         for key, loss in list(self._open.items()):
             now = records.get(loss.record.id)
-            if now is not None and (now.replaced or is_earlier_start(loss.record, now)):
+            if now is not None and (now.replaced or is_earlier_incarnation(loss.record, now)):
                 self._crashed(key, "replaced")
         self._forget_old()
 
--- a/packages/heronladder-router/src/heronladder_router/errors.py
+++ b/packages/heronladder-router/src/heronladder_router/errors.py
@@ -1,7 +1,7 @@
 """Errors of a router; each knows how it is told to the caller."""
 
 from heronladder_runtime.errors import HeronladderError
-from heronladder_runtime.start_hint import RETRY_AT_START_S
+from heronladder_runtime.startup_retry import RETRY_AT_START_S
 from heronladder_schema.v1 import ledger_pb2
 
 OUTCOME_WORDS = {
--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -3,12 +3,12 @@
 import math
 from collections.abc import Collection
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 from heronladder_runtime.configuration import ConfigurationStore
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
-from heronladder_runtime.pulse import Pulse
-from heronladder_runtime.replica_starts import is_earlier_start
+from heronladder_runtime.replica_incarnations import is_earlier_incarnation
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_router.decisions.availability import Availability
@@ -80,7 +80,7 @@
         )
         self._zones = EvacuatedZones()
         self._far_sends = FarSends(environment)
-        self.changed = Pulse()
+        self.changed = ChangeSignal()
         self.loads = SharedLoads(lambda: self._replicas.values(), environment)
         metrics = metrics or Metrics()
         self.availability = ReplicaAvailability(environment, metrics, log, self._usable_changed)
@@ -96,7 +96,7 @@
         for record in self._configuration.replicas():
             replica = earlier.get(record.id)
             # A later start holds and knows nothing of before, nor what was held against it.
-            new = replica is None or is_earlier_start(replica.record, record)
+            new = replica is None or is_earlier_incarnation(replica.record, record)
             if replica is None or new:
                 replica = FleetReplica(record, KeptParts(self._memory(record.service)))
             self._report(replica, record, new=new)
@@ -112,7 +112,7 @@
     def _usable_changed(self) -> None:
         self._sort_by_service()
         self.versions.rebuild(self._serving)
-        self.changed.give()
+        self.changed.notify_waiters()
 
     def _sort_by_service(self) -> None:
         """Sort the replicas that neither leave nor are misdirected."""
--- a/packages/heronladder-router/src/heronladder_router/forwarding.py
+++ b/packages/heronladder-router/src/heronladder_router/forwarding.py
@@ -1,8 +1,8 @@
 """Forwarding: from an admitted request to its answer, over as many attempts as allowed."""
 
-from heronladder_runtime.answers import EVENT_STREAM, AgentAnswer
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
 from heronladder_runtime.invariants import invariant
+from heronladder_runtime.responses import EVENT_STREAM, AgentResponse
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import agent_pb2, ledger_pb2
 
@@ -261,7 +261,7 @@
             directory.ended(replica)
             raise
 
-    async def _refused(self, attempt: Attempt, answer: AgentAnswer) -> None:
+    async def _refused(self, attempt: Attempt, answer: AgentResponse) -> None:
         """Go on after a refusal, which proves that the attempt never runs."""
         refusal = answer.head.refusal
         invariant(
@@ -353,7 +353,7 @@
         return await self._whole(request, replica, attempt, answer)
 
     async def _whole(
-        self, request: CallerRequest, replica: Replica, attempt: Attempt, answer: AgentAnswer
+        self, request: CallerRequest, replica: Replica, attempt: Attempt, answer: AgentResponse
     ) -> CallerAnswer:
         """Read an answer that comes in one piece, and bill it."""
         assert answer.chunks is not None
--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -237,11 +237,11 @@
             BehindError: If nothing was sent yet: other gateways can serve it.
         """
         standing = self._parts.link.standing
-        if not standing.must_hold:
+        if not standing.must_not_act:
             return
         if not sends.count:
             raise BehindError("a newer configuration is in force", step="send")
-        await standing.wait_until_it_may_act()
+        await standing.wait_until_allowed_to_act()
 
     def _log_send(
         self,
--- a/packages/heronladder-router/src/heronladder_router/gateway_readiness.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_readiness.py
@@ -42,7 +42,7 @@
         self._ready_since_s = -math.inf
         if limit_ms:
             metrics.gauge("heartbeat_round_trip_seconds", lambda: link.round_trip_s)
-            metrics.gauge("loop_late_seconds", lambda: link.loop_late_s)
+            metrics.gauge("loop_late_seconds", lambda: link.timer_lag_s)
             metrics.gauge("gateway_behind", lambda: int(self.behind))
 
     @property
@@ -64,13 +64,13 @@
         view = ReadinessView(
             limit_ms=self._limit_ms,
             link_ms=self._link.round_trip_s * MILLISECONDS_PER_SECOND,
-            loop_ms=self._link.loop_late_s * MILLISECONDS_PER_SECOND,
+            loop_ms=self._link.timer_lag_s * MILLISECONDS_PER_SECOND,
             own=own,
             others=others,
             gateways=self._link.routers,
             behind_s=None if since_s is None else now_s - since_s,
             ready_s=now_s - self._ready_since_s,
-            heard_s=now_s - self._link.heard_since_s,
+            heard_s=now_s - self._link.first_frame_s,
         )
         decided = judge_readiness(view)
         if decided.ready is not self.behind:
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -6,7 +6,7 @@
 
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
-from heronladder_runtime.link_handlers import LinkHandlers
+from heronladder_runtime.link_handlers import ControlLinkHandlers
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
 from heronladder_runtime.rpc import StubFactory
@@ -108,7 +108,7 @@
         self.metrics = Metrics()
         self.log = EventLog("gateway", options.name)
         self._tasks = TaskGroupOwner(self.log)
-        handlers = LinkHandlers(rejected=self._begin_new_incarnation)
+        handlers = ControlLinkHandlers(rejected=self._begin_new_incarnation)
         self.link = ControlLink(
             self._record(),
             options.control_addresses,
@@ -121,7 +121,7 @@
         self.routes = HostRouteTable(self.link.configuration, options.names.key_scheme)
         self.tokens = self._make_tokens(stubs)
         self.replicas = self._make_replicas()
-        handlers.session_began = self.tokens.held.session_began
+        handlers.session_started = self.tokens.held.session_started
         handlers.fill_heartbeat = self._fill_heartbeat
         self.places = self._make_places()
         self.readiness = GatewayReadiness(
@@ -186,13 +186,13 @@
         )
         return TokenAccess(lending, self.link, stubs, self._environment, self.metrics, self.log)
 
-    def _join_limits(self, handlers: LinkHandlers) -> None:
+    def _join_limits(self, handlers: ControlLinkHandlers) -> None:
         self.replicas.availability.gateways = lambda: self.link.routers
         limits = self.replicas.limits
         limits.gateway = self.options.name
         limits.gateways = self._gateways_known
         limits.leader_heard_s = lambda: self.link.standing.last_contact_s
-        limits.beat_now = self.link.beat_now
+        limits.send_heartbeat_now = self.link.send_heartbeat_now
         handlers.replica_limits = limits.take
         self.metrics.gauge("replicas_leaving", lambda: self.replicas.availability.leaving)
         self.metrics.gauge("replicas_backing_off", lambda: self.replicas.availability.backing_off)
@@ -306,7 +306,7 @@
             self._look_at_load()
         silent_s = self._environment.monotonic() - self.link.last_heard_s
         heard = silent_s < self.options.stale_limit_s
-        held = self.link.standing.must_hold
+        held = self.link.standing.must_not_act
         return (
             self.server.ready
             and heard
--- a/packages/heronladder-router/src/heronladder_router/gateway_server.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_server.py
@@ -178,7 +178,7 @@
             raise StoppingError("this gateway is stopping", step=_STEP)
         if not self.ready:
             raise NotReadyError("no configuration is known yet", step=_STEP)
-        if self._link.standing.must_hold:
+        if self._link.standing.must_not_act:
             raise BehindError("a newer configuration is in force", step=_STEP)
         target = request.raw_path
         matched = self._routes.find(
--- a/packages/heronladder-router/src/heronladder_router/leases.py
+++ b/packages/heronladder-router/src/heronladder_router/leases.py
@@ -7,12 +7,12 @@
 import asyncio
 from dataclasses import dataclass, field
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.errors import PeerUnavailableError
 from heronladder_runtime.invariants import invariant
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
@@ -75,7 +75,7 @@
     rate_at_s: float = 0.0
     largest_recent: int = 0
     refusal: control_pb2.CommandResult | None = None
-    changed: Pulse = field(default_factory=Pulse)
+    changed: ChangeSignal = field(default_factory=ChangeSignal)
 
 
 class LeaseManager:
@@ -178,7 +178,7 @@
         state = self._budgets[reservation.budget]
         if state.lease is not lease:
             self._tasks.start("return_old_lease", self._give_back(lease, lease.available))
-        state.changed.give()
+        state.changed.notify_waiters()
 
     # ---- size of a lease --------------------------------------------------
 
@@ -222,7 +222,7 @@
             pass
         finally:
             state.asking = False
-            state.changed.give()
+            state.changed.notify_waiters()
 
     async def _send_ask(
         self, state: _BudgetState, command: control_pb2.Command, *, urgent: bool
@@ -234,7 +234,7 @@
         state.refusal = result if refused else None
         if result.HasField("lease"):
             self._take_lease(state, result.lease)
-        state.changed.give()
+        state.changed.notify_waiters()
         if refused and urgent:
             # Others are being asked to give back; look again soon, not at once.
             await asyncio.sleep(_RETRY_PAUSE_S)
@@ -313,7 +313,7 @@
             state.lease = None
             state.ask_number = 0
             state.refusal = None
-            state.changed.give()
+            state.changed.notify_waiters()
         self._log.warning("leases_dropped", step="drop_leases")
 
     def available(self, budget: str) -> int:
--- a/packages/heronladder-router/src/heronladder_router/outcome_queries.py
+++ b/packages/heronladder-router/src/heronladder_router/outcome_queries.py
@@ -9,7 +9,7 @@
 
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.settlements import lost_settlement, not_run_settlement, settlement_of
+from heronladder_runtime.settlements import lost_settlement, make_settlement, not_run_settlement
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import agent_pb2, ledger_pb2
 
@@ -118,7 +118,7 @@
         except (ChannelNotSentError, ChannelLostError):
             return None
         if answer.end is not None:
-            return settlement_of(dispatch, answer.end, already_billed=attempt.already_billed)
+            return make_settlement(dispatch, answer.end, already_billed=attempt.already_billed)
         match answer.head.refusal:
             case agent_pb2.REFUSAL_CODE_UNKNOWN_REQUEST:
                 return not_run_settlement(dispatch)
--- a/packages/heronladder-router/src/heronladder_router/replica_limits.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_limits.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.replica_limit import (
     ENDED_REPORTED_S,
-    MOST_REPORTS,
+    MAX_REPORTS,
     Incarnation,
     LimitReport,
     from_message,
@@ -97,12 +97,12 @@
         self._limited: dict[Incarnation, _Limited] = {}
         self._demand = LimitDemand()
         self._beaten_s = float("-inf")
-        self._answered = Pulse()  # given when the leader answered a heartbeat
+        self._answered = ChangeSignal()  # given when the leader answered a heartbeat
         self._answered_s = float("-inf")  # when that heartbeat was sent
         self.gateway = ""
         self.gateways: Callable[[], GatewaysKnown] = lambda: GatewaysKnown((), 1)
         self.leader_heard_s: Callable[[], float] = lambda: float("-inf")
-        self.beat_now: Callable[[], None] = lambda: None
+        self.send_heartbeat_now: Callable[[], None] = lambda: None
 
     @property
     def count(self) -> int:
@@ -165,7 +165,7 @@
         for service in self._demand.services():
             self._demand.answered(service, granted.get(service, 0), now_s)
         self._answered_s = sent_s
-        self._answered.give()
+        self._answered.notify_waiters()
 
     def _take(self, incarnation: Incarnation, report: LimitReport, how: str) -> None:
         limited = self._limited.get(incarnation)
@@ -280,7 +280,7 @@
         now_s = self._environment.monotonic()
         if now_s - self._beaten_s >= _SOON_PAUSE_S:
             self._beaten_s = now_s
-            self.beat_now()
+            self.send_heartbeat_now()
 
     def come_back_s(self, service: str) -> float:
         """Return when a caller may come back for whom no rate-limited replica had room."""
@@ -299,7 +299,7 @@
         wanted = self._wanted(now_s)
         for incarnation, limited in sorted(
             self._limited.items(), key=lambda item: item[0] not in wanted
-        )[:MOST_REPORTS]:
+        )[:MAX_REPORTS]:
             message = to_message(incarnation, limited.report, now_s)
             if incarnation in wanted:
                 message.service, message.wanted = wanted[incarnation]
--- a/packages/heronladder-router/src/heronladder_router/replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/replicas.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass
 
 import xxhash
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import ConfigurationStore
-from heronladder_runtime.pulse import Pulse
 from heronladder_schema.v1 import agent_pb2, control_pb2, resources_pb2
 
 _EJECT_FAILURES = 3
@@ -83,7 +83,7 @@
         self._by_service: dict[str, list[Replica]] = {}
         self._incarnations: dict[str, str] = {}
         self._platform_leaving: set[str] = set()
-        self.changed = Pulse()
+        self.changed = ChangeSignal()
         configuration.listen(self._rebuild)
 
     def _rebuild(self) -> None:
@@ -99,7 +99,7 @@
             by_service.setdefault(spec.service, []).append(replica)
         self._replicas = replicas
         self._by_service = by_service
-        self.changed.give()
+        self.changed.notify_waiters()
 
     def notice(self, notice: control_pb2.DaemonNotice) -> None:
         """Take in control's word on an agent's incarnation."""
@@ -115,7 +115,7 @@
             if incarnation != replica.incarnation:
                 replica.incarnation = incarnation
                 self._start_anew(replica)
-        self.changed.give()
+        self.changed.notify_waiters()
 
     def _start_anew(self, replica: Replica) -> None:
         replica.failures = 0
@@ -175,7 +175,7 @@
     def ended(self, replica: Replica) -> None:
         """Note that an attempt at a replica is over."""
         replica.outstanding -= 1
-        self.changed.give()
+        self.changed.notify_waiters()
 
     def answered(self, replica: Replica, head: agent_pb2.AnswerHead) -> None:
         """Take in what an agent said of itself with its answer."""
--- a/packages/heronladder-router/src/heronladder_router/request_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/request_tokens.py
@@ -84,7 +84,7 @@
 
     def _far_control_s(self) -> float:
         """Return what tokens take longer because control stands far away."""
-        beyond_s = max(0.0, self._link.quickest_round_trip_s - _NEAR_ROUND_TRIP_S)
+        beyond_s = max(0.0, self._link.min_round_trip_s - _NEAR_ROUND_TRIP_S)
         return min(_MOST_ADDED_S, _RESERVE_ROUND_TRIPS * beyond_s)
 
     def used(self, request: GatewayRequest, progress: AnswerProgress) -> int:
--- a/packages/heronladder-router/src/heronladder_router/role.py
+++ b/packages/heronladder-router/src/heronladder_router/role.py
@@ -5,7 +5,7 @@
 
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
-from heronladder_runtime.link_handlers import LinkHandlers
+from heronladder_runtime.link_handlers import ControlLinkHandlers
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
 from heronladder_runtime.rpc import StubFactory
@@ -101,7 +101,7 @@
             zone=options.zone,
             region=options.region,
         )
-        handlers = LinkHandlers(rejected=self._begin_new_incarnation)
+        handlers = ControlLinkHandlers(rejected=self._begin_new_incarnation)
         self.link = ControlLink(
             record, options.control_addresses, stubs, options.heartbeat_s, handlers, environment
         )
--- a/packages/heronladder-router/src/heronladder_router/rollouts/service_gate.py
+++ b/packages/heronladder-router/src/heronladder_router/rollouts/service_gate.py
@@ -6,8 +6,8 @@
 from collections.abc import Collection
 
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
-from heronladder_runtime.rollouts.evidence import Evidence, step_of
-from heronladder_runtime.rollouts.verdict import Decision, Watch
+from heronladder_runtime.rollouts.evidence import Evidence, histogram_bucket
+from heronladder_runtime.rollouts.verdict import Decision, TrialMonitor
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_router.replica_state import FleetReplica
@@ -36,7 +36,7 @@
     """
 
     def __init__(
-        self, record: resources_pb2.Rollout, now_s: float, unread_routes: Collection[str]
+        self, record: resources_pb2.Rollout, now_s: float, pending_prefill_routes: Collection[str]
     ) -> None:
         self.record = record
         self.ordered_revision = record.ordered_revision
@@ -48,7 +48,7 @@
         self.clear = False
         self.hears = True
         self._is_early = False
-        self._watch = Watch(unread_routes)
+        self._watch = TrialMonitor(pending_prefill_routes)
         self._learned_s = now_s
         self._judged_s = -math.inf
         self._sent_by_route: Counter[str] = Counter()
@@ -201,9 +201,9 @@
         side.failed += failed
         side.longest_ms = max(side.longest_ms, int(whole_s * MILLISECONDS_PER_SECOND))
         if first_s is not None:
-            side.first[step_of(first_s)] += 1
+            side.first[histogram_bucket(first_s)] += 1
         if gap_s is not None:
-            side.gap[step_of(gap_s)] += 1
+            side.gap[histogram_bucket(gap_s)] += 1
         is_due = now_s - self._judged_s >= _JUDGE_S
         if of_target and is_due and self.record.phase in _RUNNING:
             self._judged_s = now_s
@@ -213,8 +213,8 @@
         """Stop by what this gateway alone saw: it may not hear of the verdict."""
         if self.stopped:
             return
-        verdict = self._watch.judge(self.evidence, alone=self.moves)
-        if verdict.decision is Decision.GO_BACK:
+        verdict = self._watch.judge(self.evidence, without_baseline=self.moves)
+        if verdict.decision is Decision.ROLL_BACK:
             self.stopped = verdict.reason
 
     # ---- what control is told ---------------------------------------------
--- a/packages/heronladder-router/src/heronladder_router/rollouts/version_gates.py
+++ b/packages/heronladder-router/src/heronladder_router/rollouts/version_gates.py
@@ -130,7 +130,9 @@
         for service, record in records.items():
             gate = self._gates.get(service)
             if gate is None or gate.ordered_revision != record.ordered_revision:
-                gate = ServiceGate(record, self._environment.monotonic(), self._unread_routes())
+                gate = ServiceGate(
+                    record, self._environment.monotonic(), self._pending_prefill_routes()
+                )
                 self._gates[service] = gate
                 self._stops_reported.discard(service)
                 self._report(service, record)
@@ -139,7 +141,7 @@
                 self._report(service, record)
             gate.take_replicas(replicas(service))
 
-    def _unread_routes(self) -> frozenset[str]:
+    def _pending_prefill_routes(self) -> frozenset[str]:
         fleet = self._configuration.fleet()
         routes = fleet.routes if fleet is not None else ()
         return frozenset(route.name for route in routes if route.affinity)
--- a/packages/heronladder-router/src/heronladder_router/settler.py
+++ b/packages/heronladder-router/src/heronladder_router/settler.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import agent_pb2, control_pb2, ledger_pb2
 
@@ -55,9 +55,9 @@
         self._interval_s = interval_s
         self._tasks = TaskGroupOwner(log)
         self._waiting: list[_Waiting] = []
-        self._pulse = Pulse()
+        self._pulse = ChangeSignal()
         self._unconfirmed = 0
-        self._confirmed = Pulse()
+        self._confirmed = ChangeSignal()
         self._acknowledged: dict[str, list[agent_pb2.SettledReservation]] = defaultdict(list)
 
     def start(self) -> None:
@@ -78,7 +78,7 @@
         durable: asyncio.Future[Standing] = asyncio.get_running_loop().create_future()
         self._waiting.append(_Waiting(settlement, agent, durable))
         self._unconfirmed += 1
-        self._pulse.give()
+        self._pulse.notify_waiters()
         return durable
 
     def acknowledged(self, agent: str) -> list[agent_pb2.SettledReservation]:
@@ -108,7 +108,7 @@
             self._unconfirmed -= 1
             if waiting.agent:
                 self._acknowledge(waiting.settlement, waiting.agent)
-        self._confirmed.give()
+        self._confirmed.notify_waiters()
 
     def _acknowledge(self, settlement: ledger_pb2.Settlement, agent: str) -> None:
         known = self._acknowledged[agent]
--- a/packages/heronladder-router/src/heronladder_router/shared_loads.py
+++ b/packages/heronladder-router/src/heronladder_router/shared_loads.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from heronladder_runtime.clock import Environment
-from heronladder_runtime.replica_sums import MOST_TOLD
+from heronladder_runtime.replica_load_totals import MAX_REPORTED_REPLICAS
 from heronladder_schema.v1 import control_pb2
 
 from heronladder_router.replica_state import FleetReplica
@@ -51,7 +51,7 @@
         replicas = list(self._replicas())
         held = {replica.name for replica in replicas if replica.in_flight > 0}
         # Those that only this gateway sends to are among the busiest too, but it is not told them.
-        self._cut = len(held.union(loads)) >= MOST_TOLD
+        self._cut = len(held.union(loads)) >= MAX_REPORTED_REPLICAS
         for replica in replicas:
             known = replica.name in loads
             replica.others_in_flight = loads[replica.name].in_flight if known else 0
--- a/packages/heronladder-router/src/heronladder_router/streaming.py
+++ b/packages/heronladder-router/src/heronladder_router/streaming.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import AsyncIterator
 
-from heronladder_runtime.answers import EVENT_STREAM, AgentAnswer
+from heronladder_runtime.responses import EVENT_STREAM, AgentResponse
 from heronladder_runtime.tasks import TaskGroupOwner
 
 from heronladder_router.attempt import Attempt
@@ -33,7 +33,7 @@
         self._tasks = tasks
 
     def answer(
-        self, request: CallerRequest, replica: Replica, attempt: Attempt, answer: AgentAnswer
+        self, request: CallerRequest, replica: Replica, attempt: Attempt, answer: AgentResponse
     ) -> CallerAnswer:
         """Return a caller's answer that streams what the agent sends."""
         caller_answer = CallerAnswer(request.request_id, answer.status, EVENT_STREAM)
@@ -50,7 +50,7 @@
         return caller_answer
 
     async def _pass(
-        self, request: CallerRequest, attempt: Attempt, answer: AgentAnswer
+        self, request: CallerRequest, attempt: Attempt, answer: AgentResponse
     ) -> AsyncIterator[bytes]:
         """Yield an event stream; its end only once the bill is durable."""
         passed = 0
@@ -80,7 +80,7 @@
         else:
             yield DONE_EVENT
 
-    async def _resume(self, request: CallerRequest, attempt: Attempt) -> AgentAnswer | None:
+    async def _resume(self, request: CallerRequest, attempt: Attempt) -> AgentResponse | None:
         """Return the kept answer of a run whose stream was cut, from its start."""
         if not attempt.dispatch.keep_answer:
             return None
--- a/packages/heronladder-router/src/heronladder_router/tokens/held_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/held_tokens.py
@@ -176,7 +176,7 @@
         return int(balance.rate * min(self._pace.held_after_cut_s, _HORIZON_S))
 
     def _after_cut(self) -> bool:
-        return self._environment.monotonic() < self._link.regained_s + _AFTER_CUT_S
+        return self._environment.monotonic() < self._link.reconnected_s + _AFTER_CUT_S
 
     async def _draw_for(
         self, tenant: resources_pb2.PrepaidTenant, tokens: int, deadline_s: float
@@ -387,9 +387,9 @@
 
     # ---- what control is told ---------------------------------------------
 
-    def session_began(self) -> None:
+    def session_started(self) -> None:
         """Note that a new stream is open: its leader was told nothing."""
-        self.window.session_began()
+        self.window.session_started()
 
     def fill_heartbeat(self, heartbeat: control_pb2.Heartbeat) -> None:
         """Promise what control does not have yet."""
--- a/packages/heronladder-router/src/heronladder_router/tokens/window.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/window.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Iterable
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
-from heronladder_runtime.prepaid_window import PACE_FROM_S, WINDOW_HOLDS_S, paced
-from heronladder_runtime.pulse import Pulse
+from heronladder_runtime.prepaid_window import RATE_START_S, WINDOW_VALIDITY_S, rate_allowance
 from heronladder_schema.v1 import control_pb2
 
 from heronladder_router.errors import PrepaidUnavailableError
@@ -20,7 +20,7 @@
 
 # Spending that is promised ahead: the silence before the pace counts, and a way to the log and
 # back over a thin link. All of it is charged for a lost gateway.
-_ANNOUNCED_AHEAD_S = PACE_FROM_S + 0.9
+_ANNOUNCED_AHEAD_S = RATE_START_S + 0.9
 _WINDOW_WAIT_S = 0.5  # the window opens so soon that a request may wait for it
 _POLL_S = 0.01
 _OUT_OF_TOUCH_S = 1.2  # without a word of control, waiting for tokens is in vain
@@ -39,7 +39,7 @@
         self._link = link
         self._environment = environment
         self._pace = pace
-        self._confirmed = Pulse()
+        self._confirmed = ChangeSignal()
         # Promised with each heartbeat, by tenant: the most, and the pace.
         self._told: dict[int, dict[str, tuple[int, int]]] = {}
         self._tell_all = True
@@ -77,7 +77,7 @@
         while not self._allows(balance, tokens):
             # Control is told before they are used.
             balance.announce(balance.unpromised, _ANNOUNCED_AHEAD_S)
-            self._link.beat_now()
+            self._link.send_heartbeat_now()
             opens_in_s = self._opens_in_s(balance, tokens)
             if self.out_of_touch and opens_in_s <= _WINDOW_WAIT_S:
                 # Out of touch for so long that soon as much, or all, may be used.
@@ -94,23 +94,23 @@
                 )
 
     def _allows(self, balance: TokenBalance, tokens: int) -> bool:
-        if self.silent_s > WINDOW_HOLDS_S:
+        if self.silent_s > WINDOW_VALIDITY_S:
             return True
-        allowed = balance.confirmed + paced(balance.confirmed_pace, self.silent_s)
+        allowed = balance.confirmed + rate_allowance(balance.confirmed_pace, self.silent_s)
         return balance.used + tokens <= allowed
 
     def _opens_in_s(self, balance: TokenBalance, tokens: int) -> float:
         """Return when the tokens may be used if control stays silent, in seconds."""
-        all_in_s = WINDOW_HOLDS_S - self.silent_s
+        all_in_s = WINDOW_VALIDITY_S - self.silent_s
         if not balance.confirmed_pace:
             return all_in_s
         missing = balance.used + tokens - balance.confirmed
-        paced_in_s = PACE_FROM_S + missing / balance.confirmed_pace - self.silent_s
+        paced_in_s = RATE_START_S + missing / balance.confirmed_pace - self.silent_s
         return min(all_in_s, paced_in_s)
 
     # ---- what control is told ---------------------------------------------
 
-    def session_began(self) -> None:
+    def session_started(self) -> None:
         """Note that a new stream is open: its leader was told nothing."""
         self._tell_all = True
 
@@ -139,4 +139,4 @@
                 if balance is not None:
                     balance.confirmed = max(balance.confirmed, most)
                     balance.confirmed_pace = max(balance.confirmed_pace, pace)
-        self._confirmed.give()
+        self._confirmed.notify_waiters()
--- a/packages/heronladder-router/src/heronladder_router/witnesses.py
+++ b/packages/heronladder-router/src/heronladder_router/witnesses.py
@@ -34,7 +34,7 @@
         self._directory = directory
         self._zone = zone
 
-    async def give(self, settlement: ledger_pb2.Settlement, agent: str) -> None:
+    async def notify_waiters(self, settlement: ledger_pb2.Settlement, agent: str) -> None:
         """Give copies of a bill to agents other than ``agent``, which holds it already."""
         bill = agent_pb2.HeldBill(
             settlement=settlement,
--- a/packages/heronladder-runtime/src/heronladder_runtime/pulse.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/change_signal.py
@@ -3,7 +3,7 @@
 import asyncio
 
 
-class Pulse:
+class ChangeSignal:
     """Wakes all tasks that wait at the moment it is given.
 
     Tasks check their condition, wait for the next pulse, and check again. All
@@ -16,11 +16,11 @@
 
     def __init__(self) -> None:
         self._waiters: list[asyncio.Future[None]] = []
-        self.given = 0
+        self.notification_count = 0
 
-    def give(self) -> None:
+    def notify_waiters(self) -> None:
         """Wake all waiting tasks."""
-        self.given += 1
+        self.notification_count += 1
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             if not waiter.done():
--- a/packages/heronladder-runtime/src/heronladder_runtime/clock.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/clock.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import TypeVar
 
-from heronladder_runtime.loop_lateness import LoopLateness, Silence
+from heronladder_runtime.loop_lag import LoopLagMonitor, Silence
 from heronladder_runtime.process_start import boot_time_s
 
 MILLISECONDS_PER_SECOND = 1000
@@ -38,14 +38,14 @@
 
     random: Random = field(default_factory=Random)
     virtual: bool = False
-    process_began_s: float | None = None
-    lateness: LoopLateness = field(default_factory=LoopLateness)
+    process_start_s: float | None = None
+    loop_lag: LoopLagMonitor = field(default_factory=LoopLagMonitor)
 
     def process_age_s(self) -> float:
         """Return how long ago the process began, at least; 0 where that is not known."""
-        if self.process_began_s is None:
+        if self.process_start_s is None:
             return 0.0
-        return max(0.0, boot_time_s() - self.process_began_s)
+        return max(0.0, boot_time_s() - self.process_start_s)
 
     def monotonic(self) -> float:
         """Return seconds on the event loop's clock, which never goes back.
@@ -79,22 +79,24 @@
 
     def __init__(self, environment: Environment) -> None:
         self._environment = environment
-        self.note_activity()
+        self.record_activity()
 
-    def note_activity(self) -> None:
+    def record_activity(self) -> None:
         """Note that the peer is heard now."""
         self._heard_s = self._environment.monotonic()
-        self._late_before_s = self._environment.lateness.total_s()
+        self._late_before_s = self._environment.loop_lag.total_s()
 
     def silence(self) -> Silence:
         """Return how long it has not been heard."""
         return Silence(
             self._environment.monotonic() - self._heard_s,
-            self._environment.lateness.total_s() - self._late_before_s,
+            self._environment.loop_lag.total_s() - self._late_before_s,
         )
 
 
-async def within(environment: Environment, timeout_s: float, work: Awaitable[_Result]) -> _Result:
+async def wait_excluding_loop_lag(
+    environment: Environment, timeout_s: float, work: Awaitable[_Result]
+) -> _Result:
     """Return the result of what is awaited; time for which this process was late is not counted.
 
     Args:
@@ -112,9 +114,9 @@
 
         def check() -> None:
             nonlocal timer
-            left_s = watch.silence().left_s(timeout_s)
-            if left_s > 0:
-                timer = loop.call_later(max(left_s, _LEAST_TIMER_S), check)
+            remaining_s = watch.silence().remaining_s(timeout_s)
+            if remaining_s > 0:
+                timer = loop.call_later(max(remaining_s, _LEAST_TIMER_S), check)
             else:
                 limit.reschedule(loop.time())
 
--- a/packages/heronladder-runtime/src/heronladder_runtime/cluster_versions.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/cluster_versions.py
@@ -12,7 +12,7 @@
 
 from heronladder_runtime.errors import HeronladderError
 
-FIRST_VERSION = 0  # of builds that tell none
+INITIAL_VERSION = 0  # of builds that tell none
 LATEST_VERSION = 1  # that this build supports
 _COMMAND = control_pb2.Command.DESCRIPTOR
 
@@ -62,7 +62,7 @@
     )
 
 
-def at_version(command: control_pb2.Command, version: int) -> control_pb2.Command:
+def reduce_to_version(command: control_pb2.Command, version: int) -> control_pb2.Command:
     """Return a command without the fields that a cluster version does not know.
 
     Builds that do not know a field keep it in their states all the same, and those states would
--- a/packages/heronladder-runtime/src/heronladder_runtime/config_packing.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/config_packing.py
@@ -14,13 +14,13 @@
 
 from heronladder_runtime.configuration import FLEET_KIND
 
-PACK_OVER_BYTES = 4_096  # smaller updates gain nothing
+COMPRESSION_THRESHOLD_BYTES = 4_096  # smaller updates gain nothing
 PART_BYTES = 4_096  # 0.9 s, a router's patience with silence, at 36 kbit/s
 _LEVEL = 1  # the fastest: routes are alike, higher levels save little
 _MOST_UNPACKED_BYTES = 256 * 1024 * 1024  # what a sound peer never sends
 
 
-def without_document(event: control_pb2.ConfigEvent) -> control_pb2.ConfigEvent:
+def without_source_document(event: control_pb2.ConfigEvent) -> control_pb2.ConfigEvent:
     """Return the event for a router, which does not need the operator's document."""
     if event.kind != FLEET_KIND or not event.resource.fleet_configuration.source:
         return event
@@ -32,7 +32,7 @@
 
 def pack(update: control_pb2.ConfigUpdate) -> control_pb2.ConfigUpdate:
     """Return the update with its events packed, if that is worth it."""
-    if update.ByteSize() <= PACK_OVER_BYTES:
+    if update.ByteSize() <= COMPRESSION_THRESHOLD_BYTES:
         return update
     events = control_pb2.ConfigUpdate(events=update.events)
     packed = zlib.compress(events.SerializeToString(), _LEVEL)
--- a/packages/heronladder-runtime/src/heronladder_runtime/standing.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/configuration_status.py
@@ -6,10 +6,10 @@
 is in force was acknowledged to an operator or a replica, perhaps without it.
 """
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import ConfigurationStore
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.pulse import Pulse
 
 # From a state's coming into force until nobody acts by an older one. An update takes a
 # quarter of a second at 5 Mbit/s; the shortest bound of the users, 2 s, also covers 0.6 s in
@@ -21,7 +21,7 @@
 _OUT_OF_TOUCH_S = 2.5
 
 
-class ConfigurationStanding:
+class ConfigurationStatus:
     """Compares the revision held with what control has said.
 
     Args:
@@ -42,7 +42,7 @@
         self._back_s = float("-inf")  # when the newest silence of control ended
         self._behind_since_s: float | None = None
         self._act_until_s = float("inf")  # while it is behind
-        self.changed = Pulse()
+        self.changed = ChangeSignal()
         configuration.listen(self._note)
 
     @property
@@ -51,7 +51,7 @@
         return self._configuration.revision < max(self.in_force_revision, self.hold_below)
 
     @property
-    def must_hold(self) -> bool:
+    def must_not_act(self) -> bool:
         """Whether the daemon may not act by what it holds."""
         if self._configuration.revision < self.hold_below:
             return True
@@ -61,19 +61,19 @@
         in_touch = now_s - self.last_contact_s < _OUT_OF_TOUCH_S
         return in_touch and now_s >= self._act_until_s
 
-    async def wait_until_it_may_act(self) -> None:
+    async def wait_until_allowed_to_act(self) -> None:
         """Wait while the daemon must hold."""
-        while self.must_hold:
+        while self.must_not_act:
             await self.changed.wait(_BEHIND_GRACE_S)
 
-    def note_contact(self) -> None:
+    def record_leader_contact(self) -> None:
         """Note a frame of a leader."""
         now_s = self._environment.monotonic()
         if now_s - self.last_contact_s >= _OUT_OF_TOUCH_S:
             self._back_s = now_s
         self.last_contact_s = now_s
 
-    def note_in_force(
+    def record_in_force(
         self, in_force_revision: int, hold_below: int, in_force_age_s: float = 0.0
     ) -> None:
         """Note what control says is in force, and below what it asks not to act.
@@ -113,4 +113,4 @@
             self._behind_since_s = None
         if not self.behind:
             self._act_until_s = float("inf")
-        self.changed.give()
+        self.changed.notify_waiters()
--- a/packages/heronladder-runtime/src/heronladder_runtime/control_link.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/control_link.py
@@ -11,24 +11,24 @@
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment, SilenceWatch
-from heronladder_runtime.cluster_versions import FIRST_VERSION, at_version, require_allowed
+from heronladder_runtime.cluster_versions import INITIAL_VERSION, reduce_to_version, require_allowed
 from heronladder_runtime.config_packing import unpack
 from heronladder_runtime.configuration import ConfigurationStore
-from heronladder_runtime.control_ways import LONG_WAY_S, ControlWays
+from heronladder_runtime.configuration_status import ConfigurationStatus
+from heronladder_runtime.control_member_prober import LONG_CONNECT_TIME_S, ControlMemberProber
 from heronladder_runtime.errors import PeerUnavailableError, StaleConfigurationError
-from heronladder_runtime.link_handlers import LinkHandlers
-from heronladder_runtime.link_orders import take_orders
+from heronladder_runtime.link_handlers import ControlLinkHandlers
 from heronladder_runtime.link_session import (
     LinkSession,
     PendingCall,
     SessionRejectedError,
     hello,
-    longest_silence_s,
+    silence_limit_s,
 )
 from heronladder_runtime.logs import EventLog
+from heronladder_runtime.order_dispatch import dispatch_orders
 from heronladder_runtime.rpc import StubFactory
 from heronladder_runtime.rpc_errors import RPC_ERRORS
-from heronladder_runtime.standing import ConfigurationStanding
 from heronladder_runtime.tasks import TaskGroupOwner
 
 _RECONNECT_PAUSE_S = 0.1
@@ -54,7 +54,7 @@
         addresses: list[str],
         stubs: StubFactory,
         heartbeat_interval_s: float,
-        handlers: LinkHandlers,
+        handlers: ControlLinkHandlers,
         environment: Environment,
         *,
         acts_past_lease: bool = False,
@@ -70,29 +70,29 @@
         self._handlers = handlers
         self._environment = environment
         self._log = EventLog("control_link", record.name)
-        self.standing = ConfigurationStanding(self.configuration, environment, self._log)
+        self.standing = ConfigurationStatus(self.configuration, environment, self._log)
         self._tasks = TaskGroupOwner(self._log)
-        self._ways = ControlWays(stubs, self._tasks, environment, self._log)
+        self._ways = ControlMemberProber(stubs, self._tasks, environment, self._log)
         self._pending: dict[int, PendingCall] = {}
         self._last_call_id = self._heartbeat_number = 0
         self._fresh_until = 0.0
         self._session: LinkSession | None = None
         self._hint = ""
         self._failed = 0  # newest ones in a row that ended without a leader's word
-        self._wordless_streams = 0  # newest ones that were given up before a first word
+        self._unanswered_streams = 0  # newest ones that were given up before a first word
         self._leaving = False
         self._began_anew = False  # the process goes on under a new incarnation
         self._became_fresh = asyncio.Event()
         self._control_time_ms = 0
         self.last_heard_s = float("-inf")  # newest heartbeat that a leader answered
-        self.heard_since_s = float("inf")  # first word on this stream; inf: none yet
-        self.regained_s = float("-inf")  # end of the newest long silence of control
-        self.quickest_round_trip_s = 0.0  # of the heartbeats on this stream; 0: none yet
+        self.first_frame_s = float("inf")  # first word on this stream; inf: none yet
+        self.reconnected_s = float("-inf")  # end of the newest long silence of control
+        self.min_round_trip_s = 0.0  # of the heartbeats on this stream; 0: none yet
         self.round_trip_s = 0.0  # of the newest heartbeat that was acknowledged
         self._late_ms = 0  # of the silence that ended the newest stream
-        self.loop_late_s = 0.0  # how late the timer between heartbeats woke last
+        self.timer_lag_s = 0.0  # how late the timer between heartbeats woke last
         self.routers = 1  # routers that control counts, this one among them
-        self.cluster_version = FIRST_VERSION  # as control told it last; it never falls
+        self.cluster_version = INITIAL_VERSION  # as control told it last; it never falls
 
     def add_addresses(self, addresses: list[str]) -> None:
         """Learn of further addresses of control members."""
@@ -122,7 +122,7 @@
     def fresh(self) -> bool:
         """Whether the daemon may act on the configuration it holds."""
         leased = self._environment.monotonic() < self._fresh_until
-        return leased and self.rejected is None and not self.standing.must_hold
+        return leased and self.rejected is None and not self.standing.must_not_act
 
     @property
     def knows_newest(self) -> bool:
@@ -184,13 +184,15 @@
     async def _run(self) -> None:
         attempt = 0
         while self.rejected is None:
-            address, way_s = self._hint, 0.0
+            address, connect_time_s = self._hint, 0.0
             if not address:
-                address, way_s = await self._ways.choose(self._addresses, attempt, self._failed)
+                address, connect_time_s = await self._ways.choose(
+                    self._addresses, attempt, self._failed
+                )
             self._hint = ""
             attempt += 1
             try:
-                await self._run_session(address, way_s)
+                await self._run_session(address, connect_time_s)
             except RPC_ERRORS as error:
                 self._failed += 1
                 self._report_loss(address, error)
@@ -209,27 +211,27 @@
             error=repr(error),
         )
 
-    async def _run_session(self, address: str, way_s: float) -> None:
-        session = LinkSession(SilenceWatch(self._environment), way_s=way_s)
+    async def _run_session(self, address: str, connect_time_s: float) -> None:
+        session = LinkSession(SilenceWatch(self._environment), connect_time_s=connect_time_s)
         self._session = session
-        if self._handlers.session_began is not None:
-            self._handlers.session_began()
+        if self._handlers.session_started is not None:
+            self._handlers.session_started()
         self._control_time_ms = 0  # another leader's clock says nothing to this one
-        self.quickest_round_trip_s = 0.0  # nor does the way to it
-        self.heard_since_s = float("inf")
-        stub = self._stubs.control(address, patient=way_s > LONG_WAY_S)
+        self.min_round_trip_s = 0.0  # nor does the way to it
+        self.first_frame_s = float("inf")
+        stub = self._stubs.control(address, patient=connect_time_s > LONG_CONNECT_TIME_S)
         stream = stub.Session(self._frames(session))
         watchdog = self._tasks.start("watchdog", self._watch_silence(session, stream))
         try:
             async for frame in stream:
                 session.note_frame()
-                self.heard_since_s = min(self.heard_since_s, self._environment.monotonic())
+                self.first_frame_s = min(self.first_frame_s, self._environment.monotonic())
                 self.bytes_received += frame.ByteSize()
                 if frame.not_leader:
                     self._hint = frame.leader_address
                     return
                 # A member that names the leader is not the leader.
-                self._failed = self._wordless_streams = 0
+                self._failed = self._unanswered_streams = 0
                 if frame.rejected:
                     self._reject(frame.rejected, address)
                     return
@@ -237,7 +239,7 @@
         except asyncio.CancelledError:
             # gRPC raises this in the reader of a stream that was cancelled here,
             # just as if this task itself were cancelled.
-            if not session.given_up:
+            if not session.cancelled_for_silence:
                 raise
             raise TimeoutError("control was silent") from None
         finally:
@@ -260,18 +262,18 @@
 
     async def _watch_silence(self, session: LinkSession, stream: object) -> None:
         """Beat at each interval; give the stream up once control has gone silent."""
-        limit_s = longest_silence_s(self._heartbeat_interval_s)
+        limit_s = silence_limit_s(self._heartbeat_interval_s)
         while True:
             due_s = self._environment.monotonic() + self._heartbeat_interval_s
             await asyncio.sleep(self._heartbeat_interval_s)
-            self.loop_late_s = self._environment.monotonic() - due_s
-            patience_s = session.patience_s(limit_s, self._wordless_streams)
-            if session.received.silence().outlasts(patience_s):
-                session.given_up = True
-                self._wordless_streams += not session.has_word
+            self.timer_lag_s = self._environment.monotonic() - due_s
+            silence_timeout_s = session.silence_timeout_s(limit_s, self._unanswered_streams)
+            if session.received.silence().exceeds(silence_timeout_s):
+                session.cancelled_for_silence = True
+                self._unanswered_streams += not session.has_frame
                 stream.cancel()  # type: ignore[attr-defined]
                 return
-            session.beat()
+            session.request_heartbeat()
 
     async def _frames(self, session: LinkSession) -> AsyncIterator[control_pb2.DaemonFrame]:
         age_s = 0.0 if self._began_anew else self._environment.process_age_s()
@@ -294,7 +296,7 @@
         for call_id, call in self._pending.items():
             if call_id not in session.sent_calls:
                 session.sent_calls.add(call_id)
-                command = at_version(call.command, self.cluster_version)
+                command = reduce_to_version(call.command, self.cluster_version)
                 frame.calls.add(call_id=call_id, command=command)
         if session.heartbeat_due:
             session.heartbeat_due = False
@@ -307,8 +309,8 @@
             frame.heartbeat.wall_ms = self._environment.wall_ms()
             if self._handlers.fill_heartbeat is not None:
                 self._handlers.fill_heartbeat(frame.heartbeat)
-        if session.parts_told < session.parts_received:
-            session.parts_told = session.parts_received
+        if session.parts_acknowledged < session.parts_received:
+            session.parts_acknowledged = session.parts_received
             frame.parts_received = session.parts_received
         if self._leaving and not self._pending:
             frame.leaving = True
@@ -316,17 +318,17 @@
 
     # ---- frames from control ----------------------------------------------
 
-    def beat_now(self) -> None:
+    def send_heartbeat_now(self) -> None:
         """Send a heartbeat without waiting for the next interval."""
         if self._session is not None:
-            self._session.beat()
+            self._session.request_heartbeat()
 
     def _wake(self) -> None:
         if self._session is not None:
             self._session.wake.set()
 
     def _take(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
-        self.standing.note_contact()
+        self.standing.record_leader_contact()
         if frame.control_addresses:
             self._addresses = list(frame.control_addresses)
         if frame.routers:
@@ -336,7 +338,7 @@
             self._control_time_ms = frame.control_time_ms
             self._note_heard()
         if frame.HasField("config") and self._apply_configuration(session, frame.config):
-            session.beat()  # tells control at once that it is applied
+            session.request_heartbeat()  # tells control at once that it is applied
         if frame.in_force_revision or frame.hold_below:
             self._take_standing(session, frame)
         if frame.heartbeat_ack:
@@ -346,7 +348,7 @@
             call = self._pending.get(answer.call_id)
             if call is not None and not call.answer.done():
                 call.answer.set_result(answer.result)
-        take_orders(self._handlers, frame)
+        dispatch_orders(self._handlers, frame)
 
     def _apply_configuration(self, session: LinkSession, part: control_pb2.ConfigUpdate) -> bool:
         """Take a part of an update; return whether it was the last one."""
@@ -364,20 +366,20 @@
 
     def _take_standing(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
         age_s = frame.in_force_age_ms / MILLISECONDS_PER_SECOND
-        self.standing.note_in_force(frame.in_force_revision, frame.hold_below, age_s)
+        self.standing.record_in_force(frame.in_force_revision, frame.hold_below, age_s)
         if frame.hold_below:
-            session.beat()  # control waits for the promise
+            session.request_heartbeat()  # control waits for the promise
 
     def _note_heard(self) -> None:
         now_s = self._environment.monotonic()
         silent_s = now_s - self.last_heard_s
         self.last_heard_s = now_s
-        if silent_s <= longest_silence_s(self._heartbeat_interval_s):
+        if silent_s <= silence_limit_s(self._heartbeat_interval_s):
             return
         self._log.info("control_regained", step="session", silent_s=silent_s)
         if silent_s == float("inf"):
             return
-        self.regained_s = now_s
+        self.reconnected_s = now_s
         if self._handlers.control_regained is not None:
             self._handlers.control_regained()
 
@@ -390,8 +392,8 @@
         self.round_trip_s = self._environment.monotonic() - sent
         if self._handlers.replica_limits is not None:
             self._handlers.replica_limits(frame, sent)
-        quickest_s = self.quickest_round_trip_s or self.round_trip_s
-        self.quickest_round_trip_s = min(quickest_s, self.round_trip_s)
+        quickest_s = self.min_round_trip_s or self.round_trip_s
+        self.min_round_trip_s = min(quickest_s, self.round_trip_s)
         if self._leaving or not frame.freshness_ms:
             return
         until = sent + frame.freshness_ms / MILLISECONDS_PER_SECOND
--- a/packages/heronladder-runtime/src/heronladder_runtime/control_ways.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/control_member_prober.py
@@ -8,15 +8,15 @@
 
 import asyncio
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.rpc import StubFactory
 from heronladder_runtime.rpc_errors import RPC_ERRORS
 from heronladder_runtime.tasks import TaskGroupOwner
 
 #: A way that took longer gets longer tries to connect.
-LONG_WAY_S = 0.15
+LONG_CONNECT_TIME_S = 0.15
 _FAILED_BEFORE_TRIES = 2  # a first failure is mostly a leader that is lost
 _TRY_S = 3.0  # the longest way that is waited for
 _NEXT_TRY_S = 0.4  # after a cut has ended nobody waits longer for the next try
@@ -25,7 +25,7 @@
 _ANSWER_HOLDS_S = 1.0  # an answer older than that tells nothing of the way now
 
 
-class ControlWays:
+class ControlMemberProber:
     """Tries ways to control members.
 
     Args:
@@ -43,7 +43,7 @@
         self._environment = environment
         self._log = log
         self._answered: dict[str, tuple[float, float]] = {}  # when, and how long the way took
-        self._came = Pulse()
+        self._came = ChangeSignal()
 
     async def choose(self, members: list[str], first: int, failed: int) -> tuple[str, float]:
         """Return where to connect, and how long the way there took, in seconds.
@@ -84,9 +84,9 @@
 
     def _open(self, addresses: list[str]) -> tuple[str, float] | None:
         for address in addresses:
-            came_s, way_s = self._answered.pop(address, (float("-inf"), 0.0))
+            came_s, connect_time_s = self._answered.pop(address, (float("-inf"), 0.0))
             if self._environment.monotonic() - came_s < _ANSWER_HOLDS_S:
-                return address, way_s
+                return address, connect_time_s
         return None
 
     def _begin(self, address: str) -> asyncio.Event:
@@ -99,11 +99,11 @@
         began_s = self._environment.monotonic()
         try:
             async with asyncio.timeout(_TRY_S):
-                await self._stubs.greeted(address)
+                await self._stubs.wait_for_greeting(address)
             now_s = self._environment.monotonic()
             self._answered[address] = (now_s, now_s - began_s)
         except RPC_ERRORS as error:
             self._log.debug("way_not_open", step="connect", peer=address, error=repr(error))
         finally:
             ended.set()
-            self._came.give()
+            self._came.notify_waiters()
--- a/packages/heronladder-runtime/src/heronladder_runtime/disk.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/disk.py
@@ -57,7 +57,7 @@
         """Release what is held open."""
 
 
-def _note_failure(writing: asyncio.Future[None]) -> None:
+def _consume_failure(writing: asyncio.Future[None]) -> None:
     """Take a failure that nobody waits for any more; who still waits gets it as well."""
     if not writing.cancelled():
         writing.exception()
@@ -120,7 +120,7 @@
         # and memory be ahead of the disk for good.
         loop = asyncio.get_running_loop()
         writing = loop.run_in_executor(self._writer, what, name, data)
-        writing.add_done_callback(_note_failure)
+        writing.add_done_callback(_consume_failure)
         await asyncio.shield(writing)
 
     def _write_and_sync(self, name: str, data: bytes) -> None:
--- a/packages/heronladder-runtime/src/heronladder_runtime/invariants.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/invariants.py
@@ -6,7 +6,7 @@
 from heronladder_runtime.errors import InvariantViolationError, RefusedByInvariantError
 
 
-class InvariantBook:
+class InvariantCounters:
     """Counts checks and violations of each invariant of a process."""
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         self.messages.clear()
 
 
-BOOK = InvariantBook()
+INVARIANT_COUNTERS = InvariantCounters()
 _KEPT_MESSAGES = 100
 
 
@@ -48,16 +48,16 @@
         RefusedByInvariantError: If the condition does not hold, and ``refuses``.
         InvariantViolationError: If it does not hold otherwise.
     """
-    BOOK.checks[name] += 1
+    INVARIANT_COUNTERS.checks[name] += 1
     if condition:
         return
-    BOOK.violations[name] += 1
+    INVARIANT_COUNTERS.violations[name] += 1
     message = f"invariant {name} violated: {detail}"
     try:
         message += f" time={asyncio.get_running_loop().time():.3f}"
     except RuntimeError:
         pass  # outside of any loop, as in replay
-    if len(BOOK.messages) < _KEPT_MESSAGES:
-        BOOK.messages.append(f"{message} step={step} peer={peer}")
+    if len(INVARIANT_COUNTERS.messages) < _KEPT_MESSAGES:
+        INVARIANT_COUNTERS.messages.append(f"{message} step={step} peer={peer}")
     kind = RefusedByInvariantError if refuses else InvariantViolationError
     raise kind(message, step=step, peer=peer)
--- a/packages/heronladder-runtime/src/heronladder_runtime/link_handlers.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/link_handlers.py
@@ -11,7 +11,7 @@
 
 
 @dataclass
-class LinkHandlers:
+class ControlLinkHandlers:
     """What a daemon does on orders from control; each may be left out.
 
     Attributes:
@@ -34,7 +34,7 @@
     recall: RecallHandler | None = None
     daemon_notice: DaemonNoticeHandler | None = None
     rejected: RejectionHandler | None = None
-    session_began: Callable[[], None] | None = None
+    session_started: Callable[[], None] | None = None
     fill_heartbeat: Callable[[control_pb2.Heartbeat], None] | None = None
     promises_noted: Callable[[int], None] | None = None
     recall_prepaid: Callable[[str], None] | None = None
--- a/packages/heronladder-runtime/src/heronladder_runtime/link_session.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/link_session.py
@@ -41,7 +41,7 @@
     )
 
 
-def longest_silence_s(heartbeat_interval_s: float) -> float:
+def silence_limit_s(heartbeat_interval_s: float) -> float:
     """Return how long a stream that has had a word may be silent, in seconds."""
     return _SILENT_HEARTBEATS * heartbeat_interval_s
 
@@ -64,31 +64,31 @@
     heartbeat_times: dict[int, float] = field(default_factory=dict)
     parts: PartJoiner = field(default_factory=PartJoiner)
     parts_received: int = 0
-    parts_told: int = 0
+    parts_acknowledged: int = 0
     heartbeat_due: bool = True  # at once: a new leader does not know how far we are
     closed: bool = False
-    given_up: bool = False  # control was silent: the stream was cancelled here
-    way_s: float = 0.0  # how long the way there took when it was tried; 0: it was not
-    has_word: bool = False  # whether control said anything on it
+    cancelled_for_silence: bool = False  # control was silent: the stream was cancelled here
+    connect_time_s: float = 0.0  # how long the way there took when it was tried; 0: it was not
+    has_frame: bool = False  # whether control said anything on it
 
     def note_frame(self) -> None:
         """Note a frame of control."""
-        self.received.note_activity()
-        self.has_word = True
+        self.received.record_activity()
+        self.has_frame = True
 
-    def beat(self) -> None:
+    def request_heartbeat(self) -> None:
         """Have a heartbeat sent now."""
         self.heartbeat_due = True
         self.wake.set()
 
-    def patience_s(self, limit_s: float, wordless: int) -> float:
+    def silence_timeout_s(self, limit_s: float, unanswered: int) -> float:
         """Return how long it may be silent.
 
         Args:
             limit_s: For a stream that has had a word, in seconds.
             wordless: Streams in a row before it that were given up without one.
         """
-        if self.has_word:
+        if self.has_frame:
             return limit_s
-        times = max(1, min(wordless, _MOST_PATIENCE))
-        return max(times * limit_s, _WAYS_TO_A_WORD * self.way_s)
+        times = max(1, min(unanswered, _MOST_PATIENCE))
+        return max(times * limit_s, _WAYS_TO_A_WORD * self.connect_time_s)
--- a/packages/heronladder-runtime/src/heronladder_runtime/loop_lateness.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/loop_lag.py
@@ -20,7 +20,7 @@
 _REPORT_PAUSE_S = 5.0
 
 
-class LoopLateness:
+class LoopLagMonitor:
     """Sums up for how long the event loop has not come to a timer that was due."""
 
     def __init__(self) -> None:
@@ -99,14 +99,14 @@
         """The lateness in milliseconds, as log lines give it."""
         return int(self.late_s * _MS_PER_S)
 
-    def left_s(self, patience_s: float) -> float:
+    def remaining_s(self, timeout_s: float) -> float:
         """Return for how much longer the peer is waited for; at or below 0 no more.
 
         Own lateness is not counted against the peer, up to the patience again: a process that
         is always late must still come to a verdict.
         """
-        return patience_s + min(self.late_s, patience_s) - self.silent_s
+        return timeout_s + min(self.late_s, timeout_s) - self.silent_s
 
-    def outlasts(self, patience_s: float) -> bool:
+    def exceeds(self, timeout_s: float) -> bool:
         """Return whether the peer was silent for longer than the patience."""
-        return self.left_s(patience_s) <= 0.0
+        return self.remaining_s(timeout_s) <= 0.0
--- a/packages/heronladder-runtime/src/heronladder_runtime/link_orders.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/order_dispatch.py
@@ -2,10 +2,10 @@
 
 from heronladder_schema.v1 import control_pb2
 
-from heronladder_runtime.link_handlers import LinkHandlers
+from heronladder_runtime.link_handlers import ControlLinkHandlers
 
 
-def take_orders(handlers: LinkHandlers, frame: control_pb2.ControlFrame) -> None:
+def dispatch_orders(handlers: ControlLinkHandlers, frame: control_pb2.ControlFrame) -> None:
     """Give each order of a frame to its handler, if the daemon has one."""
     if handlers.recall is not None:
         for recall in frame.recalls:
--- a/packages/heronladder-runtime/src/heronladder_runtime/process_start.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/process_start.py
@@ -8,4 +8,4 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-BEGAN_S = boot_time_s()  # at the first import of this module: a little late, never early
+PROCESS_START_S = boot_time_s()  # at the first import of this module: a little late, never early
--- a/packages/heronladder-runtime/src/heronladder_runtime/replica_limit.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/replica_limit.py
@@ -13,15 +13,15 @@
 
 #: Of reports whose ages differ by less it is not known which one the replica sent last: they came
 #: over ways of different length, and this is beyond a round trip within a region.
-SAME_TIME_S = 0.2
+SIMULTANEITY_TOLERANCE_S = 0.2
 #: Sends that the leader grants may be made for so long after the heartbeat that asked for them. A
 #: new leader grants nothing for as long, so that none of its predecessor's are left: two heartbeats
 #: and a round trip.
-GRANT_HOLDS_S = 0.8
+GRANT_VALIDITY_S = 0.8
 #: The end of a limit is reported for so long: each router hears of it, and then nothing.
 ENDED_REPORTED_S = 5.0
 #: Replicas in one heartbeat or frame: 40 bytes each, 10 KB where a whole fleet is rate-limited.
-MOST_REPORTS = 256
+MAX_REPORTS = 256
 
 Incarnation = tuple[str, int]  # a replica's id, and the start that it reported in ms
 
@@ -55,9 +55,9 @@
 
 def newest(held: LimitReport | None, reported: LimitReport) -> LimitReport:
     """Return which of two reports is gone by: the later one, or of two at one time the stricter."""
-    if held is None or reported.observed_s > held.observed_s + SAME_TIME_S:
+    if held is None or reported.observed_s > held.observed_s + SIMULTANEITY_TOLERANCE_S:
         return reported
-    if held.observed_s > reported.observed_s + SAME_TIME_S:
+    if held.observed_s > reported.observed_s + SIMULTANEITY_TOLERANCE_S:
         return held
     # The stricter keeps its own time: where answers come often, a limit that rises is believed
     # as soon as nothing stricter was said for a while.
--- a/packages/heronladder-runtime/src/heronladder_runtime/replica_sums.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/replica_load_totals.py
@@ -2,4 +2,4 @@
 
 #: Replicas told at once: 20 bytes each, under a fifth of 2 KB/s at three frames a second
 #: for the replicas of one router's subset.
-MOST_TOLD = 64
+MAX_REPORTED_REPLICAS = 64
--- a/packages/heronladder-runtime/src/heronladder_runtime/answers.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/responses.py
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class BackendAnswer:
+class BackendResponse:
     """A back end's answer as it comes.
 
     Attributes:
@@ -37,7 +37,7 @@
 
 
 @dataclass
-class AgentAnswer:
+class AgentResponse:
     """An agent's answer as it comes.
 
     Attributes:
--- a/packages/heronladder-runtime/src/heronladder_runtime/rollouts/evidence.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/rollouts/evidence.py
@@ -11,18 +11,18 @@
 
 # Each step of a histogram is longer by this factor: a version 1.5 times slower moves by three
 #: 80 steps reach a minute, and some 15 of them are in use for one route.
-STEP_FACTOR = 1.15
-_LOG_STEP = math.log(STEP_FACTOR)
+BUCKET_GROWTH_FACTOR = 1.15
+_LOG_STEP = math.log(BUCKET_GROWTH_FACTOR)
 
 
-def step_of(seconds: float) -> int:
+def histogram_bucket(seconds: float) -> int:
     """Return the step of a histogram that a time belongs to."""
     milliseconds = seconds * MILLISECONDS_PER_SECOND
     return max(0, int(math.log(milliseconds) / _LOG_STEP)) if milliseconds > 1.0 else 0
 
 
 @dataclass
-class Answers:
+class ResponseTotals:
     """Answers of one route by one version.
 
     Attributes:
@@ -39,7 +39,7 @@
     gap: Counter[int] = field(default_factory=Counter)
     longest_ms: int = 0
 
-    def add(self, other: "Answers") -> None:
+    def add(self, other: "ResponseTotals") -> None:
         """Add what another one counted."""
         self.answers += other.answers
         self.failed += other.failed
@@ -47,9 +47,9 @@
         self.gap.update(other.gap)
         self.longest_ms = max(self.longest_ms, other.longest_ms)
 
-    def since(self, earlier: "Answers") -> "Answers":
+    def since(self, earlier: "ResponseTotals") -> "ResponseTotals":
         """Return what was counted after an earlier state of the same sums."""
-        return Answers(
+        return ResponseTotals(
             max(0, self.answers - earlier.answers),
             max(0, self.failed - earlier.failed),
             self.first - earlier.first,
@@ -65,24 +65,24 @@
     """Answers by route and side."""
 
     def __init__(self) -> None:
-        self.sides: dict[Key, Answers] = {}
+        self.sides: dict[Key, ResponseTotals] = {}
 
-    def side(self, route: str, *, of_target: bool) -> Answers:
+    def side(self, route: str, *, of_target: bool) -> ResponseTotals:
         """Return the sums of a route and side, to be read or added to."""
-        return self.sides.setdefault((route, of_target), Answers())
+        return self.sides.setdefault((route, of_target), ResponseTotals())
 
     def add(self, other: "Evidence") -> None:
         """Add what another one counted."""
         for key, answers in other.sides.items():
-            self.sides.setdefault(key, Answers()).add(answers)
+            self.sides.setdefault(key, ResponseTotals()).add(answers)
 
     def routes(self) -> list[str]:
         """Return the routes that were answered."""
         return sorted({route for route, _ in self.sides})
 
-    def whole(self, *, of_target: bool) -> Answers:
+    def whole(self, *, of_target: bool) -> ResponseTotals:
         """Return the sums of one side over all routes."""
-        total = Answers()
+        total = ResponseTotals()
         for (_, side), answers in self.sides.items():
             if side == of_target:
                 total.add(answers)
@@ -106,7 +106,7 @@
         """Return the sums that a heartbeat carries."""
         evidence = cls()
         for message in messages:
-            evidence.sides[(message.route, message.of_target)] = Answers(
+            evidence.sides[(message.route, message.of_target)] = ResponseTotals(
                 message.answers,
                 message.failed,
                 _counter(message.first),
--- a/packages/heronladder-runtime/src/heronladder_runtime/rollouts/verdict.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/rollouts/verdict.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from heronladder_runtime.rollouts.evidence import Answers, Evidence
+from heronladder_runtime.rollouts.evidence import Evidence, ResponseTotals
 
 # The sum at which a version is taken for bad.
 _ALARM = 4.5
@@ -72,8 +72,8 @@
 class Decision(Enum):
     """What to do with a version on trial."""
 
-    GO_ON = "go_on"
-    GO_BACK = "go_back"
+    CONTINUE = "go_on"
+    ROLL_BACK = "go_back"
     SOUND = "sound"  # it may be moved to
 
 
@@ -89,22 +89,22 @@
 
     decision: Decision
     reason: str
-    lacks_answers: bool = False
+    lacks_responses: bool = False
 
 
-class Watch:
+class TrialMonitor:
     """Follows the sums of one trial.
 
     Args:
         unread_routes: Routes whose prompts share parts, which new replicas have yet to read.
     """
 
-    def __init__(self, unread_routes: Collection[str] = ()) -> None:
-        self._unread_routes = unread_routes
-        self._seen: dict[tuple[str, bool], Answers] = {}
+    def __init__(self, pending_prefill_routes: Collection[str] = ()) -> None:
+        self._pending_prefill_routes = pending_prefill_routes
+        self._seen: dict[tuple[str, bool], ResponseTotals] = {}
         self._sums: dict[tuple[str, str], float] = {}
 
-    def judge(self, evidence: Evidence, *, alone: bool = False) -> Verdict:
+    def judge(self, evidence: Evidence, *, without_baseline: bool = False) -> Verdict:
         """Take in the newest sums and judge.
 
         Args:
@@ -112,14 +112,14 @@
             alone: Whether all requests go to the target now, so that nothing beside it tells
                 what a burst or a slow machine does to any version.
         """
-        patience = _ALONE_STEPS if alone else 0
+        patience = _ALONE_STEPS if without_baseline else 0
         whole_old = evidence.whole(of_target=False)
         whole_new = evidence.whole(of_target=True)
         unexplained = _unexplained(whole_old, whole_new)
         if unexplained >= _STOP_FAILURES:
             figures = f"{whole_new.failed}/{whole_new.answers}"
-            return Verdict(Decision.GO_BACK, f"{unexplained:.0f} failures too many; {figures}")
-        if whole_old.answers < _LEAST_OLD_ANSWERS and not alone:
+            return Verdict(Decision.ROLL_BACK, f"{unexplained:.0f} failures too many; {figures}")
+        if whole_old.answers < _LEAST_OLD_ANSWERS and not without_baseline:
             # More come: what the target answered is kept for then.
             return _too_few(f"{whole_old.answers} answers of the old version", whole_new)
         worst = (0.0, "")
@@ -141,7 +141,7 @@
                 ratio = _ratio(least, least + more, fresh.failed, fresh.answers)
                 failures[more] += ratio
                 found.append((f"failures+{more}", ratio))
-            unread = _UNREAD_STEPS if route in self._unread_routes else 0
+            unread = _UNREAD_STEPS if route in self._pending_prefill_routes else 0
             unread += patience
             found.append(
                 ("first_byte", _slow_ratio(old.first, fresh_old.first, fresh.first, unread))
@@ -154,16 +154,16 @@
             worst = max(worst, self._add("all", f"failures+{more}", ratio, whole_old, whole_new))
         worst = max(worst, _whole_sample("all", whole_old, whole_new))
         if worst[0] >= _ALARM:
-            return Verdict(Decision.GO_BACK, worst[1])
+            return Verdict(Decision.ROLL_BACK, worst[1])
         if worst[0] > _DOUBT:
-            return Verdict(Decision.GO_ON, f"in doubt: {worst[1]}")
-        return self._enough(evidence, whole_old, whole_new, alone=alone)
+            return Verdict(Decision.CONTINUE, f"in doubt: {worst[1]}")
+        return self._enough(evidence, whole_old, whole_new, without_baseline=without_baseline)
 
-    def _fresh(self, route: str, answers: Answers, *, of_target: bool) -> Answers:
+    def _fresh(self, route: str, answers: ResponseTotals, *, of_target: bool) -> ResponseTotals:
         """Return what was counted since the last judgement."""
         key = (route, of_target)
-        fresh = answers.since(self._seen.get(key, Answers()))
-        self._seen[key] = Answers(
+        fresh = answers.since(self._seen.get(key, ResponseTotals()))
+        self._seen[key] = ResponseTotals(
             answers.answers,
             answers.failed,
             answers.first.copy(),
@@ -173,7 +173,7 @@
         return fresh
 
     def _add(
-        self, route: str, test: str, ratio: float, old: Answers, new: Answers
+        self, route: str, test: str, ratio: float, old: ResponseTotals, new: ResponseTotals
     ) -> tuple[float, str]:
         key = (route, test)
         total = max(0.0, self._sums.get(key, 0.0) + ratio)
@@ -184,14 +184,16 @@
         return total, f"{test} of {route}: {total:.1f}; failed {figures}"
 
     @staticmethod
-    def _enough(evidence: Evidence, old: Answers, new: Answers, *, alone: bool) -> Verdict:
+    def _enough(
+        evidence: Evidence, old: ResponseTotals, new: ResponseTotals, *, without_baseline: bool
+    ) -> Verdict:
         count = old.answers + new.answers
         wanted = min(_ENOUGH_ANSWERS, math.ceil(_ENOUGH_PART * count))
         if new.answers < wanted:
             return _too_few(f"{new.answers} answers of {wanted}", new)
         allowed = 1 + _FEW_FAILED * _prior(old) * new.answers
         if new.answers < _ENOUGH_ANSWERS and new.failed > allowed:
-            return Verdict(Decision.GO_ON, f"{new.failed} of only {new.answers} answers failed")
+            return Verdict(Decision.CONTINUE, f"{new.failed} of only {new.answers} answers failed")
         for route in evidence.routes():
             old_answers = evidence.side(route, of_target=False).answers
             answers = evidence.side(route, of_target=True).answers
@@ -199,23 +201,23 @@
             if old_answers + answers < _RARE_ROUTE * count:
                 continue
             # Alone, the old version answers nothing more: waiting for it would end a good one.
-            if old_answers < min(_LEAST_OLD_TIMES, part) and not alone:
+            if old_answers < min(_LEAST_OLD_TIMES, part) and not without_baseline:
                 return _too_few(f"{old_answers} answers of {route}, old version", new)
             if answers < min(_ENOUGH_OF_ROUTE, part):
                 return _too_few(f"{answers} answers of {route}", new)
         return Verdict(Decision.SOUND, f"sound in {new.answers} answers, {new.failed} failed")
 
 
-def _too_few(reason: str, new: Answers) -> Verdict:
-    return Verdict(Decision.GO_ON, reason, lacks_answers=not new.failed)
+def _too_few(reason: str, new: ResponseTotals) -> Verdict:
+    return Verdict(Decision.CONTINUE, reason, lacks_responses=not new.failed)
 
 
-def _prior(old: Answers) -> float:
+def _prior(old: ResponseTotals) -> float:
     """Return the share that fails of an old version that is hardly known."""
     return (old.failed + _PRIOR_FAILED) / (old.answers + _PRIOR_ANSWERS)
 
 
-def _unexplained(old: Answers, new: Answers) -> float:
+def _unexplained(old: ResponseTotals, new: ResponseTotals) -> float:
     """Return the target's failures beyond what the old version's share explains, at the most."""
     share = _prior(old)
     if old.answers < _LEAST_OLD_ANSWERS:
@@ -225,7 +227,7 @@
     return new.failed - share * new.answers - _STOP_ERRORS * math.sqrt(spread)
 
 
-def _whole_sample(route: str, old: Answers, new: Answers) -> tuple[float, str]:
+def _whole_sample(route: str, old: ResponseTotals, new: ResponseTotals) -> tuple[float, str]:
     """Return standard errors by which the target's failures are over the old version's, and why.
 
     The sums above go by what was known of the old version at each moment, which is little at
--- a/packages/heronladder-runtime/src/heronladder_runtime/rpc.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/rpc.py
@@ -54,7 +54,7 @@
             patient: Whether the way there is known to be open and long.
         """
 
-    async def greeted(self, address: str) -> None:
+    async def wait_for_greeting(self, address: str) -> None:
         """Open a connection, and return once the server there has said something.
 
         Raises:
@@ -100,7 +100,7 @@
         """Return a stub of the Control service at ``address``."""
         return ControlStub(self._channel(address, patient=patient))
 
-    async def greeted(self, address: str) -> None:
+    async def wait_for_greeting(self, address: str) -> None:
         """Open a connection, and return once the server there has said something.
 
         A gRPC server sends its settings first, so no more than that is awaited; one that speaks TLS
--- a/packages/heronladder-runtime/src/heronladder_runtime/settlements.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/settlements.py
@@ -8,7 +8,7 @@
     return dispatch.reserved_prompt + dispatch.reserved_completion
 
 
-def settlement_of(
+def make_settlement(
     dispatch: agent_pb2.Dispatch, end: agent_pb2.AnswerEnd, *, already_billed: bool = False
 ) -> ledger_pb2.Settlement:
     """Return the settlement of an attempt.
@@ -50,10 +50,10 @@
 def lost_settlement(dispatch: agent_pb2.Dispatch) -> ledger_pb2.Settlement:
     """Return the settlement of an attempt whose agent was lost: charged, not billed."""
     end = agent_pb2.AnswerEnd(outcome=ledger_pb2.OUTCOME_UNKNOWN)
-    return settlement_of(dispatch, end)
+    return make_settlement(dispatch, end)
 
 
 def not_run_settlement(dispatch: agent_pb2.Dispatch) -> ledger_pb2.Settlement:
     """Return the settlement of an attempt proved not to have run."""
     end = agent_pb2.AnswerEnd(outcome=ledger_pb2.OUTCOME_NOT_RUN)
-    return settlement_of(dispatch, end)
+    return make_settlement(dispatch, end)
--- a/packages/heronladder-runtime/src/heronladder_runtime/wire.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/wire.py
@@ -36,12 +36,12 @@
     return kind.FromString(base64.b64decode(text, validate=True))
 
 
-def end_line(end: Message) -> bytes:
+def stream_end_line(end: Message) -> bytes:
     """Return the last line of an event stream."""
     return END_MARK + encode(end).encode("ascii") + b"\n\n"
 
 
-class EndSplitter:
+class StreamEndParser:
     """Splits the end line off an event stream that comes in arbitrary parts."""
 
     def __init__(self) -> None:
--- a/packages/heronladder-tools/src/heronladder_tools/crowd_clients.py
+++ b/packages/heronladder-tools/src/heronladder_tools/crowd_clients.py
@@ -14,7 +14,7 @@
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.errors import HeronladderError
-from heronladder_runtime.link_handlers import LinkHandlers
+from heronladder_runtime.link_handlers import ControlLinkHandlers
 from heronladder_runtime.rpc import GrpcStubs
 from heronladder_schema.v1 import control_pb2, ledger_pb2, resources_pb2
 
@@ -52,7 +52,7 @@
             addresses,
             self._stubs,
             _HEARTBEAT_S,
-            LinkHandlers(fill_heartbeat=self._fill),
+            ControlLinkHandlers(fill_heartbeat=self._fill),
             self._environment,
             acts_past_lease=True,
         )
--- a/packages/heronladder-tools/src/heronladder_tools/demo.py
+++ b/packages/heronladder-tools/src/heronladder_tools/demo.py
@@ -10,7 +10,7 @@
 
 from heronladder_router.role import RouterRole
 from heronladder_runtime.clock import Environment
-from heronladder_runtime.invariants import BOOK
+from heronladder_runtime.invariants import INVARIANT_COUNTERS
 
 from heronladder_tools.callers import Callers, HttpCallers, Refusal, Timing
 from heronladder_tools.demo_fleet import OPERATOR_TOKEN, DemoFleet
@@ -50,7 +50,7 @@
 
 async def run_demo(options: DemoOptions) -> tuple[Verdict, Timing]:
     """Run the fleet under load and return the verdict and what callers measured."""
-    BOOK.clear()
+    INVARIANT_COUNTERS.clear()
     with tempfile.TemporaryDirectory() as folder:
         fleet = DemoFleet(options.profile, Path(folder), options.budget_tokens)
         try:
--- a/packages/heronladder-tools/src/heronladder_tools/oracle.py
+++ b/packages/heronladder-tools/src/heronladder_tools/oracle.py
@@ -6,7 +6,7 @@
 
 from heronladder_control.state import ControlState
 from heronladder_emulator.books import Books
-from heronladder_runtime.invariants import BOOK
+from heronladder_runtime.invariants import INVARIANT_COUNTERS
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
 from heronladder_tools.callers import CallResult, Refusal, expected_text
@@ -151,8 +151,10 @@
     verdict.tokens_billed = sum(
         bill.prompt_tokens + bill.completion_tokens for group in bills.values() for bill in group
     )
-    verdict.invariant_violations = sum(BOOK.violations.values()) + len(evidence.bills.divergences)
-    verdict.notes.extend([*BOOK.messages, *evidence.bills.divergences])
+    verdict.invariant_violations = sum(INVARIANT_COUNTERS.violations.values()) + len(
+        evidence.bills.divergences
+    )
+    verdict.notes.extend([*INVARIANT_COUNTERS.messages, *evidence.bills.divergences])
     for result in evidence.results:
         _judge_call(verdict, evidence, bills, result)
     _judge_bills(verdict, bills)
--- a/packages/heronladder-tools/src/heronladder_tools/scale.py
+++ b/packages/heronladder-tools/src/heronladder_tools/scale.py
@@ -15,11 +15,11 @@
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.errors import HeronladderError
-from heronladder_runtime.link_handlers import LinkHandlers
+from heronladder_runtime.link_handlers import ControlLinkHandlers
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import LatencyHistogram
 from heronladder_runtime.rpc import GrpcStubs
-from heronladder_runtime.settlements import settlement_of
+from heronladder_runtime.settlements import make_settlement
 from heronladder_schema.v1 import agent_pb2, control_pb2, ledger_pb2, resources_pb2
 
 from heronladder_tools.process_usage import loopback_bytes, slope, usage
@@ -120,7 +120,12 @@
             region="local",
         )
         self.link = ControlLink(
-            record, addresses, self._stubs, options.heartbeat_s, LinkHandlers(), self._environment
+            record,
+            addresses,
+            self._stubs,
+            options.heartbeat_s,
+            ControlLinkHandlers(),
+            self._environment,
         )
         self._leases = LeaseManager(self.link, self._environment, 10.0, self._log)
         self._settler = Settler(self.link, _SETTLE_INTERVAL_S, self._log)
@@ -160,7 +165,7 @@
                 service="service-1",
             )
             end = agent_pb2.AnswerEnd(outcome=ledger_pb2.OUTCOME_RAN, prompt_tokens=_TOKENS // 2)
-            durable = self._settler.settle(settlement_of(dispatch, end), "")
+            durable = self._settler.settle(make_settlement(dispatch, end), "")
             self._leases.settle(reservation, _TOKENS // 2)
             durable.add_done_callback(self._count)
 
--- a/packages/heronladder-tools/src/heronladder_tools/simulation/channels.py
+++ b/packages/heronladder-tools/src/heronladder_tools/simulation/channels.py
@@ -15,7 +15,7 @@
 from heronladder_emulator.service import EmulatedService, ServiceDownError
 from heronladder_router.agent_channel import AgentChannel
 from heronladder_router.errors import ChannelLostError, ChannelNotSentError
-from heronladder_runtime.answers import AgentAnswer, BackendAnswer, BackendCall
+from heronladder_runtime.responses import AgentResponse, BackendCall, BackendResponse
 from heronladder_schema.v1 import agent_pb2
 
 _CALL_TIMEOUT_S = 120.0
@@ -46,16 +46,16 @@
 
     async def dispatch(
         self, address: str, dispatch: agent_pb2.Dispatch, body: bytes
-    ) -> AgentAnswer:
+    ) -> AgentResponse:
         """Send a dispatch."""
         target = self._network.resolve(address)
         copy = agent_pb2.Dispatch.FromString(dispatch.SerializeToString())
 
-        async def handle(endpoint: Endpoint) -> tuple[AgentAnswer, AgentAnswer, Pipe]:
+        async def handle(endpoint: Endpoint) -> tuple[AgentResponse, AgentResponse, Pipe]:
             role: AgentRole = endpoint.servers["agent"]
             answer = await role.gate.dispatch(copy, body)
             pipe = self._network.pipe(target, self._name)
-            passed = AgentAnswer(answer.head, answer.status, answer.content_type)
+            passed = AgentResponse(answer.head, answer.status, answer.content_type)
             return answer, passed, pipe
 
         try:
@@ -74,7 +74,9 @@
         passed.chunks = self._receive(target, passed, pipe)
         return passed
 
-    async def _receive(self, target: str, passed: AgentAnswer, pipe: Pipe) -> AsyncIterator[bytes]:
+    async def _receive(
+        self, target: str, passed: AgentResponse, pipe: Pipe
+    ) -> AsyncIterator[bytes]:
         try:
             while True:
                 part = await pipe.receive()
@@ -143,7 +145,7 @@
     def __init__(self, engine: EmulatedEngine) -> None:
         self._engine = engine
 
-    async def open(self, call: BackendCall) -> BackendAnswer:
+    async def open(self, call: BackendCall) -> BackendResponse:
         """Send a call to the engine."""
         name = self._engine.options.name
         if self._engine.faults.crashed:
@@ -155,7 +157,7 @@
             )
         except EngineCrashedError as error:
             raise BackendError(str(error), step="call_backend", peer=name) from error
-        return BackendAnswer(answer.status, answer.content_type, self._chunks(answer.chunks))
+        return BackendResponse(answer.status, answer.content_type, self._chunks(answer.chunks))
 
     async def _chunks(self, chunks: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
         try:
@@ -179,7 +181,7 @@
     def __init__(self, service: EmulatedService) -> None:
         self._service = service
 
-    async def open(self, call: BackendCall) -> BackendAnswer:
+    async def open(self, call: BackendCall) -> BackendResponse:
         """Send a call to the service."""
         if self._service.faults.crashed:
             raise BackendUnreachableError(
@@ -194,7 +196,7 @@
             status, body = await asyncio.shield(asyncio.ensure_future(work))
         except ServiceDownError as error:
             raise BackendError(str(error), step="call_backend", peer=self._service.name) from error
-        return BackendAnswer(status, "application/json", _once(body))
+        return BackendResponse(status, "application/json", _once(body))
 
 
 async def _once(body: bytes) -> AsyncIterator[bytes]:
--- a/packages/heronladder-tools/src/heronladder_tools/simulation/run.py
+++ b/packages/heronladder-tools/src/heronladder_tools/simulation/run.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import async_solipsism
-from heronladder_runtime.invariants import BOOK
+from heronladder_runtime.invariants import INVARIANT_COUNTERS
 
 from heronladder_tools.callers import Callers, Refusal, Timing
 from heronladder_tools.oracle import Evidence, Verdict, judge
@@ -131,7 +131,7 @@
 
 def simulate(options: SimulationOptions) -> SimulationResult:
     """Run a simulation; the same options give the same run, byte for byte."""
-    BOOK.clear()
+    INVARIANT_COUNTERS.clear()
     loop = async_solipsism.EventLoop()
     handler = _VirtualTimeHandler(options.log, loop) if options.log is not None else None
     recent = _RecentEvents(loop)
@@ -222,8 +222,10 @@
         """A caller, fault or watch that fails by itself voids the run."""
         for task in tasks:
             if task.done() and not task.cancelled() and task.exception() is not None:
-                BOOK.messages.append(f"a task of the simulation failed: {task.exception()!r}")
-                BOOK.violations["simulation_goes_on"] += 1
+                INVARIANT_COUNTERS.messages.append(
+                    f"a task of the simulation failed: {task.exception()!r}"
+                )
+                INVARIANT_COUNTERS.violations["simulation_goes_on"] += 1
 
     async def _wait_ready(self) -> None:
         async with asyncio.timeout(_READY_TIMEOUT_S):
--- a/tests/lending_control.py
+++ b/tests/lending_control.py
@@ -14,10 +14,10 @@
 from heronladder_control.member import ControlMember
 from heronladder_control.prepaid_watch import PrepaidWatch
 from heronladder_control.promise_notes import PromiseNotes
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 from heronladder_runtime.errors import HeronladderError
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
@@ -60,7 +60,7 @@
         self.prepaid_watch = PrepaidWatch(self.environment)
         self.log = EventLog("test", "control")
         self.tasks = TaskGroupOwner(self.log)
-        self.node = SimpleNamespace(is_leader=True, term=term, changed=Pulse())
+        self.node = SimpleNamespace(is_leader=True, term=term, changed=ChangeSignal())
         self.state = SimpleNamespace(prepaid=table, is_current=self.is_current)
         self._current = current
         self.notes = PromiseNotes(cast(ControlMember, self))
--- a/tests/lending_process.py
+++ b/tests/lending_process.py
@@ -144,7 +144,7 @@
         self.configuration = Configuration(fleet.limit)
         self.record = ledger_pb2.DaemonRecord(name=process.name, incarnation=process.incarnation)
         self.last_heard_s = fleet.environment.monotonic()
-        self.regained_s = float("-inf")
+        self.reconnected_s = float("-inf")
         self.routers = len(fleet.zones)
         self.control_time_ms = 0
         self.cluster_version = LATEST_VERSION
@@ -166,7 +166,7 @@
         except TimeoutError as error:
             raise PeerUnavailableError("silent", step="call", peer="control") from error
 
-    def beat_now(self) -> None:
+    def send_heartbeat_now(self) -> None:
         """Send a heartbeat at once."""
         self._process.tasks.start("beat_now", self.beat())
 
@@ -203,7 +203,7 @@
         self._stream = self._fleet.term
         self.control_time_ms = 0
         self.cluster_version = LATEST_VERSION
-        self._process.access.held.session_began()
+        self._process.access.held.session_started()
         self._session = self._fleet.control.open_session(self.record)
         self._process.tasks.start("noted", self._pass_notes_on(self._session, self._stream))
 
@@ -233,7 +233,7 @@
         silent_s = now_s - self.last_heard_s
         self.last_heard_s = now_s
         if silent_s > 3 * HEARTBEAT_S:
-            self.regained_s = now_s
+            self.reconnected_s = now_s
             self._process.access.held.control_regained()
         if noted:
             self._process.access.held.confirmed(noted)
--- a/tests/limit_run.py
+++ b/tests/limit_run.py
@@ -114,7 +114,7 @@
         names = frozenset(f"g{other}" for other in range(self.gateways))
         limits.gateways = lambda: GatewaysKnown(names, self.gateways)
         limits.leader_heard_s = lambda: self.observed_s[number]
-        limits.beat_now = lambda: self._at(0.0, lambda: self._beat(number))
+        limits.send_heartbeat_now = lambda: self._at(0.0, lambda: self._beat(number))
         self.replicas[number], self.limited[number] = replicas, limits
         self.observed_s[number] = self.clock.now_s
         record = ledger_pb2.DaemonRecord(name=f"g{number}")
--- a/tests/mixed_group.py
+++ b/tests/mixed_group.py
@@ -11,7 +11,7 @@
 from heronladder_emulator.memory_stubs import MemoryStubs
 from heronladder_emulator.network import MemoryNetwork, Place, Weather
 from heronladder_runtime.clock import Environment
-from heronladder_runtime.cluster_versions import FIRST_VERSION, LATEST_VERSION, required_version
+from heronladder_runtime.cluster_versions import INITIAL_VERSION, LATEST_VERSION, required_version
 from heronladder_runtime.errors import HeronladderError
 from heronladder_schema.v1 import consensus_pb2, control_pb2, resources_pb2
 
@@ -61,7 +61,7 @@
             ConsensusTiming(1.0),
             named=True,
             earlier_group="r1",
-            most_cluster_version=FIRST_VERSION if is_old else LATEST_VERSION,
+            most_cluster_version=INITIAL_VERSION if is_old else LATEST_VERSION,
             cluster_version_hold_s=_HOLD_S,
         )
 
@@ -80,10 +80,10 @@
 
     def _make_old(self, member: ControlMember) -> None:
         """Have a member support version 0 only, and note what it could not read."""
-        member.state.highest_version = FIRST_VERSION
+        member.state.highest_version = INITIAL_VERSION
 
         def note(command: control_pb2.Command, result: control_pb2.CommandResult) -> None:
-            if required_version(command) != FIRST_VERSION:
+            if required_version(command) != INITIAL_VERSION:
                 self.in_old_logs.append(command.WhichOneof("body") or "")
 
         member.state.listeners.append(note)
--- a/tests/platform_stand_ins.py
+++ b/tests/platform_stand_ins.py
@@ -19,7 +19,7 @@
 from heronladder_runtime.rpc import GrpcStubs
 from heronladder_tools.demo_fleet import free_addresses
 from multidict import CIMultiDict
-from shaped_link import ShapedLink, StubsOverLink
+from shaped_link import ShapedLink, ShapedLinkStubs
 from silent_link import SilentLink
 
 HOST = "canteen.example"
@@ -347,7 +347,7 @@
     settings.gateway.lending_listen = lending
     daemon = Daemon(settings, gateway_names=platform_names.GATEWAY_NAMES)
     if link is not None:
-        daemon._stubs = StubsOverLink(GrpcStubs(), link)  # type: ignore[assignment]
+        daemon._stubs = ShapedLinkStubs(GrpcStubs(), link)  # type: ignore[assignment]
     await daemon.start()
     await daemon.listen(ready_application(daemon.ready), ready)
     return StartedGateway(daemon, front, ready)
--- a/tests/rollout_trials.py
+++ b/tests/rollout_trials.py
@@ -16,8 +16,8 @@
 from heronladder_control.rollouts.exposure import ExposureLimits
 from heronladder_control.rollouts.plan import RolloutView, next_step
 from heronladder_control.rollouts.table import COMPLETED, MOVING, ROLLED_BACK, TRIAL
-from heronladder_runtime.rollouts.evidence import Answers, Evidence, step_of
-from heronladder_runtime.rollouts.verdict import Decision, Verdict, Watch
+from heronladder_runtime.rollouts.evidence import Evidence, ResponseTotals, histogram_bucket
+from heronladder_runtime.rollouts.verdict import Decision, TrialMonitor, Verdict
 
 LIMITS = ExposureLimits(0.1, 50)
 _TICK_S = 0.1
@@ -126,7 +126,7 @@
 class Judge(Protocol):
     """A way to judge."""
 
-    def __call__(self, evidence: Evidence, *, alone: bool = False) -> Verdict:
+    def __call__(self, evidence: Evidence, *, without_baseline: bool = False) -> Verdict:
         """Judge all that was counted."""
 
 
@@ -136,19 +136,19 @@
     _ENOUGH = 40
     _LIMIT = 3.3  # standard errors
 
-    def judge(self, evidence: Evidence, *, alone: bool = False) -> Verdict:
+    def judge(self, evidence: Evidence, *, without_baseline: bool = False) -> Verdict:
         old, new = evidence.whole(of_target=False), evidence.whole(of_target=True)
         pairs = [(old, new)]
         for route in evidence.routes():
             sides = [evidence.side(route, of_target=side) for side in (False, True)]
             pairs.append((sides[0], sides[1]))
         if any(self._worse(*pair) for pair in pairs):
-            return Verdict(Decision.GO_BACK, "worse by a fixed sample")
+            return Verdict(Decision.ROLL_BACK, "worse by a fixed sample")
         if new.answers < self._ENOUGH:
-            return Verdict(Decision.GO_ON, "too few answers")
+            return Verdict(Decision.CONTINUE, "too few answers")
         return Verdict(Decision.SOUND, "as good")
 
-    def _worse(self, old: Answers, new: Answers) -> bool:
+    def _worse(self, old: ResponseTotals, new: ResponseTotals) -> bool:
         if new.answers < self._ENOUGH or old.answers < self._ENOUGH:
             return False
         limit = sorted(old.first.elements())[int(0.9 * old.first.total())] if old.first else 0
@@ -191,7 +191,7 @@
     changes: list[tuple[float, int]] = []  # when a phase is in force
     coming: list[tuple[float, int, int, bool, bool, float]] = []  # answers under way
     evidence = Evidence()
-    verdict = Verdict(Decision.GO_ON, "")
+    verdict = Verdict(Decision.CONTINUE, "")
     requests = sent = exposed = serial = 0
     now_s = tried_s = 0.0
     tried = [0] * len(drawn.routes)  # sends of the trial by route
@@ -226,10 +226,10 @@
             side = evidence.side(str(route), of_target=is_new)
             side.answers += 1
             side.failed += failed
-            side.first[step_of(took_s)] += 1
+            side.first[histogram_bucket(took_s)] += 1
             side.longest_ms = max(side.longest_ms, int(took_s * 1000))
-        if verdict.decision is not Decision.GO_BACK:
-            verdict = judge(evidence, alone=phase == MOVING)
+        if verdict.decision is not Decision.ROLL_BACK:
+            verdict = judge(evidence, without_baseline=phase == MOVING)
         old_runs = any(not answer[3] for answer in coming)
         longest_s = evidence.whole(of_target=False).longest_ms / 1000
         step = next_step(
@@ -273,7 +273,7 @@
 
 
 WAYS: dict[str, Callable[[], Judge]] = {
-    "likelihood": lambda: Watch().judge,
+    "likelihood": lambda: TrialMonitor().judge,
     "fixed sample": lambda: FixedSample().judge,
 }
 
@@ -337,7 +337,9 @@
                     drawn = Drawn(
                         "", per_s, duration_s, routes, 0.09, 0.3, 0.0, fails=fails, slow=slow
                     )
-                    ends = [play(drawn, Watch().judge, Random(seed)) for seed in range(seeds)]
+                    ends = [
+                        play(drawn, TrialMonitor().judge, Random(seed)) for seed in range(seeds)
+                    ]
                     in_time = sum(o.phase == COMPLETED and o.ended_s <= duration_s for o in ends)
                     back = sum(o.phase == ROLLED_BACK for o in ends)
                     over = sum(not o.kept for o in ends)
--- a/tests/shaped_link.py
+++ b/tests/shaped_link.py
@@ -153,7 +153,7 @@
     writer.write_eof()
 
 
-class StubsOverLink:
+class ShapedLinkStubs:
     """Stubs that reach control over a link, whatever addresses control tells.
 
     Args:
@@ -173,9 +173,9 @@
         """Return a stub of the Control service at ``address``."""
         return self._stubs.control(self._link.address_to(address), patient=patient)
 
-    async def greeted(self, address: str) -> None:
+    async def wait_for_greeting(self, address: str) -> None:
         """Return once the server at ``address`` has said something."""
-        await self._stubs.greeted(self._link.address_to(address))
+        await self._stubs.wait_for_greeting(self._link.address_to(address))
 
     async def close(self) -> None:
         """Close all connections."""
--- a/tests/test_acknowledgement_run.py
+++ b/tests/test_acknowledgement_run.py
@@ -7,7 +7,7 @@
 from acknowledgement_book import BOUND_S, AcknowledgementBook, Asked, Figures, FleetState, Leave
 from acknowledgement_run import AcknowledgementRun, RunSizes, told
 from heronladder_control.in_force import DaemonProgress, InForceTracker
-from heronladder_runtime.standing import ConfigurationStanding
+from heronladder_runtime.configuration_status import ConfigurationStatus
 
 _ONE_MEMBER = RunSizes(members=1, routes=200, seconds=7.0)
 _THREE_MEMBERS = RunSizes(members=3, routes=200, seconds=7.0)
@@ -46,7 +46,7 @@
         lines = []
         with (
             patch.object(InForceTracker, "_waited_for", _waited_for_its_lease_only),
-            patch.object(ConfigurationStanding, "must_hold", PropertyMock(return_value=False)),
+            patch.object(ConfigurationStatus, "must_not_act", PropertyMock(return_value=False)),
         ):
             for seed in _TELLING_SEEDS:
                 figures = _run(seed, _LONG_UPDATES)
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from heronladder_platform.configuration import read_configuration
-from heronladder_runtime.config_packing import pack, without_document
+from heronladder_runtime.config_packing import pack, without_source_document
 from heronladder_runtime.configuration import FLEET_KIND, FLEET_NAME
 from heronladder_schema.v1 import control_pb2
 from platform_stand_ins import (
@@ -146,7 +146,7 @@
     event = control_pb2.ConfigEvent(kind=FLEET_KIND, name=FLEET_NAME)
     read = read_configuration(json.dumps(document).encode())
     event.resource.fleet_configuration.CopyFrom(read)
-    return pack(control_pb2.ConfigUpdate(events=[without_document(event)])).ByteSize()
+    return pack(control_pb2.ConfigUpdate(events=[without_source_document(event)])).ByteSize()
 
 
 async def _acknowledged(ask: Callable[[], Any]) -> float | None:
--- a/tests/test_cluster_version.py
+++ b/tests/test_cluster_version.py
@@ -16,7 +16,7 @@
 from heronladder_control.state import ControlState
 from heronladder_runtime.cluster_versions import LATEST_VERSION, ClusterVersionError
 from heronladder_runtime.errors import InvariantViolationError
-from heronladder_runtime.invariants import BOOK
+from heronladder_runtime.invariants import INVARIANT_COUNTERS
 from heronladder_schema.v1 import consensus_pb2, control_pb2, resources_pb2
 
 _PATIENCE_S = 10.0
@@ -50,7 +50,9 @@
         self.assertEqual(state.cluster_version, LATEST_VERSION)
 
     def test_an_entry_that_cannot_be_read_is_told_by_its_fields(self) -> None:
-        self.addCleanup(BOOK.clear)  # other tests of the process ask whether all invariants held
+        self.addCleanup(
+            INVARIANT_COUNTERS.clear
+        )  # other tests of the process ask whether all invariants held
         unknown = bytes([0xFA, 0x7F, 0])  # field 2047, empty
         state = ControlState("r")
         self.assertEqual(state.describe(unknown), "fields [2047]")
--- a/tests/test_command_packing.py
+++ b/tests/test_command_packing.py
@@ -4,7 +4,11 @@
 import unittest
 
 from heronladder_consensus.timing import ConsensusTiming
-from heronladder_control.command_packing import PACK_OVER_BYTES, decode_command, encode_command
+from heronladder_control.command_packing import (
+    COMPRESSION_THRESHOLD_BYTES,
+    decode_command,
+    encode_command,
+)
 from heronladder_control.state import ControlState
 from heronladder_platform.configuration import read_configuration
 from heronladder_schema.v1 import control_pb2
@@ -52,7 +56,7 @@
                 state = ControlState("r1")
                 result = state.apply(1, entry)
                 self.assertEqual(result.code, control_pb2.RESULT_CODE_OK)
-        self.assertLess(len(encode_command(_command(1))), PACK_OVER_BYTES)
+        self.assertLess(len(encode_command(_command(1))), COMPRESSION_THRESHOLD_BYTES)
 
 
 if __name__ == "__main__":
--- a/tests/test_config_packing.py
+++ b/tests/test_config_packing.py
@@ -6,13 +6,13 @@
 
 from heronladder_platform.configuration import read_configuration
 from heronladder_runtime.config_packing import (
-    PACK_OVER_BYTES,
+    COMPRESSION_THRESHOLD_BYTES,
     PART_BYTES,
     PartJoiner,
     pack,
     part,
     unpack,
-    without_document,
+    without_source_document,
 )
 from heronladder_runtime.configuration import FLEET_KIND, FLEET_NAME, ConfigurationStore
 from heronladder_schema.v1 import control_pb2
@@ -41,7 +41,7 @@
         update = _update(1_680)
         self.assertGreater(update.ByteSize() * 8 / _LINK_BITS_A_S, 0.7)  # as it was sent before
         bare = control_pb2.ConfigUpdate(revision=9, snapshot=True)
-        bare.events.extend(without_document(event) for event in update.events)
+        bare.events.extend(without_source_document(event) for event in update.events)
         sent = pack(bare)
         self.assertLess(sent.ByteSize() * 8 / _LINK_BITS_A_S, _LONGEST_S)
         store = ConfigurationStore("gateway")
@@ -53,12 +53,12 @@
 
     def test_the_operators_document_stays_with_control(self) -> None:
         update = _update(2)
-        without_document(update.events[0])
+        without_source_document(update.events[0])
         self.assertTrue(update.events[0].resource.fleet_configuration.source)
 
     def test_small_updates_go_as_they_are(self) -> None:
         update = control_pb2.ConfigUpdate(revision=3)
-        self.assertLess(update.ByteSize(), PACK_OVER_BYTES)
+        self.assertLess(update.ByteSize(), COMPRESSION_THRESHOLD_BYTES)
         self.assertIs(pack(update), update)
         self.assertIs(unpack(update), update)
 
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -8,7 +8,7 @@
 
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
-from heronladder_runtime.link_handlers import LinkHandlers
+from heronladder_runtime.link_handlers import ControlLinkHandlers
 from heronladder_runtime.rpc import GrpcStubs, make_server
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 from heronladder_schema.v1.control_pb2_grpc import ControlServicer, add_ControlServicer_to_server
@@ -114,11 +114,11 @@
 
     async def test_the_way_to_control_is_measured(self) -> None:
         async with _linked(_StandsFarAway()) as link, asyncio.timeout(10):
-            self.assertEqual(link.quickest_round_trip_s, 0.0)
-            while not link.quickest_round_trip_s:
+            self.assertEqual(link.min_round_trip_s, 0.0)
+            while not link.min_round_trip_s:
                 await asyncio.sleep(0.02)
-            self.assertGreaterEqual(link.quickest_round_trip_s, _FAR_ROUND_TRIP_S)
-            self.assertLess(link.quickest_round_trip_s, 1.0)
+            self.assertGreaterEqual(link.min_round_trip_s, _FAR_ROUND_TRIP_S)
+            self.assertLess(link.min_round_trip_s, 1.0)
 
     async def test_a_new_stream_has_more_patience_after_some_without_a_word(self) -> None:
         """Before a crowded leader 300 gateways gave their streams up before it came to them,
@@ -126,9 +126,9 @@
         service = _Crowded()
         async with _linked(service) as link, asyncio.timeout(10):
             while link.last_heard_s < 0:
-                self.assertEqual(link.heard_since_s, float("inf"), "streams without a word")
+                self.assertEqual(link.first_frame_s, float("inf"), "streams without a word")
                 await asyncio.sleep(0.05)
-            self.assertLessEqual(link.heard_since_s, link.last_heard_s)
+            self.assertLessEqual(link.first_frame_s, link.last_heard_s)
             self.assertGreater(service.streams, 2, "the first ones are given up as ever")
             streams = service.streams
             await asyncio.sleep(8 * _HEARTBEAT_S)
@@ -174,7 +174,9 @@
     async with _served(service) as address:
         stubs = GrpcStubs()
         record = ledger_pb2.DaemonRecord(name="gateway-1", role="router", incarnation="a")
-        link = ControlLink(record, [address], stubs, _HEARTBEAT_S, LinkHandlers(), Environment())
+        link = ControlLink(
+            record, [address], stubs, _HEARTBEAT_S, ControlLinkHandlers(), Environment()
+        )
         link.start()
         try:
             yield link
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -13,7 +13,7 @@
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import REPLICA_KIND, ConfigurationStore
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.replica_sums import MOST_TOLD
+from heronladder_runtime.replica_load_totals import MAX_REPORTED_REPLICAS
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 _SERVICE = "model"
@@ -205,11 +205,14 @@
 
     def test_only_the_busiest_replicas_are_told(self) -> None:
         sums = ReplicaLoads()
-        told = {f"r{n}": control_pb2.ReplicaLoad(in_flight=n + 1) for n in range(MOST_TOLD + 9)}
+        told = {
+            f"r{n}": control_pb2.ReplicaLoad(in_flight=n + 1)
+            for n in range(MAX_REPORTED_REPLICAS + 9)
+        }
         sums.observe("a", told)
         frame = control_pb2.ControlFrame()
         sums.fill("b", frame)
-        self.assertEqual(len(frame.replica_loads), MOST_TOLD)
+        self.assertEqual(len(frame.replica_loads), MAX_REPORTED_REPLICAS)
         self.assertNotIn("r0", frame.replica_loads)
 
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -11,12 +11,12 @@
 from heronladder_agent.gate import Gate, GateOptions
 from heronladder_agent.metering import StreamMeter
 from heronladder_agent.records import RecordKeeper
-from heronladder_runtime.answers import AgentAnswer, BackendAnswer, BackendCall
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import ConfigurationStore
 from heronladder_runtime.metrics import Metrics
-from heronladder_runtime.settlements import settlement_of
-from heronladder_runtime.wire import EndSplitter, decode, encode, end_line
+from heronladder_runtime.responses import AgentResponse, BackendCall, BackendResponse
+from heronladder_runtime.settlements import make_settlement
+from heronladder_runtime.wire import StreamEndParser, decode, encode, stream_end_line
 from heronladder_schema.v1 import agent_pb2, control_pb2, ledger_pb2, resources_pb2
 from support import run_virtual
 
@@ -36,11 +36,11 @@
         self.break_after = 0
         self.unreachable = False
 
-    async def open(self, call: BackendCall) -> BackendAnswer:
+    async def open(self, call: BackendCall) -> BackendResponse:
         if self.unreachable:
             raise BackendUnreachableError("refused", step="connect")
         self.calls.append(call.dispatch.request_id)
-        return BackendAnswer(200, "text/event-stream", self._stream())
+        return BackendResponse(200, "text/event-stream", self._stream())
 
     async def _stream(self) -> AsyncIterator[bytes]:
         try:
@@ -91,7 +91,7 @@
     return agent_pb2.Dispatch(**values)
 
 
-async def _read(answer: AgentAnswer) -> bytes:
+async def _read(answer: AgentResponse) -> bytes:
     assert answer.chunks is not None
     return b"".join([chunk async for chunk in answer.chunks])
 
@@ -197,7 +197,7 @@
             answer = await gate.dispatch(_dispatch(keep_answer=True), b"")
             await _read(answer)
             assert answer.end is not None
-            settlement = settlement_of(_dispatch(), answer.end)
+            settlement = make_settlement(_dispatch(), answer.end)
             self.assertEqual(settlement.outcome, ledger_pb2.OUTCOME_UNKNOWN)
             self.assertEqual(settlement.withheld_tokens, 70)
             attached = await gate.dispatch(_dispatch(attach=True), b"")
@@ -217,7 +217,7 @@
             self.assertTrue(answer.end.cancelled)
             self.assertLess(self.backend.sent, 15)
             self.assertEqual(self.backend.closed, 1)
-            settlement = settlement_of(_dispatch(), answer.end)
+            settlement = make_settlement(_dispatch(), answer.end)
             self.assertEqual(settlement.completion_tokens, answer.end.completion_tokens)
 
         self._run(scenario)
@@ -311,18 +311,18 @@
     def test_the_end_is_split_off_wherever_the_parts_are_cut(self) -> None:
         end = agent_pb2.AnswerEnd(request_id="r", completion_tokens=3)
         body = b"data: one\n\ndata: two: heronladder\n\n"
-        stream = body + end_line(end)
+        stream = body + stream_end_line(end)
         for first in range(1, len(stream)):
             for second in (first, min(first + 3, len(stream) - 1)):
-                splitter = EndSplitter()
+                splitter = StreamEndParser()
                 parts = [stream[:first], stream[first:second], stream[second:]]
                 passed = b"".join(splitter.feed(part) for part in parts if part)
                 self.assertEqual(passed, body)
                 self.assertEqual(splitter.end(agent_pb2.AnswerEnd), end)
 
     def test_a_stream_that_broke_off_has_no_end(self) -> None:
-        splitter = EndSplitter()
-        splitter.feed(b"data: one\n\n" + end_line(agent_pb2.AnswerEnd(request_id="r"))[:-3])
+        splitter = StreamEndParser()
+        splitter.feed(b"data: one\n\n" + stream_end_line(agent_pb2.AnswerEnd(request_id="r"))[:-3])
         self.assertIsNone(splitter.end(agent_pb2.AnswerEnd))
 
     def test_messages_survive_headers(self) -> None:
--- a/tests/test_gateway_behind.py
+++ b/tests/test_gateway_behind.py
@@ -7,7 +7,7 @@
 from heronladder_control.config_feed import ConfigFeed
 from heronladder_control.daemon_session import DaemonSession
 from heronladder_runtime.config_packing import PART_BYTES
-from heronladder_runtime.standing import ConfigurationStanding
+from heronladder_runtime.configuration_status import ConfigurationStatus
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 from platform_stand_ins import Answer, Received, StandInReplica, answer, configuration, route
 from platform_stand_ins import start_fleet as start
@@ -41,11 +41,11 @@
         self.received.append(replica.identity)
         if not self.reject:
             return answer(received)
-        self._standing.note_in_force(0, self._next_revision)
+        self._standing.record_in_force(0, self._next_revision)
         return answer(received, "503 Full", Not_Executed="1")
 
     @property
-    def _standing(self) -> ConfigurationStanding:
+    def _standing(self) -> ConfigurationStatus:
         return self.gateway.link.standing
 
     @property
@@ -55,7 +55,7 @@
     async def test_it_claims_nothing_of_what_it_does_not_know(self) -> None:
         """A 404 turned callers away from a route that had just been added."""
         self.assertEqual((await self.fleet.request(_UNKNOWN)).status, 404)
-        self._standing.note_in_force(self._next_revision, 0)
+        self._standing.record_in_force(self._next_revision, 0)
         unknown = await self.fleet.request(_UNKNOWN)
         self.assertEqual((unknown.status, _code(unknown)), (503, "configuration_unconfirmed"))
         self.assertIn("Retry-After", unknown.headers)
@@ -64,7 +64,7 @@
         self.assertEqual((await self.fleet.request(_KNOWN)).status, 200)
 
     async def test_it_refuses_all_and_is_not_ready_once_its_grace_is_over(self) -> None:
-        self._standing.note_in_force(self._next_revision, 0)
+        self._standing.record_in_force(self._next_revision, 0)
         await asyncio.sleep(_GRACE_S)
         refused = await self.fleet.request(_KNOWN)
         self.assertEqual((refused.status, _code(refused)), (503, "configuration_behind"))
--- a/tests/test_gateway_readiness.py
+++ b/tests/test_gateway_readiness.py
@@ -17,7 +17,7 @@
 from heronladder_runtime.configuration import REPLICA_KIND, ConfigurationStore
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
-from heronladder_runtime.replica_sums import MOST_TOLD
+from heronladder_runtime.replica_load_totals import MAX_REPORTED_REPLICAS
 from heronladder_schema.v1 import control_pb2, resources_pb2
 from platform_stand_ins import (
     Fleet,
@@ -216,14 +216,18 @@
 
     def test_sums_that_may_be_cut_are_not_compared_with(self) -> None:
         """Only the busiest are told, but a gateway counts all of its own."""
-        names = [f"r{number}" for number in range(MOST_TOLD + 40)]
+        names = [f"r{number}" for number in range(MAX_REPORTED_REPLICAS + 40)]
         busy = {name: control_pb2.ReplicaLoad(in_flight=9) for name in names}
         for told, own, known in (
-            (MOST_TOLD, 0, False),
-            (MOST_TOLD - 1, 0, True),
-            (MOST_TOLD - 4, 4, False),  # control does not tell a gateway of its own alone
-            (0, MOST_TOLD, False),
-            (0, MOST_TOLD - 1, True),
+            (MAX_REPORTED_REPLICAS, 0, False),
+            (MAX_REPORTED_REPLICAS - 1, 0, True),
+            (
+                MAX_REPORTED_REPLICAS - 4,
+                4,
+                False,
+            ),  # control does not tell a gateway of its own alone
+            (0, MAX_REPORTED_REPLICAS, False),
+            (0, MAX_REPORTED_REPLICAS - 1, True),
         ):
             with self.subTest(told=told, own=own):
                 gateway = self._gateway(names)
@@ -236,7 +240,7 @@
 
 class NewStreamTest(unittest.TestCase):
     def test_a_gateway_is_not_behind_by_the_first_sums_of_a_new_stream(self) -> None:
-        link = SimpleNamespace(round_trip_s=0.9, loop_late_s=0.0, routers=20, heard_since_s=99.5)
+        link = SimpleNamespace(round_trip_s=0.9, timer_lag_s=0.0, routers=20, first_frame_s=99.5)
         loads = SimpleNamespace(under_way=lambda: (100, 0))
         clock = _Clock()
         taking = GatewayReadiness(
@@ -257,7 +261,7 @@
 class SilentControlTest(unittest.TestCase):
     def test_a_gateway_is_not_behind_for_ever_while_control_is_silent(self) -> None:
         """Nothing but the answers of control had it look again."""
-        link = SimpleNamespace(round_trip_s=0.9, loop_late_s=0.0, routers=20, heard_since_s=0.0)
+        link = SimpleNamespace(round_trip_s=0.9, timer_lag_s=0.0, routers=20, first_frame_s=0.0)
         loads = SimpleNamespace(under_way=lambda: (100, 100))
         clock = _Clock()
         taking = GatewayReadiness(
--- a/tests/test_gateway_refusals.py
+++ b/tests/test_gateway_refusals.py
@@ -40,7 +40,7 @@
     ) -> None:
         """Each waited 0.3 s where a quarter of the objective is 0.2 s (canteens)."""
         tokens = _NoTokens()
-        link = SimpleNamespace(routers=1, quickest_round_trip_s=0.0)
+        link = SimpleNamespace(routers=1, min_round_trip_s=0.0)
         parts = SimpleNamespace(
             link=link,
             routes=None,
@@ -57,7 +57,7 @@
         )
         waited = {}
         for objective_ms, round_trip_s in itertools.product((800, 1500), (0.0, 0.024, 2.0)):
-            link.quickest_round_trip_s = round_trip_s
+            link.min_round_trip_s = round_trip_s
             request = SimpleNamespace(
                 request_id="r",
                 fingerprint="f",
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -11,7 +11,7 @@
 import aiohttp
 import openai
 from heronladder_emulator.engine import EngineFaults, whole_answer
-from heronladder_runtime.invariants import BOOK
+from heronladder_runtime.invariants import INVARIANT_COUNTERS
 from heronladder_tools.demo_fleet import OPERATOR_TOKEN, DemoFleet
 from heronladder_tools.operator_client import ApiError, OperatorClient
 from heronladder_tools.profiles import PROFILES, tenant_key
@@ -25,7 +25,7 @@
     async def asyncSetUp(self) -> None:
         logging.getLogger("heronladder").setLevel(logging.CRITICAL)
         asyncio.get_running_loop().set_debug(False)
-        BOOK.clear()
+        INVARIANT_COUNTERS.clear()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
@@ -36,7 +36,7 @@
         self.operator = OperatorClient(self.fleet.api_addresses, OPERATOR_TOKEN)
 
     async def asyncTearDown(self) -> None:
-        self.assertEqual(BOOK.messages, [])
+        self.assertEqual(INVARIANT_COUNTERS.messages, [])
 
     def _openai(self, key: str = "") -> openai.AsyncOpenAI:
         client = openai.AsyncOpenAI(
