--- a/tests/test_in_force.py
+++ b/tests/test_in_force.py
@@ -9,8 +9,8 @@
 from heronladder_control.in_force import InForceTracker
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import ConfigurationStore
+from heronladder_runtime.configuration_status import ConfigurationStatus
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.standing import ConfigurationStanding
 from heronladder_schema.v1 import control_pb2
 from support import run_virtual
 
@@ -196,10 +196,10 @@
 class StandingTest(unittest.TestCase):
     """What a gateway does that knows what is in force."""
 
-    def _standing(self) -> tuple[ConfigurationStanding, ConfigurationStore]:
+    def _standing(self) -> tuple[ConfigurationStatus, ConfigurationStore]:
         store = ConfigurationStore("gateway")
         environment = Environment(random.Random(1), virtual=True)
-        standing = ConfigurationStanding(store, environment, EventLog("test", "gateway"))
+        standing = ConfigurationStatus(store, environment, EventLog("test", "gateway"))
         store.apply(control_pb2.ConfigUpdate(revision=_HELD))
         return standing, store
 
@@ -207,15 +207,15 @@
         async def scenario() -> None:
             standing, store = self._standing()
             await self._hear(standing)
-            standing.note_in_force(_HELD, 0)
+            standing.record_in_force(_HELD, 0)
             self.assertFalse(standing.behind)
-            standing.note_in_force(_CHANGE, 0)
+            standing.record_in_force(_CHANGE, 0)
             self.assertTrue(standing.behind)
-            self.assertFalse(standing.must_hold)
+            self.assertFalse(standing.must_not_act)
             await asyncio.sleep(1.0)
-            self.assertTrue(standing.must_hold)
+            self.assertTrue(standing.must_not_act)
             store.apply(control_pb2.ConfigUpdate(revision=_CHANGE))
-            self.assertFalse(standing.behind or standing.must_hold)
+            self.assertFalse(standing.behind or standing.must_not_act)
 
         run_virtual(scenario())
 
@@ -225,45 +225,45 @@
         async def scenario() -> None:
             standing, _ = self._standing()
             await self._hear(standing)
-            standing.note_in_force(_CHANGE, 0, in_force_age_s=0.7)
-            self.assertFalse(standing.must_hold)
+            standing.record_in_force(_CHANGE, 0, in_force_age_s=0.7)
+            self.assertFalse(standing.must_not_act)
             await asyncio.sleep(0.2)
-            standing.note_in_force(_LATER, 0, in_force_age_s=0.0)  # gives no further grace
+            standing.record_in_force(_LATER, 0, in_force_age_s=0.0)  # gives no further grace
             await asyncio.sleep(0.1)
-            self.assertTrue(standing.must_hold)
+            self.assertTrue(standing.must_not_act)
 
         run_virtual(scenario())
 
     def test_one_that_was_out_of_touch_has_a_second_from_being_back(self) -> None:
         async def scenario() -> None:
             standing, _ = self._standing()
-            standing.note_contact()
+            standing.record_leader_contact()
             await asyncio.sleep(9.0)
-            standing.note_contact()
-            standing.note_in_force(_CHANGE, 0, in_force_age_s=6.0)
-            self.assertFalse(standing.must_hold)
+            standing.record_leader_contact()
+            standing.record_in_force(_CHANGE, 0, in_force_age_s=6.0)
+            self.assertFalse(standing.must_not_act)
             await asyncio.sleep(1.0)
-            self.assertTrue(standing.must_hold)
+            self.assertTrue(standing.must_not_act)
 
         run_virtual(scenario())
 
     @staticmethod
-    async def _hear(standing: ConfigurationStanding) -> None:
+    async def _hear(standing: ConfigurationStatus) -> None:
         """Have it be in touch for long."""
-        standing.note_contact()
+        standing.record_leader_contact()
         for _ in range(4):
             await asyncio.sleep(1.0)
-            standing.note_contact()
+            standing.record_leader_contact()
 
     def test_what_it_promised_holds_at_once_and_through_any_silence(self) -> None:
         async def scenario() -> None:
             standing, store = self._standing()
-            standing.note_in_force(0, _CHANGE)
-            self.assertTrue(standing.must_hold)
+            standing.record_in_force(0, _CHANGE)
+            self.assertTrue(standing.must_not_act)
             await asyncio.sleep(60.0)
-            self.assertTrue(standing.must_hold)
+            self.assertTrue(standing.must_not_act)
             store.apply(control_pb2.ConfigUpdate(revision=_LATER))
-            self.assertFalse(standing.must_hold)
+            self.assertFalse(standing.must_not_act)
 
         run_virtual(scenario())
 
@@ -271,11 +271,11 @@
         async def scenario() -> None:
             standing, _ = self._standing()
             await self._hear(standing)
-            standing.note_in_force(_CHANGE, 0)
+            standing.record_in_force(_CHANGE, 0)
             await asyncio.sleep(1.0)
-            self.assertTrue(standing.must_hold)
+            self.assertTrue(standing.must_not_act)
             await asyncio.sleep(2.0)
-            self.assertFalse(standing.must_hold)
+            self.assertFalse(standing.must_not_act)
             self.assertTrue(standing.behind)  # so it claims nothing of what is in force
 
         run_virtual(scenario())
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -3,7 +3,7 @@
 import unittest
 
 from heronladder_control.state import ControlState
-from heronladder_runtime.invariants import BOOK
+from heronladder_runtime.invariants import INVARIANT_COUNTERS
 from heronladder_schema.v1 import control_pb2, ledger_pb2, resources_pb2
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -98,9 +98,9 @@
 
     def test_a_settlement_beyond_its_lease_is_refused_by_an_invariant(self) -> None:
         lease = self.driver.grant("router", "i1", 1, 1000).lease
-        self.addCleanup(BOOK.clear)
+        self.addCleanup(INVARIANT_COUNTERS.clear)
         self.driver.settle(lease.lease_id, 1, lease.granted + 1)
-        self.assertEqual(BOOK.violations["settlement_within_lease"], 1)
+        self.assertEqual(INVARIANT_COUNTERS.violations["settlement_within_lease"], 1)
         self.assertEqual(self.driver.account().billed, 0)
         self.driver.settle(lease.lease_id, 1, lease.granted)
         self.assertEqual(self.driver.account().billed, lease.granted)
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -9,8 +9,8 @@
 from heronladder_router.kept_parts import KeptParts, parse_parts
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.errors import RefusedByInvariantError
-from heronladder_runtime.invariants import BOOK
-from heronladder_runtime.prepaid_window import WINDOW_HOLDS_S
+from heronladder_runtime.invariants import INVARIANT_COUNTERS
+from heronladder_runtime.prepaid_window import WINDOW_VALIDITY_S
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 _TENANT = "t"
@@ -59,7 +59,9 @@
     def test_a_holder_that_tells_more_than_it_was_given_is_refused(self) -> None:
         table = _table(1000)
         table.draw(_draw("a", 1, wanted=100))
-        self.addCleanup(BOOK.clear)  # violated on purpose: not for the judge of later tests
+        self.addCleanup(
+            INVARIANT_COUNTERS.clear
+        )  # violated on purpose: not for the judge of later tests
         with self.assertRaises(RefusedByInvariantError):
             table.draw(_draw("a", 2, spent=101))
 
@@ -211,7 +213,7 @@
             told.promise.most = most
             self.table.note_promises(order, lambda *_: True)
         heartbeat = control_pb2.Heartbeat(control_time_ms=heard_ms)
-        self.watch.note_contact(("a", "1"), heartbeat)
+        self.watch.record_leader_contact(("a", "1"), heartbeat)
 
     def _charge(self) -> int:
         self.table.close(self.watch.charges(("a", "1"), self.table))
@@ -219,7 +221,7 @@
 
     def test_replaced_in_time_it_is_charged_what_it_announced(self) -> None:
         self._beat(100_000, 60)
-        self.clock.now_s = 100.0 + WINDOW_HOLDS_S - 0.2
+        self.clock.now_s = 100.0 + WINDOW_VALIDITY_S - 0.2
         self.watch.replaced("a", "2")
         self.clock.now_s = 110.0
         self.assertEqual(self._charge(), 61)
@@ -227,19 +229,19 @@
     def test_a_successor_tells_when_its_process_began(self) -> None:
         """Killed at 4.4 s, known again at 8.6: 2.18 M tokens were charged, 0.13 M used."""
         self._beat(100_000, 60)
-        self.clock.now_s = 100.0 + WINDOW_HOLDS_S + 0.5
+        self.clock.now_s = 100.0 + WINDOW_VALIDITY_S + 0.5
         self.watch.replaced("a", "2", process_age_s=1.0)
         self.assertEqual(self._charge(), 61)
 
     def test_a_successor_that_began_too_late_saves_nothing(self) -> None:
         self._beat(100_000, 60)
-        self.clock.now_s = 100.0 + WINDOW_HOLDS_S + 1.0
+        self.clock.now_s = 100.0 + WINDOW_VALIDITY_S + 1.0
         self.watch.replaced("a", "2", process_age_s=1.0)
         self.assertEqual(self._charge(), 300)
 
     def test_replaced_late_it_is_charged_all_it_held(self) -> None:
         self._beat(100_000)
-        self.clock.now_s = 100.0 + WINDOW_HOLDS_S
+        self.clock.now_s = 100.0 + WINDOW_VALIDITY_S
         self.watch.replaced("a", "2")
         self.assertEqual(self._charge(), 300)
 
--- a/tests/test_prepaid_promises.py
+++ b/tests/test_prepaid_promises.py
@@ -11,7 +11,7 @@
 from heronladder_control.promise_notes import PromiseNotes
 from heronladder_router.tokens.window import SpendingWindow
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
-from heronladder_runtime.prepaid_window import PACE_FROM_S, WINDOW_HOLDS_S, paced
+from heronladder_runtime.prepaid_window import RATE_START_S, WINDOW_VALIDITY_S, rate_allowance
 from heronladder_schema.v1 import control_pb2, resources_pb2
 from lending_process import TENANT
 from lending_run import loss_run
@@ -82,7 +82,10 @@
     """Breakages of the product that these losses must notice."""
 
     def test_a_pace_that_is_not_charged(self) -> None:
-        with patch.object(prepaid_watch, "paced", lambda *_: 0), self.assertRaises(AssertionError):
+        with (
+            patch.object(prepaid_watch, "rate_allowance", lambda *_: 0),
+            self.assertRaises(AssertionError),
+        ):
             run_virtual(loss_amid_a_rush(1.8, leader_first=True))
 
     def test_the_newest_that_any_clock_tells(self) -> None:
@@ -107,7 +110,7 @@
 
         def heartbeat(notes: PromiseNotes, session: Any, told: control_pb2.Heartbeat) -> None:
             holder = (session.record.name, session.record.incarnation)
-            notes._member.prepaid_watch.note_contact(holder, told)
+            notes._member.prepaid_watch.record_leader_contact(holder, told)
             real(notes, session, told)
 
         with patch.object(PromiseNotes, "heartbeat", heartbeat), self.assertRaises(AssertionError):
@@ -211,20 +214,20 @@
         for name in "bcd":
             self._hears(name, 2.0)
         # Heard 0.4 s before the notes, replaced 0.3 s ago, and 0.1 s for clocks that differ.
-        expected = 101 + paced(50, 0.4 + 2.0 - 0.3 + 0.1)
+        expected = 101 + rate_allowance(50, 0.4 + 2.0 - 0.3 + 0.1)
         self.assertAlmostEqual(self._charge(), expected, delta=1)
 
     def test_a_clock_that_was_set_back_is_not_believed(self) -> None:
         self._begin()
         for name, since_s in zip("bcd", (2.0, 0.0, 0.1), strict=True):
             self._hears(name, since_s)
-        expected = 101 + paced(50, 0.4 + 2.0 - 0.3 + 0.1)
+        expected = 101 + rate_allowance(50, 0.4 + 2.0 - 0.3 + 0.1)
         self.assertAlmostEqual(self._charge(), expected, delta=1)
 
     def test_too_long_ago_it_is_charged_all_it_held(self) -> None:
         self._begin()
         for name in "bcd":
-            self._hears(name, WINDOW_HOLDS_S)
+            self._hears(name, WINDOW_VALIDITY_S)
         self.assertEqual(self._charge(), _HELD)
 
     def test_silent_by_the_notes_it_is_charged_all_it_held(self) -> None:
@@ -256,8 +259,8 @@
 
 class PaceTest(unittest.TestCase):
     def test_the_pace_counts_past_two_heartbeats(self) -> None:
-        self.assertEqual(paced(1000, PACE_FROM_S), 0)
-        self.assertEqual(paced(1000, PACE_FROM_S + 1.5), 1500)
+        self.assertEqual(rate_allowance(1000, RATE_START_S), 0)
+        self.assertEqual(rate_allowance(1000, RATE_START_S + 1.5), 1500)
 
 
 if __name__ == "__main__":
--- a/tests/test_prepaid_tokens.py
+++ b/tests/test_prepaid_tokens.py
@@ -15,7 +15,7 @@
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.errors import PeerUnavailableError
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.prepaid_window import WINDOW_HOLDS_S
+from heronladder_runtime.prepaid_window import WINDOW_VALIDITY_S
 from heronladder_schema.v1 import control_pb2, ledger_pb2, resources_pb2
 
 _TENANT = resources_pb2.PrepaidTenant(name="t", prepaid_tokens=1_000_000, limited=True)
@@ -51,7 +51,7 @@
         self.record = ledger_pb2.DaemonRecord(name="gateway", incarnation="1")
         self.routers = 1
         self.last_heard_s = clock.now_s
-        self.regained_s = float("-inf")
+        self.reconnected_s = float("-inf")
         self.reached = True
         self.draw_takes_s = 0.0
         self.silent_call_takes_s = 0.0
@@ -79,7 +79,7 @@
             self._clock.now_s += self.silent_call_takes_s
             raise PeerUnavailableError("silent", step="call", peer="control") from error
 
-    def beat_now(self) -> None:
+    def send_heartbeat_now(self) -> None:
         """Confirm whatever is announced, unless cut off."""
         if self.reached:
             asyncio.get_running_loop().call_soon(self._confirm)
@@ -97,7 +97,7 @@
         self.reached = True
         self._waiting.set()
         self.last_heard_s = now_s
-        self.regained_s = now_s
+        self.reconnected_s = now_s
 
 
 class HoldingTest(unittest.IsolatedAsyncioTestCase):
@@ -134,7 +134,7 @@
         """Closing fault of scale-1, canteens: draws of a past need took 848,000 tokens."""
         await self._serve(6)
         self.control.cut()
-        self.clock.now_s += WINDOW_HOLDS_S + 0.1  # whatever is held may be used by now
+        self.clock.now_s += WINDOW_VALIDITY_S + 0.1  # whatever is held may be used by now
         before = len(self.control.draws)
         await self._serve(4)
         self.control.heal(self.clock.now_s)
@@ -148,7 +148,7 @@
         account = _account(self.control)
         self.assertGreater(self.control.table.charged(account) - 160_000, 200_000)
         self.control.cut()
-        self.clock.now_s += WINDOW_HOLDS_S + 0.1
+        self.clock.now_s += WINDOW_VALIDITY_S + 0.1
         self.control.heal(self.clock.now_s)
         self.tokens.control_regained()
         await self._settle_tasks()
@@ -162,7 +162,7 @@
     async def test_one_draw_serves_all_requests_that_wait(self) -> None:
         """Hot tenant of scale-2: 506 refusals in 4 s, each request's draw behind another's."""
         await self._serve(4)
-        self.control.regained_s = self.clock.now_s  # little is held right after a cut
+        self.control.reconnected_s = self.clock.now_s  # little is held right after a cut
         self.tokens.control_regained()
         await self._settle_tasks()
         before = len(self.control.draws)
@@ -238,7 +238,7 @@
     async def test_slow_draws_have_more_held_and_are_told_to_callers(self) -> None:
         """Choked link of one gateway, scale-2: each request waited for a draw of its own."""
         await self._serve(8)
-        self.control.regained_s = self.clock.now_s
+        self.control.reconnected_s = self.clock.now_s
         quick = self.tokens._held_after_cut(self.tokens._balance(_TENANT.name))
         self.control.draw_takes_s = 0.5
         for _ in range(8):
@@ -270,7 +270,7 @@
         self.assertEqual(refused.exception.message, "control did not confirm in time")
         told_s = refused.exception.retry_after_s
         assert told_s is not None
-        all_in_s = self.control.last_heard_s + WINDOW_HOLDS_S - self.clock.now_s
+        all_in_s = self.control.last_heard_s + WINDOW_VALIDITY_S - self.clock.now_s
         self.assertLessEqual(told_s, all_in_s + 0.05)
         self.clock.now_s += told_s
         balance = self.tokens._balance(_TENANT.name)
@@ -283,7 +283,7 @@
         window = self.tokens.window
         for tokens in (_REQUEST_TOKENS, 4 * _REQUEST_TOKENS, 1_000_000):
             opens_in_s = window._opens_in_s(balance, balance.confirmed - balance.used + tokens)
-            self.assertLessEqual(opens_in_s, WINDOW_HOLDS_S)
+            self.assertLessEqual(opens_in_s, WINDOW_VALIDITY_S)
             for after_s, allowed in ((opens_in_s - 0.01, False), (opens_in_s + 0.01, True)):
                 self.clock.now_s += after_s
                 asked = balance.confirmed - balance.used + tokens
--- a/tests/test_region_tokens.py
+++ b/tests/test_region_tokens.py
@@ -150,7 +150,7 @@
 
 
 def _request_tokens(tokens: "_Waits | None", round_trip_s: float) -> RequestTokens:
-    link: Any = SimpleNamespace(quickest_round_trip_s=round_trip_s)
+    link: Any = SimpleNamespace(min_round_trip_s=round_trip_s)
     environment: Any = SimpleNamespace(monotonic=lambda: 100.0)
     nothing: Any = None
     return RequestTokens(link, nothing, cast(Any, tokens), environment, nothing)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -14,7 +14,7 @@
 from heronladder_router.leases import LeaseManager
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
-from heronladder_runtime.link_handlers import LinkHandlers
+from heronladder_runtime.link_handlers import ControlLinkHandlers
 from heronladder_runtime.logs import EventLog
 from heronladder_schema.v1 import consensus_pb2, control_pb2, ledger_pb2, resources_pb2
 from support import run_virtual
@@ -81,7 +81,7 @@
             name=name, role="router", incarnation=f"{name}-1", region=region
         )
         stubs = MemoryStubs(self.network, name)
-        handlers = LinkHandlers()
+        handlers = ControlLinkHandlers()
         link = ControlLink(record, self._addresses(region), stubs, 2.0, handlers, self.environment)
         manager = LeaseManager(link, self.environment, 10.0, EventLog("test", name))
         handlers.recall = manager.recall
--- a/tests/test_replica_limit_reports.py
+++ b/tests/test_replica_limit_reports.py
@@ -18,8 +18,8 @@
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
 from heronladder_runtime.replica_limit import (
-    GRANT_HOLDS_S,
-    MOST_REPORTS,
+    GRANT_VALIDITY_S,
+    MAX_REPORTS,
     LimitReport,
     newest,
     read_limit,
@@ -143,7 +143,7 @@
     def test_a_grant_runs_out_also_while_the_machine_is_suspended(self) -> None:
         self.parts.grant_one()
         self.assertIs(self.limits.verdict(self.first), LimitVerdict.GRANTED)
-        self.clock.now_s += GRANT_HOLDS_S
+        self.clock.now_s += GRANT_VALIDITY_S
         self.parts.leader_heard_s = self.clock.now_s
         self.assertIs(self.limits.verdict(self.first), LimitVerdict.NOT_GRANTED)
 
@@ -153,7 +153,7 @@
         for _ in range(4):
             self.clock.now_s += 0.3
             self.limits.observe(self.first, "1.7", self.clock.now_s)
-            frame = self.parts.beat(late_s=GRANT_HOLDS_S)
+            frame = self.parts.beat(late_s=GRANT_VALIDITY_S)
         self.assertTrue(frame.replica_grants)
         self.assertIs(self.limits.verdict(self.first), LimitVerdict.NOT_GRANTED)
 
@@ -163,7 +163,7 @@
         began_s = self.clock.now_s
         while not self.parts.beat().replica_grants:
             self.clock.now_s += 0.1
-        self.assertGreaterEqual(self.clock.now_s - began_s, GRANT_HOLDS_S)
+        self.assertGreaterEqual(self.clock.now_s - began_s, GRANT_VALIDITY_S)
 
     def test_where_nobody_hears_of_a_replica_a_send_is_granted_that_holds_longer(self) -> None:
         """Sends ran out unused at gateways with few requests, and the end was never noticed."""
@@ -189,16 +189,16 @@
     def test_more_replicas_than_go_into_one_frame_are_told_one_after_another(self) -> None:
         reports = [
             control_pb2.ReplicaLimit(replica=f"x{number}", per_s=1.0)
-            for number in range(2 * MOST_REPORTS + 1)
+            for number in range(2 * MAX_REPORTS + 1)
         ]
         self.parts.leader.observe("g1", reports)
         told: set[str] = set()
         for _ in range(3):
             frame = control_pb2.ControlFrame()
             self.parts.leader.fill(self.parts.session, frame)
-            self.assertLessEqual(len(frame.replica_limits), MOST_REPORTS)
+            self.assertLessEqual(len(frame.replica_limits), MAX_REPORTS)
             told |= {message.replica for message in frame.replica_limits}
-        self.assertEqual(len(told), 2 * MOST_REPORTS + 1)
+        self.assertEqual(len(told), 2 * MAX_REPORTS + 1)
 
     def test_a_number_that_is_none_is_not_taken_from_a_gateway(self) -> None:
         bad = [
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -17,8 +17,8 @@
     RolloutTable,
 )
 from heronladder_control.state import ControlState
-from heronladder_runtime.rollouts.evidence import Answers, Evidence
-from heronladder_runtime.rollouts.verdict import Decision, Verdict, Watch
+from heronladder_runtime.rollouts.evidence import Evidence, ResponseTotals
+from heronladder_runtime.rollouts.verdict import Decision, TrialMonitor, Verdict
 from heronladder_schema.v1 import control_pb2, resources_pb2
 from rollout_trials import draw, play
 
@@ -300,13 +300,13 @@
         self.assertEqual(self._phase(elapsed_s=8.5), MOVING)
 
     def test_what_is_not_proved_is_not_moved_to(self) -> None:
-        doubt = Verdict(Decision.GO_ON, "in doubt")
+        doubt = Verdict(Decision.CONTINUE, "in doubt")
         self.assertIsNone(self._phase(elapsed_s=9.9, verdict=doubt, per_s=2000.0))
         self.assertEqual(self._phase(elapsed_s=10.0, verdict=doubt), ROLLED_BACK)
 
     def test_what_is_in_doubt_is_not_moved_to_at_the_last_moment_either(self) -> None:
         """What is left of the time goes to nothing, and so did what was asked of the bound."""
-        doubt = Verdict(Decision.GO_ON, "in doubt: failures of all 4.4")
+        doubt = Verdict(Decision.CONTINUE, "in doubt: failures of all 4.4")
         for per_s, duration_s, elapsed_s, left in (
             (148.0, 12.0, 11.75, 100),
             (148.0, 30.0, 29.7, 150),
@@ -322,18 +322,18 @@
         known = {"per_s": 91.0, "duration_s": 4.0, "left": 46, "longest_s": 0.035}
         self.assertIsNone(self._phase(**known, elapsed_s=3.3))
         self.assertEqual(self._phase(**known, elapsed_s=3.58), MOVING)
-        doubt = Verdict(Decision.GO_ON, "in doubt")
+        doubt = Verdict(Decision.CONTINUE, "in doubt")
         self.assertIsNone(self._phase(**known, elapsed_s=3.58, verdict=doubt))
 
     def test_after_the_deadline_only_what_is_sound_stays_moved_to(self) -> None:
-        doubt = Verdict(Decision.GO_ON, "in doubt")
+        doubt = Verdict(Decision.CONTINUE, "in doubt")
         late = {"phase": MOVING, "elapsed_s": 10.0}
         self.assertEqual(self._phase(**late, verdict=doubt), ROLLED_BACK)
         self.assertIsNone(self._phase(**late))  # it waits for what runs elsewhere
 
     def test_a_move_that_only_lacks_answers_gets_more_time(self) -> None:
         """A good one was sent back at the deadline: «not proved in its time: 9 answers of 16»."""
-        few = Verdict(Decision.GO_ON, "9 answers of 16", lacks_answers=True)
+        few = Verdict(Decision.CONTINUE, "9 answers of 16", lacks_responses=True)
         self.assertIsNone(self._phase(phase=MOVING, elapsed_s=10.0, verdict=few))
         self.assertIsNone(self._phase(phase=MOVING, elapsed_s=14.9, verdict=few))
         self.assertEqual(self._phase(phase=MOVING, elapsed_s=15.0, verdict=few), ROLLED_BACK)
@@ -343,7 +343,7 @@
         self.assertIsNone(self._phase(elapsed_s=9.0, left=20))
 
     def test_it_goes_back_in_each_phase(self) -> None:
-        bad = Verdict(Decision.GO_BACK, "bad")
+        bad = Verdict(Decision.ROLL_BACK, "bad")
         for phase in (TRIAL, MOVING):
             self.assertEqual(self._phase(phase=phase, verdict=bad), ROLLED_BACK)
         self.assertEqual(self._phase(phase=MOVING, target_replicas=0), ROLLED_BACK)
@@ -354,39 +354,39 @@
         late = {"phase": MOVING, "elapsed_s": 9.5}
         self.assertEqual(self._phase(**late, all_clear=True), COMPLETED)
         self.assertIsNone(self._phase(**late))
-        doubt = Verdict(Decision.GO_ON, "in doubt")
+        doubt = Verdict(Decision.CONTINUE, "in doubt")
         self.assertIsNone(self._phase(**late, all_clear=True, verdict=doubt))
 
 
 class VerdictTest(unittest.TestCase):
     def test_an_old_version_that_is_not_known_yet_loses_no_answer_of_the_new(self) -> None:
         """What the target answered first was dropped, so one that fails at once was let in."""
-        watch = Watch()
+        watch = TrialMonitor()
         evidence = Evidence()
-        evidence.sides[("r", True)] = Answers(answers=20, failed=12)
-        evidence.sides[("r", False)] = Answers(answers=5)
-        self.assertIs(watch.judge(evidence).decision, Decision.GO_ON)
-        evidence.sides[("r", False)] = Answers(answers=60)
-        self.assertIs(watch.judge(evidence).decision, Decision.GO_BACK)
+        evidence.sides[("r", True)] = ResponseTotals(answers=20, failed=12)
+        evidence.sides[("r", False)] = ResponseTotals(answers=5)
+        self.assertIs(watch.judge(evidence).decision, Decision.CONTINUE)
+        evidence.sides[("r", False)] = ResponseTotals(answers=60)
+        self.assertIs(watch.judge(evidence).decision, Decision.ROLL_BACK)
 
     def test_a_good_start_does_not_cover_what_turns_bad(self) -> None:
-        watch = Watch()
+        watch = TrialMonitor()
         evidence = Evidence()
-        evidence.sides[("r", False)] = Answers(answers=2000)
-        evidence.sides[("r", True)] = Answers(answers=300)
-        self.assertIsNot(watch.judge(evidence).decision, Decision.GO_BACK)
-        evidence.sides[("r", True)] = Answers(answers=312, failed=6)
-        self.assertIs(watch.judge(evidence).decision, Decision.GO_BACK)
+        evidence.sides[("r", False)] = ResponseTotals(answers=2000)
+        evidence.sides[("r", True)] = ResponseTotals(answers=300)
+        self.assertIsNot(watch.judge(evidence).decision, Decision.ROLL_BACK)
+        evidence.sides[("r", True)] = ResponseTotals(answers=312, failed=6)
+        self.assertIs(watch.judge(evidence).decision, Decision.ROLL_BACK)
 
     def test_a_burst_that_hits_both_is_no_fault_of_the_new(self) -> None:
-        watch = Watch()
+        watch = TrialMonitor()
         evidence = Evidence()
-        evidence.sides[("r", False)] = Answers(answers=500)
-        evidence.sides[("r", True)] = Answers(answers=50)
+        evidence.sides[("r", False)] = ResponseTotals(answers=500)
+        evidence.sides[("r", True)] = ResponseTotals(answers=50)
         watch.judge(evidence)
-        evidence.sides[("r", False)] = Answers(answers=900, failed=200)
-        evidence.sides[("r", True)] = Answers(answers=60, failed=5)
-        self.assertIsNot(watch.judge(evidence).decision, Decision.GO_BACK)
+        evidence.sides[("r", False)] = ResponseTotals(answers=900, failed=200)
+        evidence.sides[("r", True)] = ResponseTotals(answers=60, failed=5)
+        self.assertIsNot(watch.judge(evidence).decision, Decision.ROLL_BACK)
 
     def test_drawn_versions_that_are_clearly_bad_keep_to_the_bound(self) -> None:
         """A seed that once went over the bound: 69, whose first old answers failed often."""
@@ -398,7 +398,7 @@
             if not drawn.is_serious:
                 continue
             played += 1
-            outcome = play(drawn, Watch().judge, source)
+            outcome = play(drawn, TrialMonitor().judge, source)
             if not outcome.kept:
                 over.append((seed, drawn, outcome))
         self.assertGreater(played, 3)
--- a/tests/test_rollout_gates.py
+++ b/tests/test_rollout_gates.py
@@ -11,7 +11,7 @@
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import ConfigurationStore
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.rollouts.evidence import step_of
+from heronladder_runtime.rollouts.evidence import histogram_bucket
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 _TRIAL = resources_pb2.ROLLOUT_PHASE_TRIAL
@@ -116,8 +116,10 @@
         seen.given_up(4.5)
         side = gate.evidence.side("r", of_target=True)
         self.assertEqual((side.answers, side.failed), (1, 0))
-        self.assertEqual(dict(side.first), {step_of(0.5): 1})
-        self.assertEqual(dict(side.gap), {step_of(2.0): 1})  # two events, and one that did not come
+        self.assertEqual(dict(side.first), {histogram_bucket(0.5): 1})
+        self.assertEqual(
+            dict(side.gap), {histogram_bucket(2.0): 1}
+        )  # two events, and one that did not come
 
     def test_one_that_nobody_waited_for_in_time_counts_only_if_late(self) -> None:
         gate = self._gate(_TRIAL)
--- a/tests/test_rollout_quiet.py
+++ b/tests/test_rollout_quiet.py
@@ -4,8 +4,8 @@
 from random import Random
 
 from heronladder_control.rollouts.table import COMPLETED, ROLLED_BACK
-from heronladder_runtime.rollouts.evidence import Answers, Evidence
-from heronladder_runtime.rollouts.verdict import Decision, Watch
+from heronladder_runtime.rollouts.evidence import Evidence, ResponseTotals
+from heronladder_runtime.rollouts.verdict import Decision, TrialMonitor
 from rollout_trials import Drawn, play
 
 _SEEDS = 40
@@ -17,7 +17,7 @@
 
 class QuietTest(unittest.TestCase):
     def _completed_in_time(self, drawn: Drawn) -> int:
-        outcomes = [play(drawn, Watch().judge, Random(seed)) for seed in range(_SEEDS)]
+        outcomes = [play(drawn, TrialMonitor().judge, Random(seed)) for seed in range(_SEEDS)]
         return sum(o.phase == COMPLETED and o.ended_s <= drawn.duration_s for o in outcomes)
 
     def test_a_good_version_of_a_quiet_service_is_completed_in_time(self) -> None:
@@ -40,7 +40,7 @@
     def test_a_version_that_fails_half_is_not_completed(self) -> None:
         for per_s, duration_s in ((6.0, 6.0), (2.0, 30.0), (10.0, 12.0)):
             drawn = _drawn(per_s, duration_s, [1.0], fails=0.5)
-            outcomes = [play(drawn, Watch().judge, Random(seed)) for seed in range(_SEEDS)]
+            outcomes = [play(drawn, TrialMonitor().judge, Random(seed)) for seed in range(_SEEDS)]
             back = sum(outcome.phase == ROLLED_BACK for outcome in outcomes)
             self.assertEqual(back, _SEEDS, (per_s, duration_s))
 
@@ -48,20 +48,22 @@
         self,
     ) -> None:
         for old in (0, 3, 9):
-            for alone in (True, False):
-                watch = Watch()
+            for without_baseline in (True, False):
+                watch = TrialMonitor()
                 evidence = Evidence()
-                evidence.sides[("r", False)] = Answers(answers=old)
+                evidence.sides[("r", False)] = ResponseTotals(answers=old)
                 for count in range(1, 31):
-                    evidence.sides[("r", True)] = Answers(answers=count, failed=count)
-                    verdict = watch.judge(evidence, alone=alone)
-                self.assertIs(verdict.decision, Decision.GO_BACK, (old, alone))
+                    evidence.sides[("r", True)] = ResponseTotals(answers=count, failed=count)
+                    verdict = watch.judge(evidence, without_baseline=without_baseline)
+                self.assertIs(verdict.decision, Decision.ROLL_BACK, (old, without_baseline))
 
     def test_one_look_at_many_failures_is_enough(self) -> None:
         evidence = Evidence()
-        evidence.sides[("r", False)] = Answers(answers=9)
-        evidence.sides[("r", True)] = Answers(answers=500, failed=500)
-        self.assertIs(Watch().judge(evidence, alone=True).decision, Decision.GO_BACK)
+        evidence.sides[("r", False)] = ResponseTotals(answers=9)
+        evidence.sides[("r", True)] = ResponseTotals(answers=500, failed=500)
+        self.assertIs(
+            TrialMonitor().judge(evidence, without_baseline=True).decision, Decision.ROLL_BACK
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -11,11 +11,11 @@
 from google.protobuf.descriptor import Descriptor, FieldDescriptor
 from google.protobuf.message import Message
 from heronladder_runtime.cluster_versions import (
-    FIRST_VERSION,
+    INITIAL_VERSION,
     LATEST_VERSION,
     ClusterVersionError,
-    at_version,
     is_allowed,
+    reduce_to_version,
     require_allowed,
     since,
 )
@@ -112,12 +112,12 @@
         for field in control_pb2.Command.DESCRIPTOR.fields:
             command = control_pb2.Command()
             getattr(command, field.name).SetInParent()
-            self.assertEqual(is_allowed(command, FIRST_VERSION), since(field) == FIRST_VERSION)
-            if since(field) == FIRST_VERSION:
-                require_allowed(command, FIRST_VERSION)
+            self.assertEqual(is_allowed(command, INITIAL_VERSION), since(field) == INITIAL_VERSION)
+            if since(field) == INITIAL_VERSION:
+                require_allowed(command, INITIAL_VERSION)
                 continue
             with self.subTest(field.name), self.assertRaises(ClusterVersionError):
-                require_allowed(command, FIRST_VERSION)
+                require_allowed(command, INITIAL_VERSION)
 
     def test_a_command_that_this_build_does_not_know_is_refused(self) -> None:
         with self.assertRaises(ClusterVersionError):
@@ -136,10 +136,10 @@
         notes.note_promises.promises.add(holder="a").promise.most = 5
         notes.note_promises.wall_ahead_ms["a"] = 1
         for full, kept in ((command, 1), (draw, 1), (notes, 2)):
-            reduced = at_version(full, FIRST_VERSION)
+            reduced = reduce_to_version(full, INITIAL_VERSION)
             self.assertEqual(self._newer(reduced), [])
             self.assertEqual(len(self._body(reduced).ListFields()), kept)
-            self.assertEqual(at_version(full, LATEST_VERSION), full)
+            self.assertEqual(reduce_to_version(full, LATEST_VERSION), full)
 
     @staticmethod
     def _body(command: control_pb2.Command) -> Message:
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -13,7 +13,7 @@
 from heronladder_control.in_force import InForceTracker
 from heronladder_control.ledger import Ledger
 from heronladder_router.replicas import Replica
-from heronladder_runtime.invariants import BOOK
+from heronladder_runtime.invariants import INVARIANT_COUNTERS
 from heronladder_tools.profiles import PROFILES
 from heronladder_tools.simulation.faults import FAULTS, FaultInjector, FaultKind
 from heronladder_tools.simulation.run import SimulationOptions, SimulationResult, simulate
@@ -70,7 +70,7 @@
 
 class StoryTest(unittest.TestCase):
     def test_a_broken_promise_is_told_with_time_and_last_events(self) -> None:
-        self.addCleanup(BOOK.clear)
+        self.addCleanup(INVARIANT_COUNTERS.clear)
         original = Gate._head
 
         def head(self, dispatch):  # type: ignore[no-untyped-def]
@@ -91,7 +91,7 @@
     def setUp(self) -> None:
         logging.getLogger("heronladder").setLevel(logging.CRITICAL)
         self.addCleanup(logging.getLogger("heronladder").setLevel, logging.NOTSET)
-        self.addCleanup(BOOK.clear)
+        self.addCleanup(INVARIANT_COUNTERS.clear)
         often = {
             "operators-race": FaultKind("operators-race", 2.0, FaultInjector.operators_race),
             "router-cut": FaultKind("router-cut", 10.0, FaultInjector.router_cut),
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -43,7 +43,7 @@
         self.assertLess(run_on_machine(wait), 5.0)
 
     def test_a_process_was_not_younger_for_having_slept(self) -> None:
-        environment = Environment(process_began_s=boot_time_s() - 7.0)
+        environment = Environment(process_start_s=boot_time_s() - 7.0)
         self.assertGreaterEqual(environment.process_age_s(), 7.0)
 
 
