--- a/packages/heronladder-runtime/src/heronladder_runtime/change_signal.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/change_signal.py
@@ -1,17 +1,17 @@
-"""A wake-up call for tasks that wait until some state has changed."""
+"""Signal that wakes tasks which wait for a change of state."""
 
 import asyncio
 
 
 class ChangeSignal:
-    """Wakes all tasks that wait at the moment it is given.
+    """Wakes all waiting tasks when notified; it keeps no state for later waiters.
 
-    Tasks check their condition, wait for the next pulse, and check again. All
-    run on one event loop, so no change can fall between check and wait. A task that
-    waits for something else meanwhile compares ``given`` with what it was at its check.
+    Tasks check their condition, wait for the next notification, and check again. All run on one
+    event loop, so no change can occur between check and wait. A task that awaits something else in
+    between compares ``notification_count`` with its value at the check.
 
     Attributes:
-        given: How often it was given.
+        notification_count: Number of notifications so far.
     """
 
     def __init__(self) -> None:
@@ -19,7 +19,7 @@
         self.notification_count = 0
 
     def notify_waiters(self) -> None:
-        """Wake all waiting tasks."""
+        """Wake all tasks that wait now."""
         self.notification_count += 1
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
@@ -27,13 +27,13 @@
                 waiter.set_result(None)
 
     async def wait(self, timeout_s: float | None = None) -> bool:
-        """Wait for the next pulse.
+        """Wait for the next notification.
 
         Args:
-            timeout_s: Seconds to wait at most; None waits for ever.
+            timeout_s: Longest time to wait, in seconds; None waits indefinitely.
 
         Returns:
-            False when the time ran out first.
+            Whether a notification came in time.
         """
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
--- a/packages/heronladder-runtime/src/heronladder_runtime/clock.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/clock.py
@@ -1,4 +1,4 @@
-"""Time and randomness, so that the same code runs under virtual time."""
+"""Sources of time and randomness, so that the same code runs under virtual time."""
 
 import asyncio
 import time
@@ -11,7 +11,7 @@
 from heronladder_runtime.process_start import boot_time_s
 
 MILLISECONDS_PER_SECOND = 1000
-_LEAST_TIMER_S = 0.001  # less may not move a clock at all: the timer would be due again at once
+_MIN_TIMER_S = 0.001  # a shorter timer may be due again at once
 _Result = TypeVar("_Result")
 
 
@@ -26,14 +26,14 @@
 
 @dataclass
 class Environment:
-    """What a daemon takes from its surroundings.
+    """Sources of time and randomness of a daemon.
 
     Attributes:
         random: Source of every random choice; seeded in simulations.
-        virtual: Whether time is the event loop's own (simulations).
-        process_began_s: When the process began, on the clock of ``process_start``; None
-            where several daemons share a process.
-        lateness: How late the process runs; 0 where it is not measured.
+        virtual: Whether wall time is the event loop's time (simulations).
+        process_start_s: Start of the process on the clock of ``process_start``; None if several
+            daemons share a process.
+        loop_lag: Lag of the event loop; 0 if it is not measured.
     """
 
     random: Random = field(default_factory=Random)
@@ -42,21 +42,21 @@
     loop_lag: LoopLagMonitor = field(default_factory=LoopLagMonitor)
 
     def process_age_s(self) -> float:
-        """Return how long ago the process began, at least; 0 where that is not known."""
+        """Return a lower bound of the process's age in seconds; 0 if it is not known."""
         if self.process_start_s is None:
             return 0.0
         return max(0.0, boot_time_s() - self.process_start_s)
 
     def monotonic(self) -> float:
-        """Return seconds on the event loop's clock, which never goes back.
+        """Return the seconds on the event loop's clock, which never goes back.
 
-        In daemons it goes on while the machine is suspended: whatever a promise, a lease or a
-        silence rests on is judged by it.
+        In daemons it advances while the machine is suspended, so that leases, promises and
+        periods of silence are timed by it.
         """
         return asyncio.get_running_loop().time()
 
     def wall_ms(self) -> int:
-        """Return milliseconds of wall time; in simulations, of virtual time."""
+        """Return the wall time in milliseconds; in simulations, virtual time."""
         if self.virtual:
             return int(self.monotonic() * MILLISECONDS_PER_SECOND)
         return _system_wall_ms()
@@ -66,15 +66,15 @@
         return f"{prefix}-{self.random.getrandbits(64):016x}"
 
     def jitter(self, seconds: float) -> float:
-        """Return a duration between half and one and a half of ``seconds``."""
+        """Return a random duration between 0.5 and 1.5 times ``seconds``."""
         return seconds * (0.5 + self.random.random())
 
 
 class SilenceWatch:
-    """Follows when a peer was heard last.
+    """Tracks the time since the last message of a peer.
 
     Args:
-        environment: Time, and how late this process runs.
+        environment: Source of time and of the loop lag.
     """
 
     def __init__(self, environment: Environment) -> None:
@@ -82,30 +82,33 @@
         self.record_activity()
 
     def record_activity(self) -> None:
-        """Note that the peer is heard now."""
-        self._heard_s = self._environment.monotonic()
-        self._late_before_s = self._environment.loop_lag.total_s()
+        """Record a message of the peer."""
+        self._last_heard_s = self._environment.monotonic()
+        self._lag_before_s = self._environment.loop_lag.total_s()
 
     def silence(self) -> Silence:
-        """Return how long it has not been heard."""
+        """Return the time since the last message."""
         return Silence(
-            self._environment.monotonic() - self._heard_s,
-            self._environment.loop_lag.total_s() - self._late_before_s,
+            self._environment.monotonic() - self._last_heard_s,
+            self._environment.loop_lag.total_s() - self._lag_before_s,
         )
 
 
 async def wait_excluding_loop_lag(
     environment: Environment, timeout_s: float, work: Awaitable[_Result]
 ) -> _Result:
-    """Return the result of what is awaited; time for which this process was late is not counted.
+    """Await with a timeout that does not count the loop lag of this process.
 
     Args:
-        environment: Time, and how late this process runs.
-        timeout_s: Longest time, in seconds; twice as much where the process is late throughout.
-        work: What is awaited, and cancelled when the time is over.
+        environment: Source of time and of the loop lag.
+        timeout_s: Timeout in seconds; at most doubled if the loop lags all the time.
+        work: Awaitable; it is cancelled at the timeout.
+
+    Returns:
+        Result of the awaitable.
 
     Raises:
-        TimeoutError: The time was over.
+        TimeoutError: If the timeout expired.
     """
     loop = asyncio.get_running_loop()
     watch = SilenceWatch(environment)
@@ -116,7 +119,7 @@
             nonlocal timer
             remaining_s = watch.silence().remaining_s(timeout_s)
             if remaining_s > 0:
-                timer = loop.call_later(max(remaining_s, _LEAST_TIMER_S), check)
+                timer = loop.call_later(max(remaining_s, _MIN_TIMER_S), check)
             else:
                 limit.reschedule(loop.time())
 
--- a/packages/heronladder-runtime/src/heronladder_runtime/cluster_versions.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/cluster_versions.py
@@ -1,6 +1,7 @@
-"""Which cluster version commands need, and commands as an earlier version knows them.
+"""Cluster versions that commands require, and reduction of commands to earlier versions.
 
-The schema tells it: each field has the version from which the log holds it (``versions.proto``).
+The schema declares them: each field has an option with the cluster version from which the log may
+contain it (``versions.proto``).
 """
 
 from functools import cache
@@ -12,43 +13,43 @@
 
 from heronladder_runtime.errors import HeronladderError
 
-INITIAL_VERSION = 0  # of builds that tell none
-LATEST_VERSION = 1  # that this build supports
+INITIAL_VERSION = 0  # of builds that report none
+LATEST_VERSION = 1  # newest one that this build supports
 _COMMAND = control_pb2.Command.DESCRIPTOR
 
 
 class ClusterVersionError(HeronladderError):
-    """The cluster version in force does not allow a command, or this build not that version."""
+    """The cluster version in force does not allow a command, or is not supported."""
 
 
 @cache
 def since(field: FieldDescriptor) -> int:
-    """Return the cluster version from which the log holds a field."""
+    """Return the cluster version from which the log may contain a field."""
     version: int = field.GetOptions().Extensions[versions_pb2.since]
     return version
 
 
 def required_version(command: control_pb2.Command) -> int | None:
-    """Return the cluster version from which a kind of command is allowed; None: it is not known."""
+    """Return the cluster version that a kind of command requires; None if it is unknown."""
     body = command.WhichOneof("body")
     return None if body is None else since(_COMMAND.fields_by_name[body])
 
 
 def is_allowed(command: control_pb2.Command, version: int) -> bool:
-    """Whether the log may hold a kind of command at a cluster version."""
+    """Return whether the log may contain a kind of command at a cluster version."""
     needed = required_version(command)
     return needed is not None and needed <= version
 
 
 def require_allowed(command: control_pb2.Command, version: int) -> None:
-    """Check that the log may hold a kind of command.
+    """Check that the log may contain a kind of command.
 
     Args:
         command: The command.
         version: Cluster version in force.
 
     Raises:
-        ClusterVersionError: If it is not known, or needs a later version. Nothing was done.
+        ClusterVersionError: If the command is unknown or requires a later version.
     """
     if is_allowed(command, version):
         return
@@ -63,30 +64,30 @@
 
 
 def reduce_to_version(command: control_pb2.Command, version: int) -> control_pb2.Command:
-    """Return a command without the fields that a cluster version does not know.
+    """Return a command without the fields that are newer than a cluster version.
 
-    Builds that do not know a field keep it in their states all the same, and those states would
-    differ from ours.
+    Builds that do not know a field would still store it, and their replicated state would differ
+    from that of this build.
     """
     if version >= LATEST_VERSION:
         return command
     reduced = control_pb2.Command()
     reduced.CopyFrom(command)
-    _reduce(reduced, version)
+    _clear_newer_fields(reduced, version)
     return reduced
 
 
-def _reduce(message: Message, version: int) -> None:
+def _clear_newer_fields(message: Message, version: int) -> None:
     for field, value in message.ListFields():
         if since(field) > version:
             message.ClearField(field.name)
         elif field.message_type is not None:
             for inner in _messages(field, value):
-                _reduce(inner, version)
+                _clear_newer_fields(inner, version)
 
 
 def _messages(field: FieldDescriptor, value: Any) -> list[Message]:
-    """Return the messages that a field holds."""
+    """Return the messages in a field's value."""
     if isinstance(value, Message):
         return [value]
     if field.message_type is None or not field.message_type.GetOptions().map_entry:
--- a/packages/heronladder-runtime/src/heronladder_runtime/configuration.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration a daemon holds: declared resources up to one revision."""
+"""Configuration that a daemon holds: the declared resources as of one revision."""
 
 from collections.abc import Callable
 
@@ -28,10 +28,13 @@
 
 
 class ConfigurationStore:
-    """Resources by kind and name, brought up to date by control.
+    """Resources by kind and name, updated by control.
 
     Args:
-        daemon: Name of the daemon that holds it, for errors.
+        daemon: Name of the daemon that holds the configuration, for error messages.
+
+    Attributes:
+        revision: Revision of the newest update applied; 0 before the first.
     """
 
     def __init__(self, daemon: str) -> None:
@@ -45,10 +48,10 @@
         self._listeners.append(listener)
 
     def apply(self, update: control_pb2.ConfigUpdate) -> None:
-        """Take in an update from control.
+        """Apply an update from control and call the listeners.
 
         Raises:
-            InvariantViolationError: If the update would take the revision back.
+            InvariantViolationError: If the update has an older revision than the one held.
         """
         invariant(
             update.revision >= self.revision,
@@ -78,34 +81,34 @@
         return self._resources["service"]
 
     def backends(self) -> dict[str, resources_pb2.Resource]:
-        """Return all back ends by name."""
+        """Return all backends by name."""
         return self._resources["backend"]
 
     def fleet(self) -> resources_pb2.FleetConfiguration | None:
-        """Return the whole fleet configuration held, or None before the first."""
+        """Return the fleet configuration, or None before the first."""
         resource = self._resources[FLEET_KIND].get(FLEET_NAME)
         return resource.fleet_configuration if resource is not None else None
 
     def replicas(self) -> list[resources_pb2.Replica]:
-        """Return all replicas that registered."""
+        """Return all registered replicas."""
         return [resource.replica for resource in self._resources[REPLICA_KIND].values()]
 
     def evacuations(self) -> dict[str, resources_pb2.Evacuation]:
-        """Return the zones that are evacuated, or were, by name."""
+        """Return all current and past evacuations by zone name."""
         kept = self._resources[EVACUATION_KIND].items()
         return {zone: resource.evacuation for zone, resource in kept}
 
     def rollouts(self) -> dict[str, resources_pb2.Rollout]:
-        """Return the newest change of version of each service that had one, by service."""
+        """Return the newest rollout of each service that had one, by service name."""
         kept = self._resources[ROLLOUT_KIND].items()
         return {service: resource.rollout for service, resource in kept}
 
     def crashing_requests(self) -> dict[str, resources_pb2.CrashingRequest]:
-        """Return the requests that crash replicas, or are suspected to, by fingerprint."""
+        """Return the requests that crash replicas or are suspected of it, by fingerprint."""
         kept = self._resources[CRASHING_REQUEST_KIND].items()
         return {name: resource.crashing_request for name, resource in kept}
 
     def policy(self, name: str) -> resources_pb2.RoutingPolicy | None:
-        """Return a routing policy, or None when there is none of that name."""
+        """Return the routing policy of a name, or None if there is none."""
         resource = self._resources["routing_policy"].get(name)
         return resource.routing_policy if resource is not None else None
--- a/packages/heronladder-runtime/src/heronladder_runtime/control_link.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/control_link.py
@@ -1,8 +1,8 @@
-"""A daemon's link to control: one long stream to the leader of its region.
+"""Link of a daemon to control: one long-lived stream to the leader of its region.
 
-The link registers the daemon, keeps its freshness lease, takes in the
-configuration and carries commands. A command stays pending until it is
-answered and is sent again on each new stream; all commands are idempotent.
+The link registers the daemon, renews its freshness lease, receives the configuration and carries
+commands. A command is pending until its result arrives and is sent again on each new stream,
+because all commands are idempotent.
 """
 
 import asyncio
@@ -38,14 +38,14 @@
     """Keeps a daemon connected to its region's control leader.
 
     Args:
-        record: Who the daemon is.
+        record: Identity of the daemon.
         addresses: gRPC addresses of the control members.
-        stubs: Makes stubs to them.
+        stubs: Creates stubs for them.
         heartbeat_interval_s: Time between heartbeats, in seconds.
-        handlers: What to do on orders from control.
-        environment: Time and randomness.
-        acts_past_lease: Whether the daemon goes on by what it holds while control is
-            silent; control then waits for it as long as it is heard.
+        handlers: Callbacks for orders from control.
+        environment: Source of time and randomness.
+        acts_past_lease: Whether the daemon acts on the configuration it holds while it is
+            disconnected. Control then waits for it as long as it is connected.
     """
 
     def __init__(
@@ -72,30 +72,30 @@
         self._log = EventLog("control_link", record.name)
         self.standing = ConfigurationStatus(self.configuration, environment, self._log)
         self._tasks = TaskGroupOwner(self._log)
-        self._ways = ControlMemberProber(stubs, self._tasks, environment, self._log)
+        self._member_prober = ControlMemberProber(stubs, self._tasks, environment, self._log)
         self._pending: dict[int, PendingCall] = {}
-        self._last_call_id = self._heartbeat_number = 0
+        self._last_call_id = self._last_heartbeat_number = 0
         self._fresh_until = 0.0
         self._session: LinkSession | None = None
-        self._hint = ""
-        self._failed = 0  # newest ones in a row that ended without a leader's word
-        self._unanswered_streams = 0  # newest ones that were given up before a first word
+        self._leader_address = ""
+        self._failed_streams = 0  # newest streams in a row without a leader's frame
+        self._unanswered_streams = 0  # newest streams in a row closed without any frame
         self._leaving = False
-        self._began_anew = False  # the process goes on under a new incarnation
+        self._incarnation_replaced = False  # the process continues under a new one
         self._became_fresh = asyncio.Event()
         self._control_time_ms = 0
-        self.last_heard_s = float("-inf")  # newest heartbeat that a leader answered
-        self.first_frame_s = float("inf")  # first word on this stream; inf: none yet
-        self.reconnected_s = float("-inf")  # end of the newest long silence of control
-        self.min_round_trip_s = 0.0  # of the heartbeats on this stream; 0: none yet
-        self.round_trip_s = 0.0  # of the newest heartbeat that was acknowledged
-        self._late_ms = 0  # of the silence that ended the newest stream
-        self.timer_lag_s = 0.0  # how late the timer between heartbeats woke last
-        self.routers = 1  # routers that control counts, this one among them
-        self.cluster_version = INITIAL_VERSION  # as control told it last; it never falls
+        self.last_heard_s = float("-inf")  # newest heartbeat response of a leader
+        self.first_frame_s = float("inf")  # on this stream; infinite if there is none
+        self.reconnected_s = float("-inf")  # end of the newest long disconnection
+        self.min_round_trip_s = 0.0  # of heartbeats on this stream; 0 if there is none
+        self.round_trip_s = 0.0  # of the newest acknowledged heartbeat
+        self._last_loop_lag_ms = 0  # during the silence that ended the newest stream
+        self.timer_lag_s = 0.0  # lag of the last timer between two heartbeats
+        self.routers = 1  # routers that control counts, this one included
+        self.cluster_version = INITIAL_VERSION  # newest one reported; it never falls
 
     def add_addresses(self, addresses: list[str]) -> None:
-        """Learn of further addresses of control members."""
+        """Add addresses of control members in front of the known ones."""
         self._addresses = list(dict.fromkeys([*addresses, *self._addresses]))
 
     def start(self) -> None:
@@ -103,9 +103,9 @@
         self._tasks.start("control_link", self._run())
 
     async def stop(self) -> None:
-        """Say that the daemon leaves, then close the stream."""
+        """Announce that the daemon leaves, then close the stream."""
         self._leaving = True
-        self._fresh_until = 0.0  # control counts on a leaving daemon no more
+        self._fresh_until = 0.0  # control no longer waits for a leaving daemon
         session = self._session
         if session is not None:
             session.wake.set()
@@ -113,7 +113,7 @@
         await self.abort()
 
     async def abort(self) -> None:
-        """Close the stream at once, saying nothing."""
+        """Close the stream at once without an announcement."""
         await self._tasks.stop()
         for call in self._pending.values():
             call.answer.cancel()
@@ -126,14 +126,14 @@
 
     @property
     def knows_newest(self) -> bool:
-        """Whether nothing newer than what is held can be in force."""
+        """Whether no newer revision than the one held can be in force."""
         return self.fresh and not self.standing.behind
 
     def require_fresh(self) -> None:
-        """Check the freshness lease.
+        """Check that the daemon may act on the configuration it holds.
 
         Raises:
-            StaleConfigurationError: If it has run out.
+            StaleConfigurationError: If its freshness lease has expired.
         """
         if not self.fresh:
             raise StaleConfigurationError(
@@ -149,15 +149,14 @@
     async def call(
         self, command: control_pb2.Command, timeout_s: float | None = None
     ) -> control_pb2.CommandResult:
-        """Have a command carried out by control, across changes of leader.
+        """Execute a command at control, across changes of leader.
 
         Args:
             command: The command; it must be idempotent.
-            timeout_s: Seconds to wait; None waits for ever.
+            timeout_s: Longest time to wait, in seconds; None waits indefinitely.
 
         Raises:
-            PeerUnavailableError: If no answer came in time. The command may
-                still be carried out.
+            PeerUnavailableError: If no result arrived in time; the command may still be executed.
             ClusterVersionError: If the cluster version in force does not allow it.
         """
         require_allowed(command, self.cluster_version)
@@ -174,7 +173,7 @@
             raise PeerUnavailableError(
                 "control did not answer in time",
                 step=command.WhichOneof("body") or "call",
-                peer=self._hint,
+                peer=self._leader_address,
             ) from error
         finally:
             self._pending.pop(call_id, None)
@@ -184,19 +183,19 @@
     async def _run(self) -> None:
         attempt = 0
         while self.rejected is None:
-            address, connect_time_s = self._hint, 0.0
+            address, connect_time_s = self._leader_address, 0.0
             if not address:
-                address, connect_time_s = await self._ways.choose(
-                    self._addresses, attempt, self._failed
+                address, connect_time_s = await self._member_prober.choose(
+                    self._addresses, attempt, self._failed_streams
                 )
-            self._hint = ""
+            self._leader_address = ""
             attempt += 1
             try:
                 await self._run_session(address, connect_time_s)
             except RPC_ERRORS as error:
-                self._failed += 1
+                self._failed_streams += 1
                 self._report_loss(address, error)
-            if not self._hint:
+            if not self._leader_address:
                 await asyncio.sleep(self._environment.jitter(_RECONNECT_PAUSE_S))
 
     def _report_loss(self, address: str, error: BaseException) -> None:
@@ -206,7 +205,7 @@
             step="session",
             peer=address,
             silent_s=silent_s,
-            late_ms=self._late_ms,
+            late_ms=self._last_loop_lag_ms,
             revision=self.configuration.revision,
             error=repr(error),
         )
@@ -216,52 +215,51 @@
         self._session = session
         if self._handlers.session_started is not None:
             self._handlers.session_started()
-        self._control_time_ms = 0  # another leader's clock says nothing to this one
-        self.min_round_trip_s = 0.0  # nor does the way to it
+        self._control_time_ms = 0  # not comparable with the clock of another leader
+        self.min_round_trip_s = 0.0
         self.first_frame_s = float("inf")
         stub = self._stubs.control(address, patient=connect_time_s > LONG_CONNECT_TIME_S)
         stream = stub.Session(self._frames(session))
         watchdog = self._tasks.start("watchdog", self._watch_silence(session, stream))
         try:
             async for frame in stream:
-                session.note_frame()
+                session.record_frame()
                 self.first_frame_s = min(self.first_frame_s, self._environment.monotonic())
                 self.bytes_received += frame.ByteSize()
                 if frame.not_leader:
-                    self._hint = frame.leader_address
+                    self._leader_address = frame.leader_address
                     return
-                # A member that names the leader is not the leader.
-                self._failed = self._unanswered_streams = 0
+                # Frames that redirect to the leader come from a follower and do not reset these.
+                self._failed_streams = self._unanswered_streams = 0
                 if frame.rejected:
                     self._reject(frame.rejected, address)
                     return
-                self._take(session, frame)
+                self._handle_frame(session, frame)
         except asyncio.CancelledError:
-            # gRPC raises this in the reader of a stream that was cancelled here,
-            # just as if this task itself were cancelled.
+            # gRPC also raises this here if only the stream was cancelled, by the watchdog.
             if not session.cancelled_for_silence:
                 raise
-            raise TimeoutError("control was silent") from None
+            raise TimeoutError("control sent no frame in time") from None
         finally:
             watchdog.cancel()
-            self._late_ms = session.received.silence().late_ms
+            self._last_loop_lag_ms = session.received.silence().late_ms
             session.closed = True
             session.wake.set()
             self._session = None
             stream.cancel()
 
-    def _reject(self, why: str, address: str) -> None:
-        self._log.warning("session_rejected", step="session", peer=address, reason=why)
+    def _reject(self, reason: str, address: str) -> None:
+        self._log.warning("session_rejected", step="session", peer=address, reason=reason)
         self._fresh_until = 0.0
         self._became_fresh.clear()
         if self._handlers.rejected is None:
-            self.rejected = SessionRejectedError(why, step="session", peer=address)
+            self.rejected = SessionRejectedError(reason, step="session", peer=address)
             return
         self.record.incarnation = self._handlers.rejected()
-        self._began_anew = True
+        self._incarnation_replaced = True
 
     async def _watch_silence(self, session: LinkSession, stream: object) -> None:
-        """Beat at each interval; give the stream up once control has gone silent."""
+        """Send a heartbeat at each interval; cancel the stream when control is silent too long."""
         limit_s = silence_limit_s(self._heartbeat_interval_s)
         while True:
             due_s = self._environment.monotonic() + self._heartbeat_interval_s
@@ -276,7 +274,7 @@
             session.request_heartbeat()
 
     async def _frames(self, session: LinkSession) -> AsyncIterator[control_pb2.DaemonFrame]:
-        age_s = 0.0 if self._began_anew else self._environment.process_age_s()
+        age_s = 0.0 if self._incarnation_replaced else self._environment.process_age_s()
         revision = self.configuration.revision
         first = hello(self.record, revision, age_s, acts_past_lease=self._acts_past_lease)
         yield control_pb2.DaemonFrame(hello=first)
@@ -300,9 +298,9 @@
                 frame.calls.add(call_id=call_id, command=command)
         if session.heartbeat_due:
             session.heartbeat_due = False
-            self._heartbeat_number += 1
-            session.heartbeat_times[self._heartbeat_number] = self._environment.monotonic()
-            frame.heartbeat.number = self._heartbeat_number
+            self._last_heartbeat_number += 1
+            session.heartbeat_times[self._last_heartbeat_number] = self._environment.monotonic()
+            frame.heartbeat.number = self._last_heartbeat_number
             frame.heartbeat.applied_revision = self.configuration.revision
             frame.heartbeat.control_time_ms = self._control_time_ms
             frame.heartbeat.held_below = self.standing.hold_below
@@ -327,7 +325,7 @@
         if self._session is not None:
             self._session.wake.set()
 
-    def _take(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
+    def _handle_frame(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
         self.standing.record_leader_contact()
         if frame.control_addresses:
             self._addresses = list(frame.control_addresses)
@@ -336,11 +334,11 @@
         self.cluster_version = max(self.cluster_version, frame.cluster_version)
         if frame.control_time_ms:
             self._control_time_ms = frame.control_time_ms
-            self._note_heard()
+            self._record_heartbeat_response()
         if frame.HasField("config") and self._apply_configuration(session, frame.config):
-            session.request_heartbeat()  # tells control at once that it is applied
+            session.request_heartbeat()  # reports at once that it is applied
         if frame.in_force_revision or frame.hold_below:
-            self._take_standing(session, frame)
+            self._handle_in_force(session, frame)
         if frame.heartbeat_ack:
             self._renew_freshness(session, frame)
         for answer in frame.answers:
@@ -351,26 +349,26 @@
         dispatch_orders(self._handlers, frame)
 
     def _apply_configuration(self, session: LinkSession, part: control_pb2.ConfigUpdate) -> bool:
-        """Take a part of an update; return whether it was the last one."""
+        """Add a part of an update; return whether the update is complete and applied."""
         session.parts_received += 1
-        session.wake.set()  # control sends the next part on that word
+        session.wake.set()  # control sends the next part after this acknowledgement
         update = session.parts.add(part)
         if update is None:
             return False
         try:
             unpacked = unpack(update)
         except ValueError as error:
-            raise ConnectionError(str(error)) from error  # another stream sends it anew
+            raise ConnectionError(str(error)) from error  # a new stream sends it again
         self.configuration.apply(unpacked)
         return True
 
-    def _take_standing(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
+    def _handle_in_force(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
         age_s = frame.in_force_age_ms / MILLISECONDS_PER_SECOND
         self.standing.record_in_force(frame.in_force_revision, frame.hold_below, age_s)
         if frame.hold_below:
-            session.request_heartbeat()  # control waits for the promise
+            session.request_heartbeat()  # control waits for the confirmation
 
-    def _note_heard(self) -> None:
+    def _record_heartbeat_response(self) -> None:
         now_s = self._environment.monotonic()
         silent_s = now_s - self.last_heard_s
         self.last_heard_s = now_s
@@ -384,8 +382,8 @@
             self._handlers.control_regained()
 
     def _renew_freshness(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
-        # The lease counts from when the heartbeat was sent, which is earlier
-        # than control's own reckoning: the daemon stops first.
+        # The lease starts when the heartbeat was sent, before the start that control assumes:
+        # the daemon stops before control considers the lease expired.
         sent = session.heartbeat_times.pop(frame.heartbeat_ack, None)
         if sent is None:
             return
--- a/packages/heronladder-runtime/src/heronladder_runtime/disk.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/disk.py
@@ -1,4 +1,4 @@
-"""Files of one data folder: nothing counts until it is synced."""
+"""Files of one data folder; data is durable only after a sync."""
 
 import asyncio
 import os
@@ -11,7 +11,7 @@
 
 
 class Disk(ABC):
-    """The files of one data folder, by plain name."""
+    """Files of one data folder, addressed by file name."""
 
     @abstractmethod
     def names(self) -> list[str]:
@@ -27,11 +27,11 @@
 
     @abstractmethod
     def append(self, name: str, data: bytes) -> None:
-        """Add bytes at the end of a file, which is made when absent; not yet synced."""
+        """Append bytes to a file without syncing; create the file if it is absent."""
 
     @abstractmethod
     async def sync(self, name: str) -> None:
-        """Make all bytes appended to a file, and its name, outlive a crash.
+        """Make all bytes appended to a file, and its directory entry, durable.
 
         Raises:
             StorageError: If the sync fails; the file must not be used any more.
@@ -39,47 +39,47 @@
 
     @abstractmethod
     async def replace(self, name: str, data: bytes) -> None:
-        """Write a whole file so that a crash leaves the old or the new one, synced."""
+        """Replace a file atomically and sync it: after a crash the old or the new one exists."""
 
     @abstractmethod
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to ``size`` bytes and sync it, before the next write at the latest."""
+        """Truncate a file to ``size`` bytes and sync it, at the latest before the next write."""
 
     @abstractmethod
     async def delete(self, name: str) -> None:
         """Remove a file if it exists.
 
         Raises:
-            StorageError: If the disk refuses.
+            StorageError: If the operating system reports an error.
         """
 
-    def close(self) -> None:  # noqa: B027 - only some disks hold anything open
-        """Release what is held open."""
+    def close(self) -> None:  # noqa: B027 - only some disks keep files open
+        """Close all open files."""
 
 
 def _consume_failure(writing: asyncio.Future[None]) -> None:
-    """Take a failure that nobody waits for any more; who still waits gets it as well."""
+    """Mark an exception as retrieved, in case the caller was cancelled; callers still get it."""
     if not writing.cancelled():
         writing.exception()
 
 
 class FolderDisk(Disk):
-    """A folder of the machine's file system.
+    """Folder of the local file system.
 
     Args:
-        folder: The data folder; made when absent.
-        sync_enabled: False only in benchmarks that weigh what syncing costs.
+        folder: The data folder; created if it is absent.
+        sync_enabled: False only in benchmarks that measure the cost of syncing.
     """
 
     def __init__(self, folder: Path, sync_enabled: bool = True) -> None:
         self._folder = folder
         self._sync_enabled = sync_enabled
         self._staged: dict[str, bytearray] = {}
-        self._damaged: dict[str, int] = {}  # size to cut a file back to before it is used
-        self._open: dict[str, int] = {}
-        self._named: set[str] = set()
-        # One thread: a write whose caller gave up still ends, and before the next one begins.
-        # Two at once took each other's bytes for half a write and cut them off.
+        self._truncate_to_bytes: dict[str, int] = {}  # sizes to restore before the next use
+        self._descriptors: dict[str, int] = {}
+        self._synced_names: set[str] = set()
+        # A single thread: a write whose caller was cancelled finishes before the next one starts.
+        # Two concurrent writes would take each other's bytes for a partial write and truncate them.
         self._writer = ThreadPoolExecutor(max_workers=1, thread_name_prefix="disk")
         folder.mkdir(parents=True, exist_ok=True)
 
@@ -95,29 +95,29 @@
             raise StorageError(str(error), step="read", peer=name) from error
 
     def _descriptor(self, name: str) -> int:
-        descriptor = self._open.get(name)
+        descriptor = self._descriptors.get(name)
         if descriptor is None:
             flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
             descriptor = os.open(self._folder / name, flags, 0o600)
-            self._open[name] = descriptor
+            self._descriptors[name] = descriptor
         return descriptor
 
     def append(self, name: str, data: bytes) -> None:
-        """Stage bytes for the end of a file; ``sync`` writes them."""
+        """Stage bytes to be appended to a file; ``sync`` writes them."""
         self._staged.setdefault(name, bytearray()).extend(data)
 
     async def sync(self, name: str) -> None:
-        """Write and sync what was staged, and at the first sync the folder that names it.
+        """Write and sync the staged bytes, and at the first sync of a file also its folder.
 
-        A slow disk holds up its own thread only. When the disk refuses, the file
-        is cut back to what it held before.
+        A slow disk blocks only the writer thread. If the write fails, the file is truncated to
+        its previous size.
         """
         data = bytes(self._staged.pop(name, b""))
         await self._write(self._write_and_sync, name, data)
 
     async def _write(self, what: Callable[[str, bytes], None], name: str, data: bytes) -> None:
-        # Shielded: a write that waits its turn would be dropped with a caller that gives up,
-        # and memory be ahead of the disk for good.
+        # Shielded: otherwise a queued write would be dropped when its caller is cancelled, and
+        # the state in memory would stay ahead of the disk.
         loop = asyncio.get_running_loop()
         writing = loop.run_in_executor(self._writer, what, name, data)
         writing.add_done_callback(_consume_failure)
@@ -125,35 +125,37 @@
 
     def _write_and_sync(self, name: str, data: bytes) -> None:
         try:
-            for damaged in list(self._damaged):
-                self._cut_back(damaged)
+            for damaged in list(self._truncate_to_bytes):
+                self._truncate_failed_write(damaged)
             descriptor = self._descriptor(name)
-            self._damaged[name] = os.fstat(descriptor).st_size
+            self._truncate_to_bytes[name] = os.fstat(descriptor).st_size
             view = memoryview(data)
             while view:
                 view = view[os.write(descriptor, view) :]
             if self._sync_enabled:
                 os.fdatasync(descriptor)
-                if name not in self._named:
+                if name not in self._synced_names:
                     self._sync_folder()
-                    self._named.add(name)
-            self._damaged.pop(name, None)  # its file may be removed meanwhile
+                    self._synced_names.add(name)
+            self._truncate_to_bytes.pop(
+                name, None
+            )  # the file may have been removed in the meantime
         except OSError as error:
-            self._cut_back_quietly(name)
+            self._try_truncate_failed_write(name)
             raise StorageError(str(error), step="sync", peer=name) from error
 
-    def _cut_back(self, name: str) -> None:
-        """Cut a file back after a write that failed: half a record must not stay."""
-        if name in self._damaged:
-            os.ftruncate(self._descriptor(name), self._damaged[name])
+    def _truncate_failed_write(self, name: str) -> None:
+        """Truncate a file after a failed write, so that no partial record remains."""
+        if name in self._truncate_to_bytes:
+            os.ftruncate(self._descriptor(name), self._truncate_to_bytes[name])
             os.fdatasync(self._descriptor(name))
-            self._damaged.pop(name, None)
+            self._truncate_to_bytes.pop(name, None)
 
-    def _cut_back_quietly(self, name: str) -> None:
+    def _try_truncate_failed_write(self, name: str) -> None:
         try:
-            self._cut_back(name)
+            self._truncate_failed_write(name)
         except OSError:
-            pass  # the next write tries again first
+            pass  # retried before the next write
 
     def _sync_folder(self) -> None:
         descriptor = os.open(self._folder, os.O_RDONLY)
@@ -163,44 +165,44 @@
             os.close(descriptor)
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Write beside, sync, rename over, sync the folder."""
+        """Write and sync a temporary file, rename it over the old one, and sync the folder."""
         await self._write(self._replace, name, data)
 
     def _replace(self, name: str, data: bytes) -> None:
-        beside = self._folder / f"{name}.new"
+        temporary = self._folder / f"{name}.new"
         try:
-            with beside.open("wb") as file:
+            with temporary.open("wb") as file:
                 file.write(data)
                 file.flush()
                 os.fsync(file.fileno())
-            beside.replace(self._folder / name)
+            temporary.replace(self._folder / name)
             self._sync_folder()
         except OSError as error:
-            self._remove_quietly(beside)  # half of it would take the room of others
+            self._try_remove(temporary)  # a partial file would occupy disk space
             raise StorageError(str(error), step="replace", peer=name) from error
 
     @staticmethod
-    def _remove_quietly(path: Path) -> None:
+    def _try_remove(path: Path) -> None:
         try:
             path.unlink(missing_ok=True)
         except OSError:
-            pass  # the next one of its name writes over it
+            pass  # the next replacement of the file overwrites it
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file and sync it; if the disk refuses, before the next write."""
-        self._forget(name)
-        self._damaged[name] = size
-        self._cut_back_quietly(name)
+        """Truncate a file and sync it; if this fails, retry before the next write."""
+        self._discard_state(name)
+        self._truncate_to_bytes[name] = size
+        self._try_truncate_failed_write(name)
 
     async def delete(self, name: str) -> None:
-        """Remove a file if it exists; a slow disk holds up its own thread only."""
-        damaged = self._damaged.get(name)
-        self._forget(name)
+        """Remove a file if it exists; a slow disk blocks only a worker thread."""
+        damaged = self._truncate_to_bytes.get(name)
+        self._discard_state(name)
         try:
             await asyncio.get_running_loop().run_in_executor(None, self._delete, name)
         except StorageError:
             if damaged is not None:
-                self._damaged[name] = damaged  # what stays is cut back before its next use
+                self._truncate_to_bytes[name] = damaged  # the file is truncated before its next use
             raise
 
     def _delete(self, name: str) -> None:
@@ -209,15 +211,15 @@
         except OSError as error:
             raise StorageError(str(error), step="delete", peer=name) from error
 
-    def _forget(self, name: str) -> None:
-        self._damaged.pop(name, None)
-        descriptor = self._open.pop(name, None)
-        self._named.discard(name)
+    def _discard_state(self, name: str) -> None:
+        self._truncate_to_bytes.pop(name, None)
+        descriptor = self._descriptors.pop(name, None)
+        self._synced_names.discard(name)
         if descriptor is not None:
             os.close(descriptor)
 
     def close(self) -> None:
-        """Close all open files; what is being written may still end."""
+        """Close all open files; a write in progress may still finish."""
         self._writer.shutdown(wait=False, cancel_futures=True)
-        for name in list(self._open):
-            self._forget(name)
+        for name in list(self._descriptors):
+            self._discard_state(name)
--- a/packages/heronladder-runtime/src/heronladder_runtime/errors.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/errors.py
@@ -1,4 +1,4 @@
-"""The exception tree: every error names the step and the peer at which it arose."""
+"""Exception classes; every error names the step and the peer at which it occurred."""
 
 
 class HeronladderError(Exception):
@@ -6,8 +6,8 @@
 
     Attributes:
         message: What went wrong, in one sentence.
-        step: The step of the work at which it arose, such as ``append_entries``.
-        peer: The daemon, address or file it arose with; empty when none.
+        step: Step at which it occurred, such as ``append_entries``.
+        peer: Daemon, address or file concerned; empty if there is none.
     """
 
     def __init__(self, message: str, *, step: str, peer: str = "") -> None:
@@ -17,12 +17,12 @@
         self.peer = peer
 
     def __str__(self) -> str:
-        place = f" (step={self.step} peer={self.peer})" if self.peer else f" (step={self.step})"
-        return self.message + place
+        context = f" (step={self.step} peer={self.peer})" if self.peer else f" (step={self.step})"
+        return self.message + context
 
 
 class SettingsError(HeronladderError):
-    """One or more settings are wrong; ``problems`` holds a line for each."""
+    """One or more settings are invalid; ``problems`` holds a line for each."""
 
     def __init__(self, problems: list[str]) -> None:
         super().__init__("; ".join(problems), step="settings")
@@ -34,7 +34,7 @@
 
 
 class StaleConfigurationError(HeronladderError):
-    """The daemon's freshness lease has run out; it may not act."""
+    """The daemon's freshness lease has expired; it must not act on its configuration."""
 
 
 class StorageError(HeronladderError):
@@ -46,8 +46,8 @@
 
 
 class InvariantViolationError(HeronladderError):
-    """A promise of the product would be broken, or is."""
+    """An invariant of the product does not hold."""
 
 
 class RefusedByInvariantError(InvariantViolationError):
-    """A promise would be broken; the step was refused before it changed anything."""
+    """An invariant would not hold; the step was rejected before it changed anything."""
--- a/packages/heronladder-runtime/src/heronladder_runtime/fleet_validation.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/fleet_validation.py
@@ -1,4 +1,4 @@
-"""Checks of a whole fleet configuration: every wrong field is named at once."""
+"""Validation of a fleet configuration; reports all invalid fields at once."""
 
 from collections.abc import Iterable
 
@@ -12,7 +12,7 @@
 def validate_fleet(
     configuration: resources_pb2.FleetConfiguration,
 ) -> list[control_pb2.FieldError]:
-    """Return what is wrong with a configuration, field by field; empty if nothing is."""
+    """Return an error for each invalid field of a configuration; empty if it is valid."""
     errors = []
     if configuration.version == 0:
         errors.append(_error("version", "give a version of at least 1"))
@@ -29,11 +29,11 @@
     errors = []
     seen: set[str] = set()
     for position, service in enumerate(services):
-        place = f"services[{position}].name"
+        field = f"services[{position}].name"
         if not service.name:
-            errors.append(_error(place, "give the service a name"))
+            errors.append(_error(field, "give the service a name"))
         elif service.name in seen:
-            errors.append(_error(place, f"service {service.name!r} stands twice"))
+            errors.append(_error(field, f"service {service.name!r} stands twice"))
         seen.add(service.name)
     return errors
 
@@ -42,13 +42,15 @@
     routes: Iterable[resources_pb2.HostRoute], services: set[str]
 ) -> list[control_pb2.FieldError]:
     errors = []
-    places: dict[tuple[str, str], int] = {}
+    first_positions: dict[tuple[str, str], int] = {}
     for position, route in enumerate(routes):
         field = f"routes[{position}]"
         key = (route.host, route.path_prefix)
-        if key in places:
-            errors.append(_error(field, f"routes[{places[key]}] has the same host and path prefix"))
-        places.setdefault(key, position)
+        if key in first_positions:
+            errors.append(
+                _error(field, f"routes[{first_positions[key]}] has the same host and path prefix")
+            )
+        first_positions.setdefault(key, position)
         errors.extend(_check_route(field, route, services))
     return errors
 
--- a/packages/heronladder-runtime/src/heronladder_runtime/grpc_poller.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/grpc_poller.py
@@ -1,9 +1,9 @@
-"""Takes in what gRPC's poller hands to an event loop, as fast as it comes.
+"""Fast processing of the completions that gRPC's poller hands to an event loop.
 
-For each completion gRPC's thread writes a byte to a socket, and its reader in the loop takes one
-byte a turn, however many completions there are. In a loop whose turns are long because it has much
-to do, bytes pile up until the thread stands still in a write: from then on there is one completion
-a turn, and whoever waits for an answer takes that for a silent peer.
+For each completion, gRPC's thread writes a byte to a socket, and its reader in the event loop reads
+one byte per iteration, however many completions there are. In an overloaded loop with long
+iterations, bytes accumulate until the thread blocks in a write. From then on there is one
+completion per iteration, and callers mistake the delay for a silent peer.
 """
 
 import asyncio
@@ -14,29 +14,29 @@
 
 import grpc.aio
 
-_MOST_WAKES = 4096  # more than the socket holds
-_is_kept = False
-_bound: weakref.WeakSet[asyncio.AbstractEventLoop] = weakref.WeakSet()
+_MAX_WAKEUP_BYTES = 4096  # more than the socket buffers
+_is_poller_retained = False
+_patched_loops: weakref.WeakSet[asyncio.AbstractEventLoop] = weakref.WeakSet()
 
 
 def bind_poller() -> None:
-    """Have the running loop take in what gRPC's poller has for it.
+    """Make the running loop process all pending completions of gRPC's poller at once.
 
-    To be called before gRPC is first used in a loop: later its own reader is there already.
+    Call it before gRPC is first used in a loop; later, gRPC's own reader is already registered.
 
-    The poller is kept for as long as the process lives. Else the last server or channel that is
-    collected ends it, and waits, in the collection, for a server that was not stopped: the process
-    stood still for good.
+    The poller is retained for the lifetime of the process. Otherwise the garbage collection of the
+    last server or channel would shut it down, and would wait for a server that was not stopped: the
+    process would block forever.
     """
-    global _is_kept
+    global _is_poller_retained
     loop = _running_loop()
-    if loop is None or loop in _bound:
-        if not _is_kept:
+    if loop is None or loop in _patched_loops:
+        if not _is_poller_retained:
             grpc.aio.init_grpc_aio()
     else:
-        _bound.add(loop)
-        _bind(loop)
-    _is_kept = True
+        _patched_loops.add(loop)
+        _patch_add_reader(loop)
+    _is_poller_retained = True
 
 
 def _running_loop() -> asyncio.AbstractEventLoop | None:
@@ -46,15 +46,15 @@
         return None
 
 
-def _bind(loop: asyncio.AbstractEventLoop) -> None:
+def _patch_add_reader(loop: asyncio.AbstractEventLoop) -> None:
     add_reader = loop.add_reader
 
     def add_draining_reader(
-        wakes: socket.socket, callback: Callable[..., Any], *arguments: Any
+        wakeup_socket: socket.socket, callback: Callable[..., Any], *arguments: Any
     ) -> None:
-        add_reader(wakes, _take_in, wakes, callback, arguments)
+        add_reader(wakeup_socket, _drain_wakeups, wakeup_socket, callback, arguments)
 
-    # gRPC adds its one reader now, and nobody else does meanwhile.
+    # gRPC registers its only reader within this call; no other code runs in between.
     loop.add_reader = add_draining_reader  # type: ignore[method-assign, assignment]
     try:
         grpc.aio.init_grpc_aio()
@@ -62,12 +62,12 @@
         del loop.add_reader
 
 
-def _take_in(
-    wakes: socket.socket, callback: Callable[..., Any], arguments: tuple[Any, ...]
+def _drain_wakeups(
+    wakeup_socket: socket.socket, callback: Callable[..., Any], arguments: tuple[Any, ...]
 ) -> None:
-    """Read all wake-ups; gRPC's reader then takes in all completions that there are."""
+    """Read all wake-up bytes; gRPC's reader then processes all pending completions."""
     try:
-        wakes.recv(_MOST_WAKES)
+        wakeup_socket.recv(_MAX_WAKEUP_BYTES)
     except BlockingIOError:
-        return  # another loop of the process was first
+        return  # another loop of the process has read them
     callback(*arguments)
--- a/packages/heronladder-runtime/src/heronladder_runtime/invariants.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants asserted inside the running program, always on and counted."""
+"""Invariants that are asserted and counted in the running program, also in production."""
 
 import asyncio
 from collections import Counter
@@ -7,7 +7,12 @@
 
 
 class InvariantCounters:
-    """Counts checks and violations of each invariant of a process."""
+    """Counts the checks and violations of each invariant in a process.
+
+    Attributes:
+        checks: Number of checks, by name of the invariant.
+        violations: Number of violations, by name of the invariant.
+        messages: Texts of the first violations."""
 
     def __init__(self) -> None:
         self.checks: Counter[str] = Counter()
@@ -15,14 +20,14 @@
         self.messages: list[str] = []
 
     def clear(self) -> None:
-        """Forget all counts, as at the start of a run."""
+        """Reset all counts and messages."""
         self.checks.clear()
         self.violations.clear()
         self.messages.clear()
 
 
 INVARIANT_COUNTERS = InvariantCounters()
-_KEPT_MESSAGES = 100
+_MAX_MESSAGES = 100
 
 
 def invariant(
@@ -34,19 +39,19 @@
     detail: str = "",
     refuses: bool = False,
 ) -> None:
-    """Assert ``condition``.
+    """Assert a condition and count the check.
 
     Args:
-        condition: What must hold.
-        name: Name of the invariant, in words with underscores.
-        step: The step at which it is checked.
-        peer: The daemon, budget or request it concerns.
-        detail: Facts that help to find the cause.
-        refuses: Whether nothing was changed yet, so that refusing the step mends it.
+        condition: Condition that must hold.
+        name: Name of the invariant, in snake case.
+        step: Step at which it is checked.
+        peer: Daemon, budget or request concerned.
+        detail: Facts that help to diagnose a violation.
+        refuses: Whether nothing was changed yet, so that rejecting the step is sufficient.
 
     Raises:
-        RefusedByInvariantError: If the condition does not hold, and ``refuses``.
-        InvariantViolationError: If it does not hold otherwise.
+        RefusedByInvariantError: If the condition does not hold and ``refuses`` is set.
+        InvariantViolationError: If the condition does not hold otherwise.
     """
     INVARIANT_COUNTERS.checks[name] += 1
     if condition:
@@ -56,8 +61,8 @@
     try:
         message += f" time={asyncio.get_running_loop().time():.3f}"
     except RuntimeError:
-        pass  # outside of any loop, as in replay
-    if len(INVARIANT_COUNTERS.messages) < _KEPT_MESSAGES:
+        pass  # no running event loop, as in replay
+    if len(INVARIANT_COUNTERS.messages) < _MAX_MESSAGES:
         INVARIANT_COUNTERS.messages.append(f"{message} step={step} peer={peer}")
     kind = RefusedByInvariantError if refuses else InvariantViolationError
     raise kind(message, step=step, peer=peer)
--- a/packages/heronladder-runtime/src/heronladder_runtime/link_handlers.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/link_handlers.py
@@ -1,4 +1,4 @@
-"""What a daemon does on orders that come over its link to control."""
+"""Handlers of the orders that a daemon receives over its link to control."""
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
@@ -12,23 +12,26 @@
 
 @dataclass
 class ControlLinkHandlers:
-    """What a daemon does on orders from control; each may be left out.
+    """Callbacks of a daemon for orders and events of its link to control; each is optional.
 
     Attributes:
-        recall: Give back tokens of a lease: its id, and the tokens it may keep.
-        daemon_notice: A daemon of the other role registered, or is gone.
-        rejected: This incarnation was declared gone; returns a new incarnation
-            to go on with. Without it the link stays closed.
-        session_began: A new stream is being opened.
-        fill_heartbeat: Adds what the daemon tells to a heartbeat about to be sent.
-        promises_noted: What was promised up to the heartbeat of this number outlives the leader.
-        recall_prepaid: Give back what is not used of a tenant.
-        control_regained: A long silence of control has ended.
-        lenders: Routers that lend prepaid tokens, as far as that changed.
-        rollout_grants: What this router may send to versions on trial.
-        replica_loads: What the other routers have under way, by replica.
-        replica_limits: What rate-limited replicas take, and what this router may send there; given
-            with when the heartbeat was sent that the frame acknowledges.
+        recall: Called with a lease id and the number of tokens that the lease may keep; returns
+            the others to control.
+        daemon_notice: Called when a daemon of the other role has registered or is gone.
+        rejected: Called when control has declared this incarnation gone; returns the new
+            incarnation under which the daemon continues. Without it the link stays closed.
+        session_started: Called before a new stream is opened.
+        fill_heartbeat: Adds the daemon's reports to a heartbeat that is about to be sent.
+        promises_noted: Called with a heartbeat number; the promises of all heartbeats up to it
+            survive a loss of the leader.
+        recall_prepaid: Called with a tenant's name; returns its unused prepaid tokens.
+        control_regained: Called when the daemon is connected again after a long disconnection.
+        lenders: Called with changes to the routers that lend prepaid tokens.
+        rollout_grants: Called with grants for requests to versions on trial.
+        replica_loads: Called with the requests that other routers have in flight, by replica.
+        replica_limits: Called with a frame that holds the limits of rate-limited replicas and
+            this router's grants for them, and with the time at which the heartbeat was sent that
+            the frame acknowledges.
     """
 
     recall: RecallHandler | None = None
--- a/packages/heronladder-runtime/src/heronladder_runtime/link_session.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/link_session.py
@@ -1,4 +1,4 @@
-"""One stream to control, and the commands that wait for answers."""
+"""State of one stream to control, and commands that wait for a result."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -10,27 +10,28 @@
 from heronladder_runtime.config_packing import PartJoiner
 from heronladder_runtime.errors import HeronladderError
 
-_SILENT_HEARTBEATS = 3  # without a word, after which a stream is given up
-# Times as much for a new stream, after so many in a row without a word: 300 gateways gave theirs
-# up before a crowded leader came to them, and each cost it as much as one that lasts.
-_MOST_PATIENCE = 4
-_WAYS_TO_A_WORD = 6  # there and back for a connection, and for a first word
+_MAX_MISSED_HEARTBEATS = 3  # heartbeat intervals without a frame, after which a stream is closed
+# Upper bound of the factor on the timeout of a new stream, which grows with the number of streams
+# in a row that got no frame. With a fixed timeout, 300 gateways closed their streams before an
+# overloaded leader served them, and each new stream cost the leader as much as a lasting one.
+_MAX_TIMEOUT_FACTOR = 4
+_CONNECT_TIMES_TO_FIRST_FRAME = 6  # round trips to connect and to get a first frame, with reserve
 
 
 class SessionRejectedError(HeronladderError):
-    """Control refused the daemon for good: another incarnation took its name."""
+    """Control rejected the daemon permanently: another incarnation has taken its name."""
 
 
 def hello(
     record: ledger_pb2.DaemonRecord, revision: int, age_s: float, *, acts_past_lease: bool
 ) -> control_pb2.Hello:
-    """Return what a daemon says first on a stream.
+    """Return the first message of a daemon on a stream.
 
     Args:
-        record: Who it is.
-        revision: Newest configuration that it holds.
-        age_s: How long ago its process began, at least, in seconds; 0: not known.
-        acts_past_lease: Whether it goes on by what it holds while control is silent.
+        record: Identity of the daemon.
+        revision: Revision of the configuration that it holds.
+        age_s: Lower bound of the age of its process, in seconds; 0 if it is not known.
+        acts_past_lease: Whether it acts on the configuration it holds while it is disconnected.
     """
     return control_pb2.Hello(
         daemon=record,
@@ -42,13 +43,13 @@
 
 
 def silence_limit_s(heartbeat_interval_s: float) -> float:
-    """Return how long a stream that has had a word may be silent, in seconds."""
-    return _SILENT_HEARTBEATS * heartbeat_interval_s
+    """Return how long a stream may be silent after its first frame, in seconds."""
+    return _MAX_MISSED_HEARTBEATS * heartbeat_interval_s
 
 
 @dataclass
 class PendingCall:
-    """A command that control has not answered yet."""
+    """A command for which control has sent no result yet."""
 
     command: control_pb2.Command
     answer: asyncio.Future[control_pb2.CommandResult]
@@ -56,39 +57,55 @@
 
 @dataclass
 class LinkSession:
-    """One stream: frames to send, and the heartbeats sent on it."""
+    """State of one stream: frames to send, and heartbeats that were sent on it.
+
+    Attributes:
+        received: Time of the newest frame from control.
+        wake: Set when there may be a frame to send.
+        sent_calls: Ids of pending calls that were sent on this stream.
+        heartbeat_times: Send times of unacknowledged heartbeats, by number.
+        parts: Joins the parts of configuration updates.
+        parts_received: Number of parts received.
+        parts_acknowledged: Number of parts of which control was told.
+        heartbeat_due: Whether a heartbeat is to be sent; initially set, because a new leader does
+            not know which revision the daemon holds.
+        closed: Whether the stream has ended.
+        cancelled_for_silence: Whether the daemon cancelled the stream because control was silent.
+        connect_time_s: Connect time of the last probe in seconds; 0 if there was none.
+        has_frame: Whether a frame has arrived on the stream.
+    """
 
-    received: SilenceWatch  # frames of control
+    received: SilenceWatch
     wake: asyncio.Event = field(default_factory=asyncio.Event)
     sent_calls: set[int] = field(default_factory=set)
     heartbeat_times: dict[int, float] = field(default_factory=dict)
     parts: PartJoiner = field(default_factory=PartJoiner)
     parts_received: int = 0
     parts_acknowledged: int = 0
-    heartbeat_due: bool = True  # at once: a new leader does not know how far we are
+    heartbeat_due: bool = True
     closed: bool = False
-    cancelled_for_silence: bool = False  # control was silent: the stream was cancelled here
-    connect_time_s: float = 0.0  # how long the way there took when it was tried; 0: it was not
-    has_frame: bool = False  # whether control said anything on it
+    cancelled_for_silence: bool = False
+    connect_time_s: float = 0.0
+    has_frame: bool = False
 
-    def note_frame(self) -> None:
-        """Note a frame of control."""
+    def record_frame(self) -> None:
+        """Record that a frame from control arrived."""
         self.received.record_activity()
         self.has_frame = True
 
     def request_heartbeat(self) -> None:
-        """Have a heartbeat sent now."""
+        """Send a heartbeat as soon as possible."""
         self.heartbeat_due = True
         self.wake.set()
 
     def silence_timeout_s(self, limit_s: float, unanswered: int) -> float:
-        """Return how long it may be silent.
+        """Return how long the stream may be silent, in seconds.
 
         Args:
-            limit_s: For a stream that has had a word, in seconds.
-            wordless: Streams in a row before it that were given up without one.
+            limit_s: Limit for a stream on which a frame has arrived, in seconds.
+            unanswered: Number of preceding streams in a row that were closed without any frame.
         """
         if self.has_frame:
             return limit_s
-        times = max(1, min(unanswered, _MOST_PATIENCE))
-        return max(times * limit_s, _WAYS_TO_A_WORD * self.connect_time_s)
+        factor = max(1, min(unanswered, _MAX_TIMEOUT_FACTOR))
+        return max(factor * limit_s, _CONNECT_TIMES_TO_FIRST_FRAME * self.connect_time_s)
--- a/packages/heronladder-runtime/src/heronladder_runtime/logs.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event."""
+"""Structured logs: one line of key=value pairs for each event."""
 
 import json
 import logging
@@ -12,7 +12,7 @@
 
 
 def format_value(value: object) -> str:
-    """Return ``value`` as the right side of a key=value pair, quoted where needed."""
+    """Return ``value`` as the value of a key=value pair, quoted if necessary."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, float):
@@ -24,7 +24,7 @@
 
 
 def format_event(name: str, fields: dict[str, object]) -> str:
-    """Return ``event=NAME key=value ...`` with the fields in the order given."""
+    """Return ``event=NAME key=value ...`` with the fields in their given order."""
     pairs = [f"event={name}"]
     pairs.extend(f"{key}={format_value(value)}" for key, value in fields.items())
     return " ".join(pairs)
@@ -35,8 +35,8 @@
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the record as one line."""
-        moment = self.formatTime(record, "%Y-%m-%dT%H:%M:%S")
-        head = f"time={moment}.{int(record.msecs):03d} level={record.levelname.lower()}"
+        timestamp = self.formatTime(record, "%Y-%m-%dT%H:%M:%S")
+        head = f"time={timestamp}.{int(record.msecs):03d} level={record.levelname.lower()}"
         text = record.getMessage()
         if not text.startswith("event="):
             text = format_event("message", {"text": text})
@@ -48,10 +48,10 @@
 
 
 class BoundedHandler(logging.Handler):
-    """Hands lines to an output that never waits.
+    """Passes lines to a non-blocking output.
 
     Args:
-        output: Where lines go.
+        output: Destination of the lines.
     """
 
     def __init__(self, output: BoundedLogOutput) -> None:
@@ -66,12 +66,12 @@
 
 
 def configure_daemon_logging(level: str) -> None:
-    """Send a daemon's logs to standard output, never waiting for its reader."""
+    """Send a daemon's logs to standard output without waiting for its reader."""
     _configure(level, BoundedHandler(BoundedLogOutput(sys.stdout.fileno())))
 
 
 def configure_logging(level: str) -> None:
-    """Send a tool's logs at or over ``level`` (a lower-case name) to standard error."""
+    """Send a tool's logs of at least ``level`` (a lower-case name) to standard error."""
     _configure(level, logging.StreamHandler(sys.stderr))
 
 
@@ -84,11 +84,11 @@
 
 
 class EventLog:
-    """Logs events of one part of a daemon.
+    """Logs events of one component of a daemon.
 
     Args:
-        part: Name of the part, such as ``router.leases``.
-        daemon: Name of the daemon; put into every line.
+        part: Name of the component, such as ``router.leases``.
+        daemon: Name of the daemon, which every line contains.
     """
 
     def __init__(self, part: str, daemon: str) -> None:
@@ -100,7 +100,7 @@
             self._logger.log(level, "%s", format_event(name, {"daemon": self._daemon, **fields}))
 
     def debug(self, name: str, **fields: object) -> None:
-        """Log an event that matters only when looking for a fault."""
+        """Log an event that is useful only for debugging."""
         self._write(logging.DEBUG, name, fields)
 
     def info(self, name: str, **fields: object) -> None:
--- a/packages/heronladder-runtime/src/heronladder_runtime/loop_lag.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/loop_lag.py
@@ -1,8 +1,8 @@
-"""How late this process runs.
+"""Measurement of the event loop's lag, which is deducted from timeouts for peers.
 
-An event loop that has too much to do, or a process that gets no processor, reads late what its
-peers have sent. A time-out that expires meanwhile says nothing of the peer. The field's name is
-local health awareness: a member widens its time-outs by what it knows of itself.
+A process whose event loop is overloaded, or that gets no processor, reads messages of its peers
+late. A timeout that expires in the meantime says nothing about the peer. The principle is known
+as local health awareness: a member extends its timeouts by its own measured lag.
 """
 
 from __future__ import annotations
@@ -14,81 +14,81 @@
 from heronladder_runtime.metrics import Metrics
 
 _MS_PER_S = 1000
-_TICK_S = 0.1
-_LEAST_S = 0.01  # timers of a process at rest fire slightly late
-_REPORT_S = 0.5
-_REPORT_PAUSE_S = 5.0
+_SAMPLE_INTERVAL_S = 0.1
+_MIN_LAG_S = 0.01  # timers of an idle process also fire slightly late
+_REPORT_THRESHOLD_S = 0.5
+_REPORT_INTERVAL_S = 5.0
 
 
 class LoopLagMonitor:
-    """Sums up for how long the event loop has not come to a timer that was due."""
+    """Accumulates the time by which the event loop runs due timers late."""
 
     def __init__(self) -> None:
         self._loop: asyncio.AbstractEventLoop | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._due_s = 0.0
-        self._sum_s = 0.0
+        self._total_lag_s = 0.0
         self._next_report_s = float("-inf")
         self._log: EventLog | None = None
         self._metrics: Metrics | None = None
 
     def start(self, log: EventLog, metrics: Metrics) -> None:
-        """Start to measure the running loop.
+        """Start measuring the running loop.
 
         Args:
-            log: Where a long lateness is reported, at most once each five seconds.
-            metrics: Where each one is recorded.
+            log: Log for long lags, at most one line each five seconds.
+            metrics: Histogram that records each lag.
         """
         self._log, self._metrics = log, metrics
         self._loop = asyncio.get_running_loop()
         self._schedule()
 
     def stop(self) -> None:
-        """Measure no more; the sum stays."""
+        """Stop measuring; the total is kept."""
         if self._timer is not None:
             self._timer.cancel()
         self._loop = self._timer = None
 
     def total_s(self) -> float:
-        """Return for how long the loop has been late since the start, in seconds.
+        """Return the total lag of the loop since the start, in seconds.
 
-        A timer that is overdue now counts already: what is judged in the same turn of the
-        loop comes before it.
+        The lag of a timer that is overdue now is included, because callers in the same iteration
+        of the loop run before the timer does.
         """
         if self._loop is None:
-            return self._sum_s
-        return self._sum_s + _counted(self._loop.time() - self._due_s)
+            return self._total_lag_s
+        return self._total_lag_s + _significant_lag(self._loop.time() - self._due_s)
 
     def _schedule(self) -> None:
         assert self._loop is not None
-        self._due_s = self._loop.time() + _TICK_S
-        # A callback, not a task: it runs before the timers that became due after it.
+        self._due_s = self._loop.time() + _SAMPLE_INTERVAL_S
+        # A callback and not a task, so that it runs before timers that became due after it.
         self._timer = self._loop.call_at(self._due_s, self._tick)
 
     def _tick(self) -> None:
         assert self._loop is not None
         now_s = self._loop.time()
-        late_s = _counted(now_s - self._due_s)
-        self._sum_s += late_s
+        late_s = _significant_lag(now_s - self._due_s)
+        self._total_lag_s += late_s
         if late_s and self._metrics is not None:
             self._metrics.observe("loop_late", late_s)
-        if late_s >= _REPORT_S and now_s >= self._next_report_s and self._log is not None:
-            self._next_report_s = now_s + _REPORT_PAUSE_S
+        if late_s >= _REPORT_THRESHOLD_S and now_s >= self._next_report_s and self._log is not None:
+            self._next_report_s = now_s + _REPORT_INTERVAL_S
             self._log.warning("loop_late", step="loop", late_ms=int(late_s * _MS_PER_S))
         self._schedule()
 
 
-def _counted(late_s: float) -> float:
-    return late_s if late_s > _LEAST_S else 0.0
+def _significant_lag(late_s: float) -> float:
+    return late_s if late_s > _MIN_LAG_S else 0.0
 
 
 @dataclass(frozen=True)
 class Silence:
-    """How long a peer has not been heard.
+    """Time since the last message of a peer.
 
     Attributes:
-        silent_s: For how long, in seconds.
-        late_s: For how much of that this process was late.
+        silent_s: Time without a message, in seconds.
+        late_s: Lag of this process within that time, in seconds.
     """
 
     silent_s: float
@@ -96,17 +96,17 @@
 
     @property
     def late_ms(self) -> int:
-        """The lateness in milliseconds, as log lines give it."""
+        """The lag in milliseconds, for log lines."""
         return int(self.late_s * _MS_PER_S)
 
     def remaining_s(self, timeout_s: float) -> float:
-        """Return for how much longer the peer is waited for; at or below 0 no more.
+        """Return the remaining time to wait for the peer, in seconds; 0 or less if it is over.
 
-        Own lateness is not counted against the peer, up to the patience again: a process that
-        is always late must still come to a verdict.
+        The lag of this process is added to the timeout, but at most once the timeout: a process
+        with permanent lag must also reach a decision.
         """
         return timeout_s + min(self.late_s, timeout_s) - self.silent_s
 
     def exceeds(self, timeout_s: float) -> bool:
-        """Return whether the peer was silent for longer than the patience."""
+        """Return whether the peer was silent for longer than the timeout."""
         return self.remaining_s(timeout_s) <= 0.0
--- a/packages/heronladder-runtime/src/heronladder_runtime/manifests.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/manifests.py
@@ -1,4 +1,4 @@
-"""Declared resources as people write them: YAML or JSON with kind, metadata, spec."""
+"""Manifests: declared resources in YAML or JSON, with kind, metadata and spec."""
 
 import json
 import re
@@ -12,7 +12,7 @@
 
 NAME_PATTERN = re.compile(r"[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?")
 
-#: Kind as written in manifests and paths -> field of ``Resource``.
+#: Field of ``Resource`` for each kind as written in manifests and paths.
 KIND_FIELDS = {
     "Tenant": "tenant",
     "Budget": "budget",
@@ -29,10 +29,10 @@
 
 
 class ManifestError(HeronladderError):
-    """A manifest is malformed; ``errors`` names each wrong field.
+    """A manifest is malformed; ``errors`` names each invalid field.
 
     Attributes:
-        errors: The wrong fields, each with what is wrong and how to mend it.
+        errors: Invalid fields, each with the problem and its remedy.
     """
 
     def __init__(self, errors: list[control_pb2.FieldError], where: str = "") -> None:
@@ -46,7 +46,7 @@
 
 
 def kind_of(resource: resources_pb2.Resource) -> str:
-    """Return the kind of a resource as its field name, such as ``routing_policy``."""
+    """Return the kind of a resource as a field name, such as ``routing_policy``."""
     return resource.WhichOneof("spec") or ""
 
 
@@ -66,11 +66,11 @@
 
 
 def parse_manifest(document: Any, where: str = "") -> resources_pb2.Resource:
-    """Return the resource a manifest declares.
+    """Return the resource that a manifest declares.
 
     Args:
-        document: What YAML or JSON gave for one document.
-        where: File and position, for errors.
+        document: One document as parsed from YAML or JSON.
+        where: File and position, for error messages.
 
     Raises:
         ManifestError: If it is malformed.
@@ -103,7 +103,7 @@
 
 
 def parse_manifests(text: str, where: str = "") -> list[resources_pb2.Resource]:
-    """Return all resources of a YAML or JSON text, which may hold many documents."""
+    """Return all resources of a YAML or JSON text, which may contain several documents."""
     try:
         documents = [document for document in yaml.safe_load_all(text) if document is not None]
     except yaml.YAMLError as error:
@@ -118,7 +118,7 @@
 
 
 def to_manifest(resource: resources_pb2.Resource) -> dict[str, Any]:
-    """Return a resource in the form of a manifest."""
+    """Return a resource as a manifest."""
     field = kind_of(resource)
     return {
         "kind": FIELD_KINDS[field],
--- a/packages/heronladder-runtime/src/heronladder_runtime/metrics.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: counters, gauges and HDR histograms behind a Prometheus text page."""
+"""Metrics of a daemon: counters, gauges and HDR histograms in the Prometheus text format."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -16,7 +16,7 @@
 
 
 class LatencyHistogram:
-    """Durations in seconds, kept in an HDR histogram of microseconds."""
+    """Durations in seconds, stored in an HDR histogram of microseconds."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(
@@ -33,7 +33,7 @@
         self.count += 1
 
     def quantile(self, share: float) -> float:
-        """Return the duration in seconds that ``share`` (0 to 1) of all stay within."""
+        """Return the duration in seconds at the quantile ``share`` (0 to 1); 0 if there is none."""
         if not self.count:
             return 0.0
         value = self._histogram.get_value_at_percentile(share * 100)
@@ -56,7 +56,7 @@
         self._registry.register(self)
 
     def add(self, name: str, label: str = "", amount: int = 1) -> None:
-        """Count ``amount`` events of a kind, split by one label."""
+        """Increase a counter, split by one label."""
         self.counters[name, label] += amount
 
     def observe(self, name: str, seconds: float, label: str = "") -> None:
@@ -67,11 +67,11 @@
         histogram.record(seconds)
 
     def gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Declare a value that is read whenever the page is made."""
+        """Register a gauge whose value is read whenever the page is rendered."""
         self._gauges[name] = read
 
     def collect(self) -> Iterable[Metric]:
-        """Yield all metrics in the form of ``prometheus_client``."""
+        """Yield all metrics as ``prometheus_client`` metric families."""
         families: dict[str, CounterMetricFamily] = {}
         for (name, label), value in sorted(self.counters.items()):
             if name not in families:
--- a/packages/heronladder-runtime/src/heronladder_runtime/order_dispatch.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/order_dispatch.py
@@ -1,4 +1,4 @@
-"""Gives the orders that come over a daemon's link to those who carry them out."""
+"""Dispatches the orders in a frame from control to the daemon's handlers."""
 
 from heronladder_schema.v1 import control_pb2
 
@@ -6,7 +6,7 @@
 
 
 def dispatch_orders(handlers: ControlLinkHandlers, frame: control_pb2.ControlFrame) -> None:
-    """Give each order of a frame to its handler, if the daemon has one."""
+    """Pass each order of a frame to its handler; ignore orders without a handler."""
     if handlers.recall is not None:
         for recall in frame.recalls:
             handlers.recall(recall.lease_id, recall.keep)
--- a/packages/heronladder-runtime/src/heronladder_runtime/process_start.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/process_start.py
@@ -1,11 +1,11 @@
-"""When this process began, as far as the program can tell. Quick to load."""
+"""Start time of this process, as far as the program can tell; quick to import."""
 
 import time
 
 
 def boot_time_s() -> float:
-    """Return seconds since the machine's start; they go on while it is suspended."""
+    """Return the seconds since the machine started, including the time it was suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-PROCESS_START_S = boot_time_s()  # at the first import of this module: a little late, never early
+PROCESS_START_S = boot_time_s()  # first import of this module: slightly late, never early
--- a/packages/heronladder-runtime/src/heronladder_runtime/records.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/records.py
@@ -1,9 +1,9 @@
-"""Checksummed records in append-only files, and what to make of damaged ones.
+"""Checksummed records in append-only files, and detection of damaged ones.
 
-A record is written by one append and synced before the next one is written.
-So a damaged record with a whole one behind it was synced once: that is
-corruption and must be reported. A damaged record at the very end is a write
-that a crash cut short and that nobody was told of: it is dropped.
+A record is written by one append and synced before the next one is written. A damaged record that
+is followed by a valid one had therefore been synced: this is corruption and is reported. A damaged
+record at the end of the last file is a write that a crash interrupted before it was acknowledged:
+it is dropped.
 """
 
 import struct
@@ -17,13 +17,13 @@
 
 
 def frame_record(payload: bytes) -> bytes:
-    """Return ``payload`` as it stands in a file."""
+    """Return ``payload`` as a record with header and checksum."""
     return _HEADER.pack(_MAGIC, len(payload), zlib.crc32(payload)) + payload
 
 
 @dataclass
 class ScanResult:
-    """What a file held: the payloads in order, and where the whole ones end (bytes)."""
+    """Payloads of a file in order, and the offset in bytes at which the valid records end."""
 
     payloads: list[bytes]
     good_size: int
@@ -47,17 +47,17 @@
     Args:
         data: The whole file.
         name: Its name, for errors.
-        last_file: Whether writing stopped in this file, so that its end may be cut short.
+        last_file: Whether this is the newest file, whose last record may be incomplete.
 
     Raises:
-        CorruptFileError: If synced bytes are damaged; names file and offset.
+        CorruptFileError: If synced bytes are damaged; the error names file and offset.
     """
     payloads: list[bytes] = []
     offset = 0
     while offset < len(data):
         payload = _record_at(data, offset)
         if payload is None:
-            if not last_file or _whole_record_after(data, offset):
+            if not last_file or _has_valid_record_after(data, offset):
                 raise CorruptFileError(
                     f"file {name} is damaged at offset {offset}: "
                     "restore it from another member (see docs/operators/recover-control.md)",
@@ -70,7 +70,7 @@
     return ScanResult(payloads, offset)
 
 
-def _whole_record_after(data: bytes, offset: int) -> bool:
+def _has_valid_record_after(data: bytes, offset: int) -> bool:
     position = data.find(_MAGIC, offset + 1)
     while position != -1:
         if _record_at(data, position) is not None:
--- a/packages/heronladder-runtime/src/heronladder_runtime/replica_limit.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/replica_limit.py
@@ -1,7 +1,8 @@
-"""What a rate-limited replica takes from all routers together, and which report is the newest.
+"""Reports of the rate limit that a replica applies to all routers together.
 
-Each answer of such a replica names its limit, for as long as there is one. Reports of one replica
-reach routers and the leader over different connections, so ages are compared, not orders.
+Each response of a rate-limited replica names its limit, for as long as there is one. Reports of one
+replica reach routers and the leader over different connections, so the ages of reports decide which
+one is newer, not the order of their arrival.
 """
 
 import math
@@ -11,28 +12,29 @@
 
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
 
-#: Of reports whose ages differ by less it is not known which one the replica sent last: they came
-#: over ways of different length, and this is beyond a round trip within a region.
+#: Reports whose ages differ by less count as simultaneous, because they travelled over connections
+#: of different delay. The value exceeds the round trip within a region.
 SIMULTANEITY_TOLERANCE_S = 0.2
-#: Sends that the leader grants may be made for so long after the heartbeat that asked for them. A
-#: new leader grants nothing for as long, so that none of its predecessor's are left: two heartbeats
-#: and a round trip.
+#: Validity of the leader's grants, from the heartbeat that requested them: two heartbeat intervals
+#: and a round trip. A new leader grants nothing for as long, so that no grant of its predecessor is
+#: left.
 GRANT_VALIDITY_S = 0.8
-#: The end of a limit is reported for so long: each router hears of it, and then nothing.
+#: Time for which the end of a limit is reported, so that each router receives it.
 ENDED_REPORTED_S = 5.0
-#: Replicas in one heartbeat or frame: 40 bytes each, 10 KB where a whole fleet is rate-limited.
+#: Replicas in one heartbeat or frame, at 40 bytes each: 10 KB if a whole fleet is rate-limited.
 MAX_REPORTS = 256
 
-Incarnation = tuple[str, int]  # a replica's id, and the start that it reported in ms
+Incarnation = tuple[str, int]  # a replica's id, and the start time that it reported, in ms
 
 
 @dataclass(frozen=True)
 class LimitReport:
-    """What an answer of a replica said.
+    """Rate limit that a response of a replica reported.
 
     Attributes:
-        per_s: Requests a second that it takes from all routers; None: any number.
-        observed_s: When it said so, on the steady clock of whoever holds the report.
+        per_s: Requests per second that it accepts from all routers; None if there is no limit.
+        observed_s: Time of the response, on the monotonic clock of the process that holds the
+            report.
     """
 
     per_s: float | None
@@ -40,12 +42,12 @@
 
     @property
     def ended(self) -> bool:
-        """Whether it names no limit."""
+        """Whether the replica has no limit any more."""
         return self.per_s is None
 
 
 def read_limit(text: str) -> float | None:
-    """Return the requests a second that a text names; None if it names no limit."""
+    """Return the requests per second that a header text names, or None if it is not a limit."""
     try:
         limit = float(text)
     except ValueError:
@@ -54,13 +56,13 @@
 
 
 def newest(held: LimitReport | None, reported: LimitReport) -> LimitReport:
-    """Return which of two reports is gone by: the later one, or of two at one time the stricter."""
+    """Return the report to use: the later one, or the stricter one of two simultaneous reports."""
     if held is None or reported.observed_s > held.observed_s + SIMULTANEITY_TOLERANCE_S:
         return reported
     if held.observed_s > reported.observed_s + SIMULTANEITY_TOLERANCE_S:
         return held
-    # The stricter keeps its own time: where answers come often, a limit that rises is believed
-    # as soon as nothing stricter was said for a while.
+    # The stricter report keeps its own time: with frequent responses, a raised limit is accepted
+    # as soon as no stricter one has been reported for SIMULTANEITY_TOLERANCE_S.
     return min(held, reported, key=lambda report: (_strictness(report), -report.observed_s))
 
 
@@ -74,9 +76,9 @@
     """Return a report as a message.
 
     Args:
-        incarnation: Whose it is.
+        incarnation: Replica incarnation that the report is about.
         report: The report.
-        now_s: Time, on the clock of ``observed_s``.
+        now_s: Current time on the clock of ``observed_s``, in seconds.
     """
     replica, start_ms = incarnation
     age_ms = int(max(0.0, now_s - report.observed_s) * MILLISECONDS_PER_SECOND)
@@ -89,11 +91,11 @@
 
 
 def from_message(message: control_pb2.ReplicaLimit, at_s: float) -> LimitReport | None:
-    """Return the report of a message; None if it is none.
+    """Return the report of a message, or None if its limit is not a valid number.
 
     Args:
         message: The message.
-        at_s: When it was made, at the latest, on the holder's clock.
+        at_s: Latest time at which it was made, on the receiver's clock, in seconds.
     """
     observed_s = at_s - message.age_ms / MILLISECONDS_PER_SECOND
     if message.ended:
--- a/packages/heronladder-runtime/src/heronladder_runtime/replica_load_totals.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/replica_load_totals.py
@@ -1,5 +1,5 @@
-"""How far the sums of load at replicas go that control tells routers."""
+"""Limit on the load totals of replicas that control reports to routers."""
 
-#: Replicas told at once: 20 bytes each, under a fifth of 2 KB/s at three frames a second
-#: for the replicas of one router's subset.
+#: Replicas in one report, at 20 bytes each: less than a fifth of 2 KB/s at three frames a second,
+#: for the replicas in one router's subset.
 MAX_REPORTED_REPLICAS = 64
--- a/packages/heronladder-runtime/src/heronladder_runtime/responses.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/responses.py
@@ -1,4 +1,4 @@
-"""An answer on its way: from back end to agent, and from agent to router."""
+"""Streamed responses: from backend to agent, and from agent to router."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -10,10 +10,10 @@
 
 @dataclass
 class BackendCall:
-    """One call of a back end.
+    """Call of a backend.
 
     Attributes:
-        dispatch: The attempt it is made for.
+        dispatch: Attempt for which the call is made.
         body: Body of the request.
     """
 
@@ -23,12 +23,12 @@
 
 @dataclass
 class BackendResponse:
-    """A back end's answer as it comes.
+    """Response of a backend, streamed.
 
     Attributes:
         status: HTTP status.
         content_type: Content type.
-        chunks: Parts of the body; raises ``BackendError`` when it breaks off.
+        chunks: Parts of the body; raises ``BackendError`` if it breaks off.
     """
 
     status: int
@@ -38,14 +38,14 @@
 
 @dataclass
 class AgentResponse:
-    """An agent's answer as it comes.
+    """Response of an agent, streamed.
 
     Attributes:
-        head: Its first part; a refusal has nothing behind it.
-        status: HTTP status of the back end; 0 for a refusal.
-        content_type: Content type of the back end's answer.
+        head: First message; a refusal consists of it alone.
+        status: HTTP status of the backend; 0 for a refusal.
+        content_type: Content type of the backend's response.
         chunks: Parts of the body.
-        end: Its last part; set once ``chunks`` is exhausted, and for refusals never.
+        end: Last message; set once ``chunks`` is exhausted, never for refusals.
     """
 
     head: agent_pb2.AnswerHead
@@ -56,5 +56,5 @@
 
     @property
     def refused(self) -> bool:
-        """Whether the attempt did not and will not run at this agent."""
+        """Whether the attempt has not run and will not run at this agent."""
         return self.head.refusal != agent_pb2.REFUSAL_CODE_UNSPECIFIED
--- a/packages/heronladder-runtime/src/heronladder_runtime/rollouts/__init__.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""What a roll-out's leader and gateways both judge by: evidence and verdict."""
+"""Evidence and verdicts of a rollout, shared by the control leader and the gateways."""
--- a/packages/heronladder-runtime/src/heronladder_runtime/rollouts/evidence.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/rollouts/evidence.py
@@ -1,4 +1,4 @@
-"""Answers of two versions of a service, by route, as sums that only rise."""
+"""Cumulative response counts and latency histograms of two versions of a service, by route."""
 
 import math
 from collections import Counter
@@ -9,28 +9,28 @@
 
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
 
-# Each step of a histogram is longer by this factor: a version 1.5 times slower moves by three
-#: 80 steps reach a minute, and some 15 of them are in use for one route.
+# Ratio of the bounds of neighbouring histogram buckets. A version that is 1.5 times slower moves
+# its times by three buckets; 80 buckets cover a minute, and one route uses about 15 of them.
 BUCKET_GROWTH_FACTOR = 1.15
-_LOG_STEP = math.log(BUCKET_GROWTH_FACTOR)
+_LOG_GROWTH_FACTOR = math.log(BUCKET_GROWTH_FACTOR)
 
 
 def histogram_bucket(seconds: float) -> int:
-    """Return the step of a histogram that a time belongs to."""
+    """Return the index of the histogram bucket that a time in seconds belongs to."""
     milliseconds = seconds * MILLISECONDS_PER_SECOND
-    return max(0, int(math.log(milliseconds) / _LOG_STEP)) if milliseconds > 1.0 else 0
+    return max(0, int(math.log(milliseconds) / _LOG_GROWTH_FACTOR)) if milliseconds > 1.0 else 0
 
 
 @dataclass
 class ResponseTotals:
-    """Answers of one route by one version.
+    """Totals of the responses that one version gave on one route.
 
     Attributes:
-        answers: How many ended, with those that failed.
-        failed: Failures, and answers that were lost or broken.
-        first: Time to the first byte, by step.
-        gap: Time per event after it, by step.
-        longest_ms: Longest whole answer.
+        answers: Number of finished responses, failures included.
+        failed: Number of responses that failed, were lost or broke off.
+        first: Counts of times to the first byte, by histogram bucket.
+        gap: Counts of times per event after the first byte, by histogram bucket.
+        longest_ms: Duration of the longest complete response, in milliseconds.
     """
 
     answers: int = 0
@@ -40,7 +40,7 @@
     longest_ms: int = 0
 
     def add(self, other: "ResponseTotals") -> None:
-        """Add what another one counted."""
+        """Add other totals to these."""
         self.answers += other.answers
         self.failed += other.failed
         self.first.update(other.first)
@@ -48,7 +48,7 @@
         self.longest_ms = max(self.longest_ms, other.longest_ms)
 
     def since(self, earlier: "ResponseTotals") -> "ResponseTotals":
-        """Return what was counted after an earlier state of the same sums."""
+        """Return what was added since an earlier state of the same totals."""
         return ResponseTotals(
             max(0, self.answers - earlier.answers),
             max(0, self.failed - earlier.failed),
@@ -58,30 +58,30 @@
         )
 
 
-Key = tuple[str, bool]  # route, whether of the target
+Key = tuple[str, bool]  # route, and whether the responses are of the target version
 
 
 class Evidence:
-    """Answers by route and side."""
+    """Response totals by route and side (target version or old version)."""
 
     def __init__(self) -> None:
         self.sides: dict[Key, ResponseTotals] = {}
 
     def side(self, route: str, *, of_target: bool) -> ResponseTotals:
-        """Return the sums of a route and side, to be read or added to."""
+        """Return the mutable totals of a route and side; create them if absent."""
         return self.sides.setdefault((route, of_target), ResponseTotals())
 
     def add(self, other: "Evidence") -> None:
-        """Add what another one counted."""
+        """Add the totals of other evidence to this."""
         for key, answers in other.sides.items():
             self.sides.setdefault(key, ResponseTotals()).add(answers)
 
     def routes(self) -> list[str]:
-        """Return the routes that were answered."""
+        """Return the sorted names of all routes with responses."""
         return sorted({route for route, _ in self.sides})
 
     def whole(self, *, of_target: bool) -> ResponseTotals:
-        """Return the sums of one side over all routes."""
+        """Return the totals of one side over all routes."""
         total = ResponseTotals()
         for (_, side), answers in self.sides.items():
             if side == of_target:
@@ -89,7 +89,7 @@
         return total
 
     def to_messages(self) -> Iterable[control_pb2.RolloutAnswers]:
-        """Give the sums as a heartbeat carries them."""
+        """Yield the totals as heartbeat messages."""
         for (route, of_target), side in sorted(self.sides.items()):
             yield control_pb2.RolloutAnswers(
                 route=route,
@@ -103,7 +103,7 @@
 
     @classmethod
     def from_messages(cls, messages: Iterable[control_pb2.RolloutAnswers]) -> "Evidence":
-        """Return the sums that a heartbeat carries."""
+        """Return the evidence that heartbeat messages carry."""
         evidence = cls()
         for message in messages:
             evidence.sides[(message.route, message.of_target)] = ResponseTotals(
--- a/packages/heronladder-runtime/src/heronladder_runtime/rollouts/verdict.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/rollouts/verdict.py
@@ -1,10 +1,13 @@
-"""Whether a version on trial goes on, goes back, or may be moved to. No clock, no sockets.
+"""Decision whether a version on trial continues, is rolled back or may receive all traffic.
 
-Load patterns: a version that fails part of its answers or is several times slower, at once,
-later, under load, or on one route; a sound one beside grey replicas, in bursts, or of a service
-that fails 14 in 100 when well. The old version is the control group: what is wrong with the
-service itself hits both. Each test is a cumulative sum of log-likelihood ratios that never falls
-below nothing, so that what was sound at first does not cover what turns bad later.
+The module reads no clock and uses no sockets, so simulations and daemons judge alike.
+
+A bad version fails part of its responses or is several times slower: at once, later, only under
+load, or on a single route. A good version may run beside slow replicas, in bursts, or belong to
+a service that normally fails 14 % of its requests. The old version is the control group, because
+faults of the service itself affect both versions. Each test is a cumulative sum (CUSUM) of
+log-likelihood ratios with a floor of zero, so that good results at the beginning do not hide a
+version that turns bad later.
 """
 
 import math
@@ -15,66 +18,73 @@
 
 from heronladder_runtime.rollouts.evidence import Evidence, ResponseTotals
 
-# The sum at which a version is taken for bad.
-_ALARM = 4.5
-_FEW_ANSWERS = 50  # of the target; with more, a sum must be higher by their logarithm
-_DOUBT = 2.0  # the sum over which it is not taken for sound either
-# Of a bad version's answers fail so many beyond the old one's share; the smaller one finds few
-# failures of a service that has none, the larger one many of a service that often fails.
-_FAILS_MORE = (0.04, 0.08, 0.2)
-_SLOW_MORE = 0.3  # of its answers come later than the old one's slow ones
-_SLOW_QUANTILE = 0.8  # of the old version's times; later than this, times a factor, is slow
-# Requests under way at the same moment share what delays them, such as a machine that has too much
-# to do for 0.2 s (4 of 12 runs of a good version were sent back beside other programs). Unless the
-# old version has so many times as many answers in the same look to compare them with, late times
-# add this at most: doubt, and no alarm.
-_OLD_BESIDE = 2
-_MOST_UNCOMPARED = 2.0
-_SLOW_STEPS = 2  # of the histogram: 1.3 times and more
-_ALONE_STEPS = 4  # more, while no other version runs beside it: 1.75 times
-# First bytes of prompts whose shared parts the new replicas have not read yet: as many steps more
-# as make a prompt three times as long to read.
-_UNREAD_STEPS = 8
-# No share is taken for rarer than this part of what is looked for: two failures close to each
-# other, of a service that never failed, are chance.
-_LEAST_OF_MORE = 0.125
-_LEAST_SLOW = 0.05  # the old version's slow times are known from few answers
-_UNSEEN = 1.0  # answers of each kind that count as seen beforehand
-_MOST_SHARE = 0.97
-_OLD_ANSWERS = 30  # of a route at the old version, before it is a measure
-_WHOLE_SAMPLE = 15  # answers of each version, before all of them are compared at once
-_LEAST_TIMES = 5  # of the old version, before any time of the target is slow beside them
-_LEAST_OLD_TIMES = 15  # of a route at the old version, before its times are a measure
-_LEAST_OLD_ANSWERS = 10  # in all, before it is a measure; until then a prior stands in
-# The prior: a service that is hardly known fails 5 in 100, as if seen in 2 answers.
+# A sum of log-likelihood ratios from which a version counts as bad.
+_ALARM_LOG_RATIO = 4.5
+# Above this number of responses of the target, the logarithm of the excess is subtracted from a
+# sum, because many responses reach high sums by chance.
+_UNCORRECTED_ANSWERS = 50
+_DOUBT_LOG_RATIO = 2.0  # above this sum, a version does not count as good either
+# Fractions of responses by which a bad version fails more than the old one. The small one detects
+# few failures of a service that otherwise has none, the large one many of a service that often
+# fails.
+_EXCESS_FAILURE_FRACTIONS = (0.04, 0.08, 0.2)
+_EXCESS_SLOW_FRACTION = 0.3  # of a bad version's responses exceed the old version's slow limit
+_SLOW_QUANTILE = 0.8  # quantile of the old version's times on which the slow limit is based
+# Requests in flight at the same time are delayed by the same causes, such as a machine that is
+# overloaded for 0.2 s; counted as independent, they rolled a good version back in 4 of 12 runs
+# beside other programs. Unless the old version has this many times as many responses in the same
+# check for comparison, slow responses add at most _MAX_UNCONTROLLED_LOG_RATIO: this causes doubt,
+# but no alarm.
+_MIN_CONTROL_GROUP_RATIO = 2
+_MAX_UNCONTROLLED_LOG_RATIO = 2.0
+_SLOW_BUCKETS = 2  # histogram buckets above the quantile: at least 1.3 times its time
+# Further buckets while no other version runs for comparison: 1.75 times the time.
+_WITHOUT_BASELINE_BUCKETS = 4
+# Further buckets for first bytes of prompts whose shared parts are not yet in the prefix caches of
+# the new replicas: the prefill of such a prompt takes three times as long.
+_PREFILL_BUCKETS = 8
+# No usual fraction is taken to be lower than this part of the excess that is tested for: two
+# failures close together, of a service that never failed before, may be chance.
+_MIN_USUAL_RATIO = 0.125
+_MIN_SLOW_FRACTION = 0.05  # the old version's slow times are estimated from few responses
+_PSEUDO_COUNT = 1.0  # responses of each kind that are added to every estimate (smoothing)
+_MAX_FRACTION = 0.97
+# Minimum sample sizes.
+_MIN_ROUTE_BASELINE_ANSWERS = 30  # of the old version on a route, to estimate its failures there
+_MIN_SAMPLE_ANSWERS = 15  # of each version, for the two-sample test
+_MIN_BASELINE_TIMES = 5  # of the old version, before times of the target can count as slow
+_MIN_ROUTE_BASELINE_TIMES = 15  # of the old version on a route, before the target is accepted
+_MIN_BASELINE_ANSWERS = 10  # of the old version in all; below it, a prior stands in
+# The prior: a service with hardly any responses fails 5 % of them, with the weight of 2 responses.
 _PRIOR_FAILED = 0.1
 _PRIOR_ANSWERS = 2.0
-# So many failures more than the old version's share explains end it whatever the tests say: half
-# of what is borne of a bad version, since what is under way comes on top.
+# This many failures beyond those that the old version's failure fraction explains end the trial
+# regardless of the tests. It is half of the failures that a bad version may cause, because the
+# requests in flight add to them.
 _STOP_FAILURES = 25.0
-_STOP_ERRORS = 3.0  # and so many standard errors of that share, which few answers tell
-# The old version's newest answers count beside so many that are as all of its were: what hits both
-# versions now, such as a burst, is no fault of the new one.
-_ALL_ALONG = 30.0
-_ENOUGH_ANSWERS = 25  # of the target in all, before it may be moved to
-_ENOUGH_OF_ROUTE = 6  # of a route, before it may be moved to, unless the route is rare
-_RARE_ROUTE = 0.02  # of all answers
-# A service with few requests shows less than that in an order's time, and little is harmed: this
-# part of its answers so far is enough then, of the target and of the old version.
-_ENOUGH_PART = 0.25
-_ENOUGH_PART_OF_ROUTE = 0.15  # routes that are asked often get less of the trial
-
-# Of fewer answers than are enough elsewhere, one and so many times the usual may have failed: the
-# tests tell too little of so few.
-_FEW_FAILED = 2.0
+_STOP_STANDARD_ERRORS = 3.0  # allowance for a failure fraction estimated from few responses
+# The old version's newest responses are combined with this many that have the fractions of its
+# whole history: what affects both versions now, such as a burst, is no fault of the new one.
+_HISTORY_WEIGHT_ANSWERS = 30.0
+_SUFFICIENT_ANSWERS = 25  # of the target in all, before it may receive all traffic
+_SUFFICIENT_ROUTE_ANSWERS = 6  # the same for each route that is not rare
+_RARE_ROUTE_FRACTION = 0.02  # of all responses; rarer routes are not waited for
+# A service with few requests does not reach these numbers within the time of a rollout, and little
+# harm is possible: this fraction of its responses so far, of both versions, is sufficient then.
+_SUFFICIENT_FRACTION = 0.25
+_SUFFICIENT_ROUTE_FRACTION = 0.15  # lower, because busy routes get a smaller share of the trial
+
+# Below _SUFFICIENT_ANSWERS, one failure plus this many times the usual number is allowed: the
+# tests detect too little in so few responses.
+_SMALL_SAMPLE_FAILURE_FACTOR = 2.0
 
 
 class Decision(Enum):
-    """What to do with a version on trial."""
+    """Decision about a version on trial."""
 
     CONTINUE = "go_on"
     ROLL_BACK = "go_back"
-    SOUND = "sound"  # it may be moved to
+    SOUND = "sound"  # it may receive all traffic
 
 
 @dataclass(frozen=True)
@@ -82,9 +92,9 @@
     """A decision and its reason.
 
     Attributes:
-        decision: What to do.
-        reason: Which test says so, of which route, and its figures.
-        lacks_answers: Whether nothing speaks against it but that there are too few answers.
+        decision: Decision about the version.
+        reason: Test and route that led to the decision, with their figures.
+        lacks_responses: Whether too few responses are the only reason against acceptance.
     """
 
     decision: Decision
@@ -93,77 +103,89 @@
 
 
 class TrialMonitor:
-    """Follows the sums of one trial.
+    """Judges the evidence of one trial at successive checks.
 
     Args:
-        unread_routes: Routes whose prompts share parts, which new replicas have yet to read.
+        pending_prefill_routes: Routes whose prompts share parts that the prefix caches of new
+            replicas do not hold yet.
     """
 
     def __init__(self, pending_prefill_routes: Collection[str] = ()) -> None:
         self._pending_prefill_routes = pending_prefill_routes
-        self._seen: dict[tuple[str, bool], ResponseTotals] = {}
-        self._sums: dict[tuple[str, str], float] = {}
+        self._last_totals: dict[tuple[str, bool], ResponseTotals] = {}
+        self._log_ratio_sums: dict[tuple[str, str], float] = {}
 
     def judge(self, evidence: Evidence, *, without_baseline: bool = False) -> Verdict:
-        """Take in the newest sums and judge.
+        """Add the newest evidence and judge the version.
 
         Args:
-            evidence: All that was counted since the order.
-            alone: Whether all requests go to the target now, so that nothing beside it tells
-                what a burst or a slow machine does to any version.
+            evidence: Totals since the rollout was ordered.
+            without_baseline: Whether all requests go to the target now, so that no other version
+                shows how a burst or a slow machine affects any version.
         """
-        patience = _ALONE_STEPS if without_baseline else 0
-        whole_old = evidence.whole(of_target=False)
-        whole_new = evidence.whole(of_target=True)
-        unexplained = _unexplained(whole_old, whole_new)
+        tolerance_buckets = _WITHOUT_BASELINE_BUCKETS if without_baseline else 0
+        all_old = evidence.whole(of_target=False)
+        all_new = evidence.whole(of_target=True)
+        unexplained = _unexplained_failures(all_old, all_new)
         if unexplained >= _STOP_FAILURES:
-            figures = f"{whole_new.failed}/{whole_new.answers}"
+            figures = f"{all_new.failed}/{all_new.answers}"
             return Verdict(Decision.ROLL_BACK, f"{unexplained:.0f} failures too many; {figures}")
-        if whole_old.answers < _LEAST_OLD_ANSWERS and not without_baseline:
-            # More come: what the target answered is kept for then.
-            return _too_few(f"{whole_old.answers} answers of the old version", whole_new)
+        if all_old.answers < _MIN_BASELINE_ANSWERS and not without_baseline:
+            # The target's responses are judged later, once the old version has enough of them.
+            return _too_few(f"{all_old.answers} answers of the old version", all_new)
         worst = (0.0, "")
-        failures = dict.fromkeys(_FAILS_MORE, 0.0)  # of all routes
+        failures = dict.fromkeys(_EXCESS_FAILURE_FRACTIONS, 0.0)  # of all routes
         for route in evidence.routes():
             old = evidence.side(route, of_target=False)
             new = evidence.side(route, of_target=True)
-            fresh_old = self._fresh(route, old, of_target=False)
-            fresh = self._fresh(route, new, of_target=True)
-            is_measure = old.answers >= _OLD_ANSWERS
-            usual = _usual(old.failed, old.answers, fresh_old.failed, fresh_old.answers)
-            if whole_old.answers < _LEAST_OLD_ANSWERS:
-                usual = _prior(whole_old)
+            fresh_old = self._since_last_check(route, old, of_target=False)
+            fresh = self._since_last_check(route, new, of_target=True)
+            is_measure = old.answers >= _MIN_ROUTE_BASELINE_ANSWERS
+            usual = _baseline_fraction(old.failed, old.answers, fresh_old.failed, fresh_old.answers)
+            if all_old.answers < _MIN_BASELINE_ANSWERS:
+                usual = _smoothed_failure_fraction(all_old)
             elif not is_measure:
-                usual = _usual(whole_old.failed, whole_old.answers, 0, 0)
+                usual = _baseline_fraction(all_old.failed, all_old.answers, 0, 0)
             found = []
-            for more in _FAILS_MORE:
-                least = max(usual, more * _LEAST_OF_MORE)
-                ratio = _ratio(least, least + more, fresh.failed, fresh.answers)
+            for more in _EXCESS_FAILURE_FRACTIONS:
+                least = max(usual, more * _MIN_USUAL_RATIO)
+                ratio = _log_likelihood_ratio(least, least + more, fresh.failed, fresh.answers)
                 failures[more] += ratio
                 found.append((f"failures+{more}", ratio))
-            unread = _UNREAD_STEPS if route in self._pending_prefill_routes else 0
-            unread += patience
+            prefill_buckets = _PREFILL_BUCKETS if route in self._pending_prefill_routes else 0
+            prefill_buckets += tolerance_buckets
+            found.append(
+                (
+                    "first_byte",
+                    _slow_ratio(old.first, fresh_old.first, fresh.first, prefill_buckets),
+                )
+            )
             found.append(
-                ("first_byte", _slow_ratio(old.first, fresh_old.first, fresh.first, unread))
+                ("event_gap", _slow_ratio(old.gap, fresh_old.gap, fresh.gap, tolerance_buckets))
             )
-            found.append(("event_gap", _slow_ratio(old.gap, fresh_old.gap, fresh.gap, patience)))
             for test, value in found:
-                worst = max(worst, self._add(route, test, value, old, new))
-            worst = max(worst, _whole_sample(route, old, new))
+                worst = max(worst, self._add_log_ratio(route, test, value, old, new))
+            worst = max(worst, _two_sample_test(route, old, new))
         for more, ratio in failures.items():
-            worst = max(worst, self._add("all", f"failures+{more}", ratio, whole_old, whole_new))
-        worst = max(worst, _whole_sample("all", whole_old, whole_new))
-        if worst[0] >= _ALARM:
+            worst = max(
+                worst, self._add_log_ratio("all", f"failures+{more}", ratio, all_old, all_new)
+            )
+        worst = max(worst, _two_sample_test("all", all_old, all_new))
+        if worst[0] >= _ALARM_LOG_RATIO:
             return Verdict(Decision.ROLL_BACK, worst[1])
-        if worst[0] > _DOUBT:
+        if worst[0] > _DOUBT_LOG_RATIO:
             return Verdict(Decision.CONTINUE, f"in doubt: {worst[1]}")
-        return self._enough(evidence, whole_old, whole_new, without_baseline=without_baseline)
+        return self._check_sample_size(
+            evidence, all_old, all_new, without_baseline=without_baseline
+        )
 
-    def _fresh(self, route: str, answers: ResponseTotals, *, of_target: bool) -> ResponseTotals:
-        """Return what was counted since the last judgement."""
+    def _since_last_check(
+        self, route: str, answers: ResponseTotals, *, of_target: bool
+    ) -> ResponseTotals:
+        """Return the totals that were added since the last check."""
         key = (route, of_target)
-        fresh = answers.since(self._seen.get(key, ResponseTotals()))
-        self._seen[key] = ResponseTotals(
+        fresh = answers.since(self._last_totals.get(key, ResponseTotals()))
+        self._last_totals[key] = ResponseTotals(
             answers.answers,
             answers.failed,
             answers.first.copy(),
@@ -172,38 +194,39 @@
         )
         return fresh
 
-    def _add(
+    def _add_log_ratio(
         self, route: str, test: str, ratio: float, old: ResponseTotals, new: ResponseTotals
     ) -> tuple[float, str]:
         key = (route, test)
-        total = max(0.0, self._sums.get(key, 0.0) + ratio)
-        self._sums[key] = total
-        # Many answers bring high sums by chance, and a bad version higher ones.
-        total -= math.log(max(1.0, new.answers / _FEW_ANSWERS))
+        total = max(0.0, self._log_ratio_sums.get(key, 0.0) + ratio)
+        self._log_ratio_sums[key] = total
+        # Many responses reach high sums by chance; those of a bad version are higher still.
+        total -= math.log(max(1.0, new.answers / _UNCORRECTED_ANSWERS))
         figures = f"{new.failed}/{new.answers} against {old.failed}/{old.answers}"
         return total, f"{test} of {route}: {total:.1f}; failed {figures}"
 
     @staticmethod
-    def _enough(
+    def _check_sample_size(
         evidence: Evidence, old: ResponseTotals, new: ResponseTotals, *, without_baseline: bool
     ) -> Verdict:
         count = old.answers + new.answers
-        wanted = min(_ENOUGH_ANSWERS, math.ceil(_ENOUGH_PART * count))
+        wanted = min(_SUFFICIENT_ANSWERS, math.ceil(_SUFFICIENT_FRACTION * count))
         if new.answers < wanted:
             return _too_few(f"{new.answers} answers of {wanted}", new)
-        allowed = 1 + _FEW_FAILED * _prior(old) * new.answers
-        if new.answers < _ENOUGH_ANSWERS and new.failed > allowed:
+        allowed = 1 + _SMALL_SAMPLE_FAILURE_FACTOR * _smoothed_failure_fraction(old) * new.answers
+        if new.answers < _SUFFICIENT_ANSWERS and new.failed > allowed:
             return Verdict(Decision.CONTINUE, f"{new.failed} of only {new.answers} answers failed")
         for route in evidence.routes():
             old_answers = evidence.side(route, of_target=False).answers
             answers = evidence.side(route, of_target=True).answers
-            part = math.ceil(_ENOUGH_PART_OF_ROUTE * (old_answers + answers))
-            if old_answers + answers < _RARE_ROUTE * count:
+            part = math.ceil(_SUFFICIENT_ROUTE_FRACTION * (old_answers + answers))
+            if old_answers + answers < _RARE_ROUTE_FRACTION * count:
                 continue
-            # Alone, the old version answers nothing more: waiting for it would end a good one.
-            if old_answers < min(_LEAST_OLD_TIMES, part) and not without_baseline:
+            # Without a baseline the old version gives no further responses; waiting for them
+            # would end the rollout of a good version.
+            if old_answers < min(_MIN_ROUTE_BASELINE_TIMES, part) and not without_baseline:
                 return _too_few(f"{old_answers} answers of {route}, old version", new)
-            if answers < min(_ENOUGH_OF_ROUTE, part):
+            if answers < min(_SUFFICIENT_ROUTE_ANSWERS, part):
                 return _too_few(f"{answers} answers of {route}", new)
         return Verdict(Decision.SOUND, f"sound in {new.answers} answers, {new.failed} failed")
 
@@ -212,61 +235,71 @@
     return Verdict(Decision.CONTINUE, reason, lacks_responses=not new.failed)
 
 
-def _prior(old: ResponseTotals) -> float:
-    """Return the share that fails of an old version that is hardly known."""
+def _smoothed_failure_fraction(old: ResponseTotals) -> float:
+    """Return the old version's failure fraction, smoothed by the prior."""
     return (old.failed + _PRIOR_FAILED) / (old.answers + _PRIOR_ANSWERS)
 
 
-def _unexplained(old: ResponseTotals, new: ResponseTotals) -> float:
-    """Return the target's failures beyond what the old version's share explains, at the most."""
-    share = _prior(old)
-    if old.answers < _LEAST_OLD_ANSWERS:
+def _unexplained_failures(old: ResponseTotals, new: ResponseTotals) -> float:
+    """Return the target's failures that the old version's failure fraction does not explain."""
+    share = _smoothed_failure_fraction(old)
+    if old.answers < _MIN_BASELINE_ANSWERS:
         return new.failed - share * new.answers
     spread = new.answers * share * (1 - share)
     spread *= 1 + new.answers / (old.answers + _PRIOR_ANSWERS)
-    return new.failed - share * new.answers - _STOP_ERRORS * math.sqrt(spread)
+    return new.failed - share * new.answers - _STOP_STANDARD_ERRORS * math.sqrt(spread)
+
 
+def _two_sample_test(route: str, old: ResponseTotals, new: ResponseTotals) -> tuple[float, str]:
+    """Compare the failure fractions of all responses so far by a two-sample test.
 
-def _whole_sample(route: str, old: ResponseTotals, new: ResponseTotals) -> tuple[float, str]:
-    """Return standard errors by which the target's failures are over the old version's, and why.
+    The cumulative sums use what was known of the old version at each check, which is little at
+    first. This test uses all responses again.
 
-    The sums above go by what was known of the old version at each moment, which is little at
-    first; this looks at all answers again.
+    Returns:
+        Difference of the fractions in standard errors, positive if the target fails more often,
+        and a text with the figures.
     """
-    if min(old.answers, new.answers) < _WHOLE_SAMPLE:
+    if min(old.answers, new.answers) < _MIN_SAMPLE_ANSWERS:
         return 0.0, ""
     share = (old.failed + new.failed + 1) / (old.answers + new.answers + 2)
     error = math.sqrt(share * (1 - share) * (1 / old.answers + 1 / new.answers))
-    apart = (new.failed / new.answers - old.failed / old.answers) / error
+    difference = (new.failed / new.answers - old.failed / old.answers) / error
     figures = f"{new.failed}/{new.answers} against {old.failed}/{old.answers}"
-    return apart, f"whole sample of {route}: {apart:.1f}; failed {figures}"
+    return difference, f"whole sample of {route}: {difference:.1f}; failed {figures}"
 
 
-def _usual(hits: int, count: int, fresh_hits: int, fresh_count: int) -> float:
-    """Return the old version's share of something, as it is now."""
-    all_along = (hits + _UNSEEN) / (count + 2 * _UNSEEN)
-    return (fresh_hits + _ALL_ALONG * all_along) / (fresh_count + _ALL_ALONG)
+def _baseline_fraction(hits: int, count: int, fresh_hits: int, fresh_count: int) -> float:
+    """Return the old version's current fraction, from its history and its newest responses."""
+    history_fraction = (hits + _PSEUDO_COUNT) / (count + 2 * _PSEUDO_COUNT)
+    return (fresh_hits + _HISTORY_WEIGHT_ANSWERS * history_fraction) / (
+        fresh_count + _HISTORY_WEIGHT_ANSWERS
+    )
 
 
 def _slow_ratio(
-    old: Counter[int], fresh_old: Counter[int], fresh: Counter[int], patience_steps: int
+    old: Counter[int], fresh_old: Counter[int], fresh: Counter[int], tolerance_buckets: int
 ) -> float:
-    """Return the ratio for how many of the target's times are over the old version's slow ones."""
-    if old.total() < _LEAST_TIMES or not fresh:
+    """Return the log-likelihood ratio for the target's times above the old version's slow limit."""
+    if old.total() < _MIN_BASELINE_TIMES or not fresh:
         return 0.0
-    limit = _quantile(old, _SLOW_QUANTILE) + _SLOW_STEPS + patience_steps
-    usual = _usual(_above(old, limit), old.total(), _above(fresh_old, limit), fresh_old.total())
-    usual = max(usual, _LEAST_SLOW)
-    ratio = _ratio(usual, usual + _SLOW_MORE, _above(fresh, limit), fresh.total())
-    if fresh_old.total() >= _OLD_BESIDE * fresh.total():
+    limit = _quantile(old, _SLOW_QUANTILE) + _SLOW_BUCKETS + tolerance_buckets
+    usual = _baseline_fraction(
+        _count_above(old, limit), old.total(), _count_above(fresh_old, limit), fresh_old.total()
+    )
+    usual = max(usual, _MIN_SLOW_FRACTION)
+    ratio = _log_likelihood_ratio(
+        usual, usual + _EXCESS_SLOW_FRACTION, _count_above(fresh, limit), fresh.total()
+    )
+    if fresh_old.total() >= _MIN_CONTROL_GROUP_RATIO * fresh.total():
         return ratio
-    return min(ratio, _MOST_UNCOMPARED)
+    return min(ratio, _MAX_UNCONTROLLED_LOG_RATIO)
 
 
-def _ratio(usual: float, bad: float, hits: int, count: int) -> float:
-    """Return the log-likelihood ratio of a bad share against the usual one."""
-    bad = min(bad, _MOST_SHARE)
-    usual = min(usual, bad * (1.0 - _LEAST_OF_MORE))
+def _log_likelihood_ratio(usual: float, bad: float, hits: int, count: int) -> float:
+    """Return the log-likelihood ratio of the bad fraction against the usual one."""
+    bad = min(bad, _MAX_FRACTION)
+    usual = min(usual, bad * (1.0 - _MIN_USUAL_RATIO))
     misses = count - hits
     return hits * math.log(bad / usual) + misses * math.log((1 - bad) / (1 - usual))
 
@@ -281,5 +314,5 @@
     return 0
 
 
-def _above(counts: Counter[int], limit: int) -> int:
+def _count_above(counts: Counter[int], limit: int) -> int:
     return sum(count for step, count in counts.items() if step > limit)
--- a/packages/heronladder-runtime/src/heronladder_runtime/rpc.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/rpc.py
@@ -1,7 +1,6 @@
-"""Stubs of the project's own services, over gRPC or over an in-memory network.
+"""Stubs of the project's gRPC services, over gRPC or over an in-memory network.
 
-Callers use only the methods of the generated interfaces, so that the same code
-runs over both.
+Callers use only the methods of the generated interfaces, so that the same code runs over both.
 """
 
 import asyncio
@@ -15,16 +14,16 @@
 
 from heronladder_runtime.grpc_poller import bind_poller
 
-_MAXIMUM_MESSAGE_BYTES = 64 * 1024 * 1024
+_MAX_MESSAGE_BYTES = 64 * 1024 * 1024
 _CHANNEL_OPTIONS = (
-    ("grpc.max_receive_message_length", _MAXIMUM_MESSAGE_BYTES),
-    ("grpc.max_send_message_length", _MAXIMUM_MESSAGE_BYTES),
-    # A cut must be noticed and its end too: pings each second, short pauses.
+    ("grpc.max_receive_message_length", _MAX_MESSAGE_BYTES),
+    ("grpc.max_send_message_length", _MAX_MESSAGE_BYTES),
+    # A partition and its end must be noticed soon: pings each second, short back-off.
     ("grpc.keepalive_time_ms", 1_000),
     ("grpc.keepalive_timeout_ms", 1_000),
-    # Without it an open connection that went silent is kept for a minute where only pings
-    # can show it: gRPC 1.85 takes no keep-alive's time-out for them (measured: calls failed
-    # for over 14 s). Longer than a session's own patience, for links that are full.
+    # gRPC 1.85 does not apply the keep-alive timeout to pings. Without this option a silent
+    # connection on which only pings are sent is kept for a minute, and calls fail for over 14 s.
+    # The value exceeds the silence timeout of a session, because pings are late on full links.
     ("grpc.http2.ping_timeout_ms", 1_500),
     ("grpc.keepalive_permit_without_calls", 1),
     ("grpc.http2.max_pings_without_data", 0),
@@ -33,15 +32,16 @@
     ("grpc.max_reconnect_backoff_ms", 500),
 )
 _Options = tuple[tuple[str, int], ...]
-# For a way that is known to be open: a try to connect lasts as long as the longest that is used.
-_PATIENT_OPTIONS = tuple(
+# For reachable members that take long to connect to: an attempt may take the longest supported
+# connect time (3 s).
+_LONG_CONNECT_OPTIONS = tuple(
     (name, 3_000 if name == "grpc.min_reconnect_backoff_ms" else value)
     for name, value in _CHANNEL_OPTIONS
 )
 
 
 class StubFactory(Protocol):
-    """Makes stubs of the project's services for an address (IP:port)."""
+    """Creates stubs of the project's services for an address (IP:port)."""
 
     def consensus(self, address: str) -> Any:
         """Return a stub with the methods of ``ConsensusStub``."""
@@ -50,15 +50,15 @@
         """Return a stub with the methods of ``ControlStub``.
 
         Args:
-            address: Where to.
-            patient: Whether the way there is known to be open and long.
+            address: Address of the server.
+            patient: Whether the server is known to be reachable and slow to connect to.
         """
 
     async def wait_for_greeting(self, address: str) -> None:
-        """Open a connection, and return once the server there has said something.
+        """Open a connection and wait until the server has sent its first byte.
 
         Raises:
-            OSError: If there is none, or it ends before.
+            OSError: If the connection fails or ends before that.
         """
 
     def lending(self, address: str) -> Any:
@@ -72,7 +72,7 @@
     """Stubs over gRPC, one channel for each address.
 
     Args:
-        credentials: Channel credentials for TLS; None speaks in the clear.
+        credentials: Channel credentials for TLS; None for plain text.
     """
 
     def __init__(self, credentials: grpc.ChannelCredentials | None = None) -> None:
@@ -82,7 +82,7 @@
     def _channel(self, address: str, *, patient: bool = False) -> grpc.aio.Channel:
         channel = self._channels.get((address, patient))
         if channel is None:
-            channel = self._open(address, _PATIENT_OPTIONS if patient else _CHANNEL_OPTIONS)
+            channel = self._open(address, _LONG_CONNECT_OPTIONS if patient else _CHANNEL_OPTIONS)
             self._channels[address, patient] = channel
         return channel
 
@@ -101,10 +101,10 @@
         return ControlStub(self._channel(address, patient=patient))
 
     async def wait_for_greeting(self, address: str) -> None:
-        """Open a connection, and return once the server there has said something.
+        """Open a connection and wait until the server has sent its first byte.
 
-        A gRPC server sends its settings first, so no more than that is awaited; one that speaks TLS
-        waits for its caller, so there the connection has to do.
+        A gRPC server sends its HTTP/2 settings first. A TLS server waits for the client, so with
+        TLS an open connection is sufficient.
         """
         host, _, port = address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -112,7 +112,9 @@
             if self._credentials is None:
                 await reader.readexactly(1)
         except asyncio.IncompleteReadError as error:
-            raise ConnectionResetError("it ended before the server said anything") from error
+            raise ConnectionResetError(
+                "the connection ended before the server sent a byte"
+            ) from error
         finally:
             writer.close()
 
@@ -128,7 +130,7 @@
 
 
 def make_server() -> grpc.aio.Server:
-    """Return a gRPC server that takes messages up to the size of a snapshot chunk."""
+    """Return a gRPC server that accepts messages up to the size of a snapshot chunk."""
     options = (
         *_CHANNEL_OPTIONS[:2],
         ("grpc.so_reuseport", 0),
--- a/packages/heronladder-runtime/src/heronladder_runtime/rpc_errors.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/rpc_errors.py
@@ -1,6 +1,6 @@
-"""What calls to other daemons may raise; apart from ``errors``, which loads without gRPC."""
+"""Exceptions of calls to other daemons; separate so that ``errors`` loads without gRPC."""
 
 import grpc
 
-#: What a call through a generated stub may raise when the peer fails.
+#: Exceptions that a call through a generated stub may raise when the peer fails.
 RPC_ERRORS = (grpc.RpcError, OSError, TimeoutError)
--- a/packages/heronladder-runtime/src/heronladder_runtime/settings.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/settings.py
@@ -1,7 +1,7 @@
-"""Settings read from flags and environment variables, as the schema declares them.
+"""Settings from command-line flags and environment variables, as declared in the schema.
 
-Each field of a settings message carries its default, unit, bounds and help in
-its options, so a setting is declared once.
+Each field of a settings message has its default, unit, bounds and help text in its options, so
+that a setting is declared only once.
 """
 
 import inspect
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True)
 class SettingDeclaration:
-    """One setting, as the schema declares it.
+    """Declaration of one setting in the schema.
 
     Attributes:
-        message: Name of the settings message it belongs to.
+        message: Name of the settings message that contains it.
         name: Name of the field, with underscores.
-        integer: Whether its value is a whole number (otherwise text).
-        options: Default, unit, bounds, pattern and help.
+        integer: Whether its value is an integer (otherwise text).
+        options: Default, unit, bounds, pattern and help text.
     """
 
     message: str
@@ -49,7 +49,7 @@
 
     @property
     def bounds(self) -> str:
-        """The values allowed, in words."""
+        """Human-readable description of the allowed values."""
         if self.options.minimum < self.options.maximum:
             return f"{self.options.minimum:.0f} to {self.options.maximum:.0f}"
         return f"text matching {self.options.pattern}" if self.options.pattern else "any text"
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class SettingValue:
-    """A setting's value in force, as text, and where it came from."""
+    """Effective value of a setting, as text, and its source."""
 
     declaration: SettingDeclaration
     text: str
@@ -66,7 +66,7 @@
 
 @dataclass
 class DaemonSettings:
-    """All settings of a daemon, typed."""
+    """Typed settings of a daemon."""
 
     common: settings_pb2.CommonSettings
     router: settings_pb2.RouterSettings
@@ -90,7 +90,7 @@
 
 
 def declarations() -> list[SettingDeclaration]:
-    """Return all settings of the schema, in its order."""
+    """Return the declarations of all settings, in the order of the schema."""
     found = []
     for message in _MESSAGES:
         for field in message.DESCRIPTOR.fields:
@@ -100,16 +100,16 @@
     return found
 
 
-def _problem(value: SettingValue, why: str) -> str:
+def _problem(value: SettingValue, reason: str) -> str:
     shown = "(secret)" if value.declaration.options.secret else repr(value.text)
     return (
-        f"setting {value.declaration.name} = {shown} from {value.source}: {why}; "
+        f"setting {value.declaration.name} = {shown} from {value.source}: {reason}; "
         f"allowed: {value.declaration.bounds}"
     )
 
 
 def check_value(value: SettingValue) -> str | None:
-    """Return what is wrong with a value, naming setting, value, source and range."""
+    """Return the problem of a value with setting, value, source and range; None if it is valid."""
     declaration = value.declaration
     options = declaration.options
     if options.required and not value.text:
@@ -132,11 +132,11 @@
 def resolve(
     flags: Mapping[str, str | None], environment: Mapping[str, str] | None = None
 ) -> list[SettingValue]:
-    """Return every setting's value: the flag's, else the variable's, else the default.
+    """Return the value of every setting: of its flag, else its variable, else its default.
 
     Args:
-        flags: Values given as flags by field name; None where not given.
-        environment: Environment variables; the process's own when None.
+        flags: Values of flags by field name; None if a flag is not given.
+        environment: Environment variables; those of the process if None.
     """
     variables = os.environ if environment is None else environment
     values = []
@@ -156,7 +156,7 @@
     """Return typed settings.
 
     Raises:
-        SettingsError: With a line for each wrong value, all of them at once.
+        SettingsError: With a line for each invalid value.
     """
     problems = [problem for problem in map(check_value, values) if problem is not None]
     if problems:
@@ -167,11 +167,11 @@
         typed: str | int = int(value.text) if declaration.integer else value.text
         setattr(messages[declaration.message], declaration.name, typed)
     settings = DaemonSettings(*messages.values())  # type: ignore[arg-type]
-    _check_together(settings)
+    _check_dependencies(settings)
     return settings
 
 
-def _check_together(settings: DaemonSettings) -> None:
+def _check_dependencies(settings: DaemonSettings) -> None:
     problems = []
     if "control" in settings.roles and not settings.common.data_folder:
         problems.append(
@@ -190,19 +190,19 @@
 def load(
     flags: Mapping[str, str | None], environment: Mapping[str, str] | None = None
 ) -> DaemonSettings:
-    """Resolve and build all settings.
+    """Resolve, check and build all settings.
 
     Raises:
-        SettingsError: With a line for each wrong value.
+        SettingsError: With a line for each invalid value.
     """
     return build(resolve(flags, environment))
 
 
 def with_setting_options(function: Callable[[dict[str, str | None]], None]) -> Callable[..., None]:
-    """Return a command for ``typer`` that takes every setting as an option.
+    """Return a ``typer`` command that has every setting as an option.
 
     Args:
-        function: Called with the values given as flags, by field name.
+        function: Called with the values of the flags, by field name.
     """
 
     def command(**flags: Any) -> None:
@@ -217,7 +217,7 @@
 
 
 def _option(declaration: SettingDeclaration) -> inspect.Parameter:
-    import typer  # only the command line needs it; a daemon's memory does without
+    import typer  # imported here to save memory in daemons, which do not need it
 
     options = declaration.options
     unit = f" [{options.unit}]" if options.unit else ""
--- a/packages/heronladder-runtime/src/heronladder_runtime/settlements.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/settlements.py
@@ -1,10 +1,10 @@
-"""How an attempt's end becomes a bill; router and agent must reckon alike."""
+"""Settlement of an attempt from its end; router and agent must compute the same result."""
 
 from heronladder_schema.v1 import agent_pb2, ledger_pb2
 
 
 def reserved_tokens(dispatch: agent_pb2.Dispatch) -> int:
-    """Return the tokens an attempt may use at most."""
+    """Return the largest number of tokens that an attempt may use."""
     return dispatch.reserved_prompt + dispatch.reserved_completion
 
 
@@ -13,14 +13,14 @@
 ) -> ledger_pb2.Settlement:
     """Return the settlement of an attempt.
 
-    An answer that is whole, or that its reader gave up, is billed for what it
-    used. A broken one is not billed; as its use is not known for certain, all
-    that was reserved stays charged.
+    A response that is complete, or that its reader cancelled, is billed by the tokens it used. A
+    broken response is not billed. Its use is not known for certain, so the whole reservation stays
+    charged.
 
     Args:
         dispatch: The attempt.
-        end: How it ended.
-        already_billed: An earlier attempt of the same request was billed.
+        end: End of its response.
+        already_billed: Whether an earlier attempt of the same request was billed.
     """
     settlement = ledger_pb2.Settlement(
         lease_id=dispatch.lease_id,
@@ -48,12 +48,12 @@
 
 
 def lost_settlement(dispatch: agent_pb2.Dispatch) -> ledger_pb2.Settlement:
-    """Return the settlement of an attempt whose agent was lost: charged, not billed."""
+    """Return the settlement of an attempt whose agent was lost: it is charged, but not billed."""
     end = agent_pb2.AnswerEnd(outcome=ledger_pb2.OUTCOME_UNKNOWN)
     return make_settlement(dispatch, end)
 
 
 def not_run_settlement(dispatch: agent_pb2.Dispatch) -> ledger_pb2.Settlement:
-    """Return the settlement of an attempt proved not to have run."""
+    """Return the settlement of an attempt that is known not to have run."""
     end = agent_pb2.AnswerEnd(outcome=ledger_pb2.OUTCOME_NOT_RUN)
     return make_settlement(dispatch, end)
--- a/packages/heronladder-runtime/src/heronladder_runtime/suspend_aware_loop.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/suspend_aware_loop.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock goes on while the machine is suspended.
+"""Event loop whose clock advances while the machine is suspended.
 
-The steady clock stands still then. A lease, a promise or a silence that is measured by it seems
-young to a machine that wakes, which would act on it first of all.
+The monotonic clock stops during suspension. Leases, promises and periods of silence that are timed
+by it would seem recent when the machine resumes, and the daemon would act on them.
 """
 
 import asyncio
@@ -14,13 +14,13 @@
 
 
 class SuspendAwareLoop(asyncio.SelectorEventLoop):
-    """Judges all times by the time since the machine's start; timers wait on it too.
+    """Uses the time since the machine's start for all times and timers.
 
-    What was due while the machine was suspended is done as it wakes, at the latest after the rest
-    of the pause that was under way.
+    Timers that were due during suspension run on resumption, at the latest after the remainder of
+    the selector's current wait.
 
     Args:
-        clock: Gives seconds, never going back.
+        clock: Returns seconds; never goes back.
     """
 
     def __init__(self, clock: Callable[[], float] = boot_time_s) -> None:
@@ -28,11 +28,11 @@
         self._clock = clock
 
     def time(self) -> float:
-        """Return seconds since the machine's start, its suspensions too."""
+        """Return the seconds since the machine's start, including suspension."""
         return self._clock()
 
 
 def run(work: Coroutine[Any, Any, Result]) -> Result:
-    """Run a coroutine in a loop of its own, as ``asyncio.run`` does."""
+    """Run a coroutine in a new ``SuspendAwareLoop``, like ``asyncio.run``."""
     with asyncio.Runner(loop_factory=SuspendAwareLoop) as runner:
         return runner.run(work)
--- a/packages/heronladder-runtime/src/heronladder_runtime/tasks.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of a daemon: started by name, stopped together."""
+"""Ownership of background tasks, which are started by name and stopped together."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,14 +6,14 @@
 
 from heronladder_runtime.logs import EventLog
 
-_CANCEL_AGAIN_S = 0.5
+_CANCEL_RETRY_INTERVAL_S = 0.5
 
 
 class TaskGroupOwner:
-    """Keeps the background tasks of one component and logs those that fail.
+    """Owns the background tasks of one component and logs those that fail.
 
     Args:
-        log: Where failures of tasks are reported.
+        log: Log for failures of tasks.
     """
 
     def __init__(self, log: EventLog) -> None:
@@ -24,7 +24,7 @@
     def start(self, name: str, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Run ``work`` in the background until it ends or ``stop`` is called.
 
-        After ``stop`` nothing is begun any more: the task is cancelled at once.
+        After ``stop`` the task is cancelled at once, so that no new work starts.
         """
         task = asyncio.get_running_loop().create_task(work, name=name)
         self._tasks.add(task)
@@ -46,10 +46,10 @@
         for task in tasks:
             task.cancel()
         for task in tasks:
-            # asyncio.wait_for may lose a cancellation that comes just as what it
-            # waits for is done; such a task has to be told again.
+            # asyncio.wait_for may lose a cancellation that arrives just as its awaitable
+            # completes; such a task is cancelled again.
             while not task.done():
-                await asyncio.wait([task], timeout=_CANCEL_AGAIN_S)
+                await asyncio.wait([task], timeout=_CANCEL_RETRY_INTERVAL_S)
                 task.cancel()
 
 
--- a/packages/heronladder-runtime/src/heronladder_runtime/validation.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/validation.py
@@ -1,4 +1,8 @@
-"""Checks of one resource by itself: every wrong field is named at once."""
+"""Validation of single resources; reports all invalid fields at once.
+
+The messages are stored with command results in the replicated log, so all builds must give the
+same texts.
+"""
 
 import re
 
@@ -25,7 +29,7 @@
 
 
 def validate(resource: resources_pb2.Resource) -> list[control_pb2.FieldError]:
-    """Return what is wrong with a resource by itself, field by field."""
+    """Return an error for each invalid field of a resource, without regard to other resources."""
     errors = _FieldErrors()
     name = resource.metadata.name
     errors.require(
@@ -49,7 +53,7 @@
     elif kind == "fleet_configuration":
         errors.found.extend(validate_fleet(resource.fleet_configuration))
     elif kind == "evacuation":
-        pass  # its name is the zone, and it has nothing else to check
+        pass  # its name is the zone; it has no other fields to check
     elif kind == "rollout":
         errors.require(False, "kind", "order it with 'heronladder rollout start'")
     elif kind == "crashing_request":
@@ -89,14 +93,14 @@
     if plain:
         errors.require(not service.models, "spec.models", "only model services have models")
     for position, route in enumerate(service.routes):
-        place = f"spec.routes[{position}]"
+        field = f"spec.routes[{position}]"
         errors.require(
             _METHOD_PATTERN.fullmatch(route.method) is not None,
-            f"{place}.method",
+            f"{field}.method",
             "an HTTP method in capitals, or '*'",
         )
         errors.require(
-            route.path_prefix.startswith("/"), f"{place}.pathPrefix", "must begin with '/'"
+            route.path_prefix.startswith("/"), f"{field}.pathPrefix", "must begin with '/'"
         )
 
 
--- a/packages/heronladder-runtime/src/heronladder_runtime/wire.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/wire.py
@@ -1,8 +1,8 @@
-"""How dispatches and answers stand in HTTP between router and agent.
+"""HTTP encoding of dispatches and responses between router and agent.
 
-The order and the head are headers. The end of a stream comes as a last
-comment line of the event stream; other answers are whole before their head is
-sent, so that their end is a header too.
+The dispatch and the response's head are headers. The end of an event stream is sent as its last
+comment line. Other responses are complete before their head is sent, so that their end is a header
+as well.
 """
 
 import base64
@@ -22,7 +22,7 @@
 
 
 def encode(message: Message) -> str:
-    """Return a message as text that fits a header."""
+    """Return a message as text for a header."""
     return base64.b64encode(message.SerializeToString()).decode("ascii")
 
 
@@ -37,38 +37,38 @@
 
 
 def stream_end_line(end: Message) -> bytes:
-    """Return the last line of an event stream."""
+    """Return the last line of an event stream, which carries its end message."""
     return END_MARK + encode(end).encode("ascii") + b"\n\n"
 
 
 class StreamEndParser:
-    """Splits the end line off an event stream that comes in arbitrary parts."""
+    """Separates the end line from an event stream that arrives in arbitrary chunks."""
 
     def __init__(self) -> None:
-        self._held = b""
-        self._tail: bytearray | None = None
+        self._possible_marker = b""
+        self._end_data: bytearray | None = None
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take in a part; return what belongs to the answer."""
-        if self._tail is not None:
-            self._tail += chunk
+        """Add a chunk; return the bytes that belong to the response."""
+        if self._end_data is not None:
+            self._end_data += chunk
             return b""
-        data = self._held + chunk if self._held else chunk
-        self._held = b""
+        data = self._possible_marker + chunk if self._possible_marker else chunk
+        self._possible_marker = b""
         position = data.find(END_MARK)
         if position >= 0:
-            self._tail = bytearray(data[position:])
+            self._end_data = bytearray(data[position:])
             return data[:position]
         if data.endswith(b"\n"):
-            return data  # no line is open, so no mark has begun
+            return data  # no line is incomplete, so no marker has begun
         for length in range(min(len(END_MARK) - 1, len(data)), 0, -1):
             if data.endswith(END_MARK[:length]):
-                self._held = data[-length:]
+                self._possible_marker = data[-length:]
                 return data[:-length]
         return data
 
     def end(self, kind: type[AnyMessage]) -> AnyMessage | None:
-        """Return the end once the stream is over, or None if it broke off before."""
-        if self._tail is None or not self._tail.endswith(b"\n\n"):
+        """Return the end message after the stream has ended, or None if it broke off before."""
+        if self._end_data is None or not self._end_data.endswith(b"\n\n"):
             return None
-        return decode(kind, bytes(self._tail[len(END_MARK) : -2]))
+        return decode(kind, bytes(self._end_data[len(END_MARK) : -2]))
