--- a/packages/heronladder-emulator/src/heronladder_emulator/memory_stubs.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/memory_stubs.py
@@ -36,7 +36,7 @@
         """Return a stub of the Consensus service of the process at an address."""
         return _Stub(self._network, self._name, self._network.resolve(address), "consensus")
 
-    def control(self, address: str, *, patient: bool = False) -> Any:
+    def control(self, address: str, *, slow_connect: bool = False) -> Any:
         """Return a stub of the Control service of the process at an address."""
         return _Stub(self._network, self._name, self._network.resolve(address), "control")
 
--- a/packages/heronladder-runtime/src/heronladder_runtime/control_link.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/control_link.py
@@ -218,7 +218,7 @@
         self._control_time_ms = 0  # not comparable with the clock of another leader
         self.min_round_trip_s = 0.0
         self.first_frame_s = float("inf")
-        stub = self._stubs.control(address, patient=connect_time_s > LONG_CONNECT_TIME_S)
+        stub = self._stubs.control(address, slow_connect=connect_time_s > LONG_CONNECT_TIME_S)
         stream = stub.Session(self._frames(session))
         watchdog = self._tasks.start("watchdog", self._watch_silence(session, stream))
         try:
--- a/packages/heronladder-runtime/src/heronladder_runtime/rpc.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/rpc.py
@@ -46,12 +46,12 @@
     def consensus(self, address: str) -> Any:
         """Return a stub with the methods of ``ConsensusStub``."""
 
-    def control(self, address: str, *, patient: bool = False) -> Any:
+    def control(self, address: str, *, slow_connect: bool = False) -> Any:
         """Return a stub with the methods of ``ControlStub``.
 
         Args:
             address: Address of the server.
-            patient: Whether the server is known to be reachable and slow to connect to.
+            slow_connect: Whether the server is known to be reachable and slow to connect to.
         """
 
     async def wait_for_greeting(self, address: str) -> None:
@@ -79,11 +79,13 @@
         self._credentials = credentials
         self._channels: dict[tuple[str, bool], grpc.aio.Channel] = {}
 
-    def _channel(self, address: str, *, patient: bool = False) -> grpc.aio.Channel:
-        channel = self._channels.get((address, patient))
+    def _channel(self, address: str, *, slow_connect: bool = False) -> grpc.aio.Channel:
+        channel = self._channels.get((address, slow_connect))
         if channel is None:
-            channel = self._open(address, _LONG_CONNECT_OPTIONS if patient else _CHANNEL_OPTIONS)
-            self._channels[address, patient] = channel
+            channel = self._open(
+                address, _LONG_CONNECT_OPTIONS if slow_connect else _CHANNEL_OPTIONS
+            )
+            self._channels[address, slow_connect] = channel
         return channel
 
     def _open(self, address: str, options: _Options) -> grpc.aio.Channel:
@@ -96,9 +98,9 @@
         """Return a stub of the Consensus service at ``address``."""
         return ConsensusStub(self._channel(address))
 
-    def control(self, address: str, *, patient: bool = False) -> Any:
+    def control(self, address: str, *, slow_connect: bool = False) -> Any:
         """Return a stub of the Control service at ``address``."""
-        return ControlStub(self._channel(address, patient=patient))
+        return ControlStub(self._channel(address, slow_connect=slow_connect))
 
     async def wait_for_greeting(self, address: str) -> None:
         """Open a connection and wait until the server has sent its first byte.
--- a/tests/acknowledgement_fleet.py
+++ b/tests/acknowledgement_fleet.py
@@ -82,7 +82,7 @@
         """Let everything through."""
         for direction in (self.link.there, self.link.back):
             direction.bytes_per_s = math.inf
-            direction.let_go()
+            direction.resume_traffic()
         if math.isinf(self.fair_since_s):
             self.fair_since_s = _now_s()
 
--- a/tests/shaped_link.py
+++ b/tests/shaped_link.py
@@ -32,10 +32,10 @@
         self._open.set()
 
     def stop(self) -> None:
-        """Let nothing through until ``let_go``; what comes is kept."""
+        """Let nothing through until ``resume_traffic``; what comes is kept."""
         self._open.clear()
 
-    def let_go(self) -> None:
+    def resume_traffic(self) -> None:
         """Go on with what was kept."""
         self._open.set()
 
@@ -169,9 +169,9 @@
         """Return a stub of the Consensus service at ``address``."""
         return self._stubs.consensus(self._link.address_to(address))
 
-    def control(self, address: str, *, patient: bool = False) -> Any:
+    def control(self, address: str, *, slow_connect: bool = False) -> Any:
         """Return a stub of the Control service at ``address``."""
-        return self._stubs.control(self._link.address_to(address), patient=patient)
+        return self._stubs.control(self._link.address_to(address), slow_connect=slow_connect)
 
     async def wait_for_greeting(self, address: str) -> None:
         """Return once the server at ``address`` has said something."""
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -374,7 +374,7 @@
         self.link.back.stop()
         asking = asyncio.gather(_acknowledged(self._replace), _acknowledged(self._drain))
         await asyncio.sleep(_SILENCE_S)
-        self.link.back.let_go()
+        self.link.back.resume_traffic()
         let_go_s = _now_s()
         acknowledged_s = max(done_s or math.inf for done_s in await asking)
         self.assertLess(acknowledged_s, math.inf, "not acknowledged on the whole link")
--- a/tests/test_reconnect_over_a_full_link.py
+++ b/tests/test_reconnect_over_a_full_link.py
@@ -38,7 +38,7 @@
         await asyncio.sleep(_CUT_S)
         for way in ways:
             way.delay_s = _ONE_WAY_S
-            way.let_go()
+            way.resume_traffic()
         began_s = asyncio.get_running_loop().time()
         while control.last_heard_s < began_s:
             self.assertLess(asyncio.get_running_loop().time() - began_s, _BACK_WITHIN_S)
--- a/tests/test_restarts_under_failure.py
+++ b/tests/test_restarts_under_failure.py
@@ -145,7 +145,7 @@
         await self.first.stop()
         later = await self._listening()
         await self._until_told(*self._beat(later, _LATER))
-        self.link.back.let_go()
+        self.link.back.resume_traffic()
         self.assertIn(await leave, (200, 503))
         return later
 
