--- a/packages/heronladder-runtime/src/heronladder_runtime/cluster_versions.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/cluster_versions.py
@@ -57,7 +57,7 @@
     if needed is None:
         raise ClusterVersionError("this build does not know the command", step="cluster_version")
     raise ClusterVersionError(
-        f"it needs cluster version {needed}, {version} is in force",
+        f"the command needs cluster version {needed}, {version} is in force",
         step="cluster_version",
         peer=command.WhichOneof("body") or "",
     )
--- a/packages/heronladder-runtime/src/heronladder_runtime/link_session.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/link_session.py
@@ -15,7 +15,7 @@
 # in a row that got no frame. With a fixed timeout, 300 gateways closed their streams before an
 # overloaded leader served them, and each new stream cost the leader as much as a lasting one.
 _MAX_TIMEOUT_FACTOR = 4
-_CONNECT_TIMES_TO_FIRST_FRAME = 6  # round trips to connect and to get a first frame, with reserve
+_CONNECT_TIMES_TO_FIRST_FRAME = 6  # round trips for a connection and a first frame
 
 
 class SessionRejectedError(HeronladderError):
--- a/packages/heronladder-runtime/src/heronladder_runtime/prepaid_window.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/prepaid_window.py
@@ -15,11 +15,11 @@
 RATE_START_S = 0.6
 
 
-def rate_allowance(pace: int, silent_s: float) -> int:
+def rate_allowance(tokens_per_s: int, silent_s: float) -> int:
     """Return the number of tokens that a router may use in addition to its promise.
 
     Args:
-        pace: Promised rate, in tokens per second.
+        tokens_per_s: Promised rate, in tokens per second.
         silent_s: Time since the newest frame from control, in seconds.
     """
-    return int(pace * max(0.0, silent_s - RATE_START_S))
+    return int(tokens_per_s * max(0.0, silent_s - RATE_START_S))
--- a/packages/heronladder-runtime/src/heronladder_runtime/rollouts/evidence.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/rollouts/evidence.py
@@ -96,8 +96,8 @@
                 of_target=of_target,
                 answers=side.answers,
                 failed=side.failed,
-                first=_pairs(side.first),
-                gap=_pairs(side.gap),
+                first=_flat_pairs(side.first),
+                gap=_flat_pairs(side.gap),
                 longest_ms=side.longest_ms,
             )
 
@@ -116,7 +116,7 @@
         return evidence
 
 
-def _pairs(counts: Counter[int]) -> list[int]:
+def _flat_pairs(counts: Counter[int]) -> list[int]:
     return [number for pair in sorted(counts.items()) for number in pair]
 
 
--- a/packages/heronladder-runtime/src/heronladder_runtime/rollouts/verdict.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/rollouts/verdict.py
@@ -31,10 +31,10 @@
 _EXCESS_SLOW_FRACTION = 0.3  # of a bad version's responses exceed the old version's slow limit
 _SLOW_QUANTILE = 0.8  # quantile of the old version's times on which the slow limit is based
 # Requests in flight at the same time are delayed by the same causes, such as a machine that is
-# overloaded for 0.2 s; counted as independent, they rolled a good version back in 4 of 12 runs
-# beside other programs. Unless the old version has this many times as many responses in the same
-# check for comparison, slow responses add at most _MAX_UNCONTROLLED_LOG_RATIO: this causes doubt,
-# but no alarm.
+# overloaded for 0.2 s. Counted as independent, they led to the rollback of a good version in 4 of
+# 12 rollouts on busy machines. Unless the old version has this many times as many responses in
+# the same check for comparison, slow responses add at most _MAX_UNCONTROLLED_LOG_RATIO: this
+# causes doubt, but no alarm.
 _MIN_CONTROL_GROUP_RATIO = 2
 _MAX_UNCONTROLLED_LOG_RATIO = 2.0
 _SLOW_BUCKETS = 2  # histogram buckets above the quantile: at least 1.3 times its time
@@ -140,30 +140,30 @@
             new = evidence.side(route, of_target=True)
             fresh_old = self._since_last_check(route, old, of_target=False)
             fresh = self._since_last_check(route, new, of_target=True)
-            is_measure = old.answers >= _MIN_ROUTE_BASELINE_ANSWERS
+            has_baseline = old.answers >= _MIN_ROUTE_BASELINE_ANSWERS
             usual = _baseline_fraction(old.failed, old.answers, fresh_old.failed, fresh_old.answers)
             if all_old.answers < _MIN_BASELINE_ANSWERS:
                 usual = _smoothed_failure_fraction(all_old)
-            elif not is_measure:
+            elif not has_baseline:
                 usual = _baseline_fraction(all_old.failed, all_old.answers, 0, 0)
-            found = []
+            test_ratios = []
             for more in _EXCESS_FAILURE_FRACTIONS:
                 least = max(usual, more * _MIN_USUAL_RATIO)
                 ratio = _log_likelihood_ratio(least, least + more, fresh.failed, fresh.answers)
                 failures[more] += ratio
-                found.append((f"failures+{more}", ratio))
+                test_ratios.append((f"failures+{more}", ratio))
             prefill_buckets = _PREFILL_BUCKETS if route in self._pending_prefill_routes else 0
             prefill_buckets += tolerance_buckets
-            found.append(
+            test_ratios.append(
                 (
                     "first_byte",
                     _slow_ratio(old.first, fresh_old.first, fresh.first, prefill_buckets),
                 )
             )
-            found.append(
+            test_ratios.append(
                 ("event_gap", _slow_ratio(old.gap, fresh_old.gap, fresh.gap, tolerance_buckets))
             )
-            for test, value in found:
+            for test, value in test_ratios:
                 worst = max(worst, self._add_log_ratio(route, test, value, old, new))
             worst = max(worst, _two_sample_test(route, old, new))
         for more, ratio in failures.items():
@@ -210,23 +210,23 @@
         evidence: Evidence, old: ResponseTotals, new: ResponseTotals, *, without_baseline: bool
     ) -> Verdict:
         count = old.answers + new.answers
-        wanted = min(_SUFFICIENT_ANSWERS, math.ceil(_SUFFICIENT_FRACTION * count))
-        if new.answers < wanted:
-            return _too_few(f"{new.answers} answers of {wanted}", new)
+        minimum = min(_SUFFICIENT_ANSWERS, math.ceil(_SUFFICIENT_FRACTION * count))
+        if new.answers < minimum:
+            return _too_few(f"{new.answers} answers of {minimum}", new)
         allowed = 1 + _SMALL_SAMPLE_FAILURE_FACTOR * _smoothed_failure_fraction(old) * new.answers
         if new.answers < _SUFFICIENT_ANSWERS and new.failed > allowed:
             return Verdict(Decision.CONTINUE, f"{new.failed} of only {new.answers} answers failed")
         for route in evidence.routes():
             old_answers = evidence.side(route, of_target=False).answers
             answers = evidence.side(route, of_target=True).answers
-            part = math.ceil(_SUFFICIENT_ROUTE_FRACTION * (old_answers + answers))
+            route_minimum = math.ceil(_SUFFICIENT_ROUTE_FRACTION * (old_answers + answers))
             if old_answers + answers < _RARE_ROUTE_FRACTION * count:
                 continue
             # Without a baseline the old version gives no further responses; waiting for them
             # would end the rollout of a good version.
-            if old_answers < min(_MIN_ROUTE_BASELINE_TIMES, part) and not without_baseline:
+            if old_answers < min(_MIN_ROUTE_BASELINE_TIMES, route_minimum) and not without_baseline:
                 return _too_few(f"{old_answers} answers of {route}, old version", new)
-            if answers < min(_SUFFICIENT_ROUTE_ANSWERS, part):
+            if answers < min(_SUFFICIENT_ROUTE_ANSWERS, route_minimum):
                 return _too_few(f"{answers} answers of {route}", new)
         return Verdict(Decision.SOUND, f"sound in {new.answers} answers, {new.failed} failed")
 
@@ -242,12 +242,12 @@
 
 def _unexplained_failures(old: ResponseTotals, new: ResponseTotals) -> float:
     """Return the target's failures that the old version's failure fraction does not explain."""
-    share = _smoothed_failure_fraction(old)
+    fraction = _smoothed_failure_fraction(old)
     if old.answers < _MIN_BASELINE_ANSWERS:
-        return new.failed - share * new.answers
-    spread = new.answers * share * (1 - share)
-    spread *= 1 + new.answers / (old.answers + _PRIOR_ANSWERS)
-    return new.failed - share * new.answers - _STOP_STANDARD_ERRORS * math.sqrt(spread)
+        return new.failed - fraction * new.answers
+    variance = new.answers * fraction * (1 - fraction)
+    variance *= 1 + new.answers / (old.answers + _PRIOR_ANSWERS)
+    return new.failed - fraction * new.answers - _STOP_STANDARD_ERRORS * math.sqrt(variance)
 
 
 def _two_sample_test(route: str, old: ResponseTotals, new: ResponseTotals) -> tuple[float, str]:
@@ -262,8 +262,8 @@
     """
     if min(old.answers, new.answers) < _MIN_SAMPLE_ANSWERS:
         return 0.0, ""
-    share = (old.failed + new.failed + 1) / (old.answers + new.answers + 2)
-    error = math.sqrt(share * (1 - share) * (1 / old.answers + 1 / new.answers))
+    fraction = (old.failed + new.failed + 1) / (old.answers + new.answers + 2)
+    error = math.sqrt(fraction * (1 - fraction) * (1 / old.answers + 1 / new.answers))
     difference = (new.failed / new.answers - old.failed / old.answers) / error
     figures = f"{new.failed}/{new.answers} against {old.failed}/{old.answers}"
     return difference, f"whole sample of {route}: {difference:.1f}; failed {figures}"
@@ -304,15 +304,15 @@
     return hits * math.log(bad / usual) + misses * math.log((1 - bad) / (1 - usual))
 
 
-def _quantile(counts: Counter[int], share: float) -> int:
-    wanted = share * counts.total()
-    so_far = 0
-    for step, count in sorted(counts.items()):
-        so_far += count
-        if so_far >= wanted:
-            return step
+def _quantile(counts: Counter[int], fraction: float) -> int:
+    wanted = fraction * counts.total()
+    cumulative = 0
+    for bucket, count in sorted(counts.items()):
+        cumulative += count
+        if cumulative >= wanted:
+            return bucket
     return 0
 
 
 def _count_above(counts: Counter[int], limit: int) -> int:
-    return sum(count for step, count in counts.items() if step > limit)
+    return sum(count for bucket, count in counts.items() if bucket > limit)
--- a/packages/heronladder-runtime/src/heronladder_runtime/settings.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/settings.py
@@ -180,7 +180,7 @@
         )
     if "agent" in settings.roles and not settings.agent.backend_name:
         problems.append(
-            "setting backend_name is not set: the agent role stands before one Backend; "
+            "setting backend_name is not set: the agent role serves exactly one Backend; "
             "give --backend-name or HERONLADDER_BACKEND_NAME"
         )
     if problems:
--- a/tests/list_fields.py
+++ b/tests/list_fields.py
@@ -1,4 +1,4 @@
-"""Prints the fields of the schema of whichever build is on the module path: number and type each.
+"""Prints number and type of each schema field of the build that is on the module path.
 
 Usage: ``python tests/list_fields.py MODULE...``, as in ``control ledger``.
 """
@@ -9,7 +9,7 @@
 
 
 def main() -> None:
-    """Print all fields of the modules as JSON."""
+    """Print all fields of the modules as a JSON object."""
     found = {}
     for name in sys.argv[1:]:
         module = importlib.import_module(f"heronladder_schema.v1.{name}_pb2")
--- a/tests/test_config_packing.py
+++ b/tests/test_config_packing.py
@@ -1,4 +1,4 @@
-"""Configurations of many routes on their way to gateways with thin links."""
+"""Tests of large configurations that are sent to gateways over low-bandwidth links."""
 
 import asyncio
 import json
@@ -18,9 +18,9 @@
 from heronladder_schema.v1 import control_pb2
 from platform_stand_ins import configuration, route, start_fleet
 
-_LINK_BITS_A_S = 5_000_000  # of an entry machine of the grown deployments
-_PATIENCE_S = 10.0
-_LONGEST_S = 0.25  # a quarter of the freshness lease, which runs out while a frame is on its way
+_LINK_BITS_PER_S = 5_000_000  # link of the machines in large deployments
+_TIMEOUT_S = 10.0
+_MAX_TRANSFER_S = 0.25  # a quarter of the freshness lease, which a frame in flight may not outlast
 
 
 def _many_routes(count: int) -> list[dict[str, object]]:
@@ -36,14 +36,14 @@
 
 
 class PackingTest(unittest.TestCase):
-    def test_1680_routes_reach_a_thin_gateway_within_its_freshness_lease(self) -> None:
-        """CONFIG of the grown canteens, scale-1: 30 gateways fell behind a second and more."""
+    def test_1680_routes_are_sent_within_a_quarter_of_the_freshness_lease(self) -> None:
+        """Sent uncompressed, such a configuration left 30 gateways behind for over a second."""
         update = _update(1_680)
-        self.assertGreater(update.ByteSize() * 8 / _LINK_BITS_A_S, 0.7)  # as it was sent before
+        self.assertGreater(update.ByteSize() * 8 / _LINK_BITS_PER_S, 0.7)  # uncompressed
         bare = control_pb2.ConfigUpdate(revision=9, snapshot=True)
         bare.events.extend(without_source_document(event) for event in update.events)
         sent = pack(bare)
-        self.assertLess(sent.ByteSize() * 8 / _LINK_BITS_A_S, _LONGEST_S)
+        self.assertLess(sent.ByteSize() * 8 / _LINK_BITS_PER_S, _MAX_TRANSFER_S)
         store = ConfigurationStore("gateway")
         store.apply(unpack(sent))
         held = store.fleet()
@@ -51,12 +51,12 @@
         self.assertEqual(held.routes, update.events[0].resource.fleet_configuration.routes)
         self.assertEqual((store.revision, held.source), (9, b""))
 
-    def test_the_operators_document_stays_with_control(self) -> None:
+    def test_source_document_is_not_removed_from_the_original(self) -> None:
         update = _update(2)
         without_source_document(update.events[0])
         self.assertTrue(update.events[0].resource.fleet_configuration.source)
 
-    def test_small_updates_go_as_they_are(self) -> None:
+    def test_small_updates_are_not_compressed(self) -> None:
         update = control_pb2.ConfigUpdate(revision=3)
         self.assertLess(update.ByteSize(), COMPRESSION_THRESHOLD_BYTES)
         self.assertIs(pack(update), update)
@@ -77,7 +77,7 @@
         small = control_pb2.ConfigUpdate(revision=3)
         self.assertEqual(joiner.add(part(small, 0)), small)
 
-    def test_what_cannot_be_unpacked_is_refused(self) -> None:
+    def test_invalid_compressed_events_are_rejected(self) -> None:
         sent = pack(_update(400))
         for data in (b"nonsense", sent.packed_events[:-9]):
             with self.assertRaisesRegex(ValueError, "packed configuration"):
@@ -93,14 +93,14 @@
         self.addAsyncCleanup(fleet.stop)
         assert fleet.gateway.gateway is not None
         link = fleet.gateway.gateway.link
-        # A gateway that control has not heard of yet is not waited for with the change.
-        async with asyncio.timeout(_PATIENCE_S):
+        # Control acknowledges the change without waiting for a gateway that is not registered yet.
+        async with asyncio.timeout(_TIMEOUT_S):
             while link.configuration.fleet() is None:
                 await asyncio.sleep(0.02)
         held = link.configuration.fleet()
         assert held is not None
         self.assertEqual((len(held.routes), held.source), (1_681, b""))
-        self.assertLess(link.bytes_received * 8 / _LINK_BITS_A_S, _LONGEST_S)
+        self.assertLess(link.bytes_received * 8 / _LINK_BITS_PER_S, _MAX_TRANSFER_S)
         read = await fleet.call(fleet.control_address, "GET", "/api/Config.Describe")
         self.assertEqual(read.body, json.dumps(document).encode())
 
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -1,4 +1,4 @@
-"""The link to control over real sockets, when control falls silent."""
+"""Tests of the link to control over real sockets, with control that is silent, slow or faulty."""
 
 import asyncio
 import unittest
@@ -14,11 +14,11 @@
 from heronladder_schema.v1.control_pb2_grpc import ControlServicer, add_ControlServicer_to_server
 
 _HEARTBEAT_S = 0.1
-_FAR_ROUND_TRIP_S = 0.024
+_REMOTE_ROUND_TRIP_S = 0.024
 
 
-class _FallsSilent(ControlServicer):
-    """Acknowledges the first heartbeats of its first stream, then says nothing on it."""
+class _SilentAfterTwoHeartbeats(ControlServicer):
+    """Acknowledges two heartbeats of its first stream, then sends nothing more on it."""
 
     def __init__(self) -> None:
         self.streams = 0
@@ -37,8 +37,8 @@
                 )
 
 
-class _Crowded(ControlServicer):
-    """Comes to a stream only after twice a link's patience; one given up is as dear."""
+class _OverloadedLeader(ControlServicer):
+    """Serves a stream only after twice a link's timeout, as an overloaded leader does."""
 
     def __init__(self) -> None:
         self.streams = 0
@@ -55,8 +55,8 @@
                 )
 
 
-class _Follows(ControlServicer):
-    """Says at once who leads, as a member that does not lead does.
+class _Follower(ControlServicer):
+    """Redirects to the leader at once, as a follower does.
 
     Args:
         leader: Address of the leader.
@@ -71,8 +71,8 @@
         yield control_pb2.ControlFrame(not_leader=True, leader_address=self._leader)
 
 
-class _SendsGarbageFirst(ControlServicer):
-    """Sends a configuration that cannot be unpacked on its first stream, a sound one after."""
+class _InvalidConfigurationFirst(ControlServicer):
+    """Sends an invalid configuration on its first stream, and valid ones on later streams."""
 
     def __init__(self) -> None:
         self.streams = 0
@@ -88,23 +88,23 @@
             pass
 
 
-class _StandsFarAway(ControlServicer):
-    """Acknowledges each heartbeat a while after it came."""
+class _RemoteControl(ControlServicer):
+    """Acknowledges each heartbeat after the round trip to a remote region."""
 
     async def Session(
         self, request_iterator: AsyncIterator[control_pb2.DaemonFrame], context: Any
     ) -> AsyncIterator[control_pb2.ControlFrame]:
         async for frame in request_iterator:
             if frame.HasField("heartbeat"):
-                await asyncio.sleep(_FAR_ROUND_TRIP_S)
+                await asyncio.sleep(_REMOTE_ROUND_TRIP_S)
                 yield control_pb2.ControlFrame(
                     heartbeat_ack=frame.heartbeat.number, freshness_ms=1000, control_time_ms=1
                 )
 
 
 class ControlLinkTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_silent_stream_is_given_up_and_another_is_opened(self) -> None:
-        service = _FallsSilent()
+    async def test_silent_stream_is_closed_and_reopened(self) -> None:
+        service = _SilentAfterTwoHeartbeats()
         async with _linked(service) as link, asyncio.timeout(10):
             while service.streams < 2:
                 await asyncio.sleep(0.05)
@@ -112,43 +112,49 @@
             while link.last_heard_s < 0:
                 await asyncio.sleep(0.05)
 
-    async def test_the_way_to_control_is_measured(self) -> None:
-        async with _linked(_StandsFarAway()) as link, asyncio.timeout(10):
+    async def test_heartbeat_round_trip_is_measured(self) -> None:
+        async with _linked(_RemoteControl()) as link, asyncio.timeout(10):
             self.assertEqual(link.min_round_trip_s, 0.0)
             while not link.min_round_trip_s:
                 await asyncio.sleep(0.02)
-            self.assertGreaterEqual(link.min_round_trip_s, _FAR_ROUND_TRIP_S)
+            self.assertGreaterEqual(link.min_round_trip_s, _REMOTE_ROUND_TRIP_S)
             self.assertLess(link.min_round_trip_s, 1.0)
 
-    async def test_a_new_stream_has_more_patience_after_some_without_a_word(self) -> None:
-        """Before a crowded leader 300 gateways gave their streams up before it came to them,
-        and opened others, for ever."""
-        service = _Crowded()
+    async def test_timeout_grows_after_streams_without_a_frame(self) -> None:
+        """With a fixed timeout, 300 gateways closed their streams before an overloaded leader
+        served them, and opened new ones, without end."""
+        service = _OverloadedLeader()
         async with _linked(service) as link, asyncio.timeout(10):
             while link.last_heard_s < 0:
-                self.assertEqual(link.first_frame_s, float("inf"), "streams without a word")
+                self.assertEqual(
+                    link.first_frame_s, float("inf"), "a frame without a heartbeat response"
+                )
                 await asyncio.sleep(0.05)
             self.assertLessEqual(link.first_frame_s, link.last_heard_s)
-            self.assertGreater(service.streams, 2, "the first ones are given up as ever")
+            self.assertGreater(
+                service.streams, 2, "the first streams are closed at the usual timeout"
+            )
             streams = service.streams
             await asyncio.sleep(8 * _HEARTBEAT_S)
-            self.assertEqual(service.streams, streams, "the one with a word lasts")
+            self.assertEqual(service.streams, streams, "the stream with a frame is kept")
 
-    async def test_a_member_that_only_names_the_leader_takes_no_patience_away(self) -> None:
-        """Each stream to the crowded leader came after a follower's word, which counted as
-        control's: 36 were given up in 15 s, and none lasted."""
-        service = _Crowded()
+    async def test_redirect_by_a_follower_does_not_reset_the_timeout(self) -> None:
+        """Each stream to the overloaded leader followed a redirect by a follower. Counted as a
+        frame from control, it reset the timeout: 36 streams were closed in 15 s."""
+        service = _OverloadedLeader()
         async with (
             _served(service) as leader,
-            _linked(_Follows(leader)) as link,
+            _linked(_Follower(leader)) as link,
             asyncio.timeout(10),
         ):
             while link.last_heard_s < 0:
                 await asyncio.sleep(0.05)
-            self.assertGreater(service.streams, 2, "the first ones are given up as ever")
+            self.assertGreater(
+                service.streams, 2, "the first streams are closed at the usual timeout"
+            )
 
-    async def test_a_configuration_that_cannot_be_unpacked_is_fetched_anew(self) -> None:
-        service = _SendsGarbageFirst()
+    async def test_invalid_configuration_is_requested_again(self) -> None:
+        service = _InvalidConfigurationFirst()
         async with _linked(service) as link, asyncio.timeout(10):
             while link.configuration.revision < 5:
                 await asyncio.sleep(0.05)
@@ -157,7 +163,7 @@
 
 @asynccontextmanager
 async def _served(service: ControlServicer) -> AsyncIterator[str]:
-    """Serve over loopback; give the address."""
+    """Serve over loopback and yield the address."""
     server = make_server()
     add_ControlServicer_to_server(service, server)
     port = server.add_insecure_port("127.0.0.1:0")
@@ -170,7 +176,7 @@
 
 @asynccontextmanager
 async def _linked(service: ControlServicer) -> AsyncIterator[ControlLink]:
-    """Run a link to a service over loopback."""
+    """Run a link to a service over loopback and yield it."""
     async with _served(service) as address:
         stubs = GrpcStubs()
         record = ledger_pb2.DaemonRecord(name="gateway-1", role="router", incarnation="a")
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Logs that never wait, and the way of a request through them."""
+"""Tests of the explanation of a request from logs, and of the non-blocking log output."""
 
 import os
 import tempfile
@@ -31,7 +31,7 @@
         self.control = Path(self.folder.name) / "c1.log"
         self.control.write_text(_CONTROL)
 
-    def test_a_refusal_for_all_limits_is_told_with_the_limits(self) -> None:
+    def test_refusal_by_replica_limits_shows_the_limits(self) -> None:
         limit = (
             "time=2026-01-01T00:00:02.600 event=replica_limit daemon=g1 peer=i-9 limit_per_s=1.7"
         )
@@ -39,7 +39,7 @@
         text = explanation_text(explain_request("r1", [self.gateway]))
         self.assertIn("limit_per_s=1.7", text)
 
-    def test_what_was_lost_is_told_with_how_late_the_process_was(self) -> None:
+    def test_lost_connection_shows_the_loop_lag(self) -> None:
         late = "time=2026-01-01T00:00:01.900 level=warning event=loop_late daemon=g1 late_ms=889"
         call = "time=2026-01-01T00:00:00.900 level=info event=peer_call_expired daemon=c1 late_ms=0"
         self.gateway.write_text(f"{_GATEWAY}{late}\n")
@@ -48,7 +48,7 @@
         self.assertIn("late_ms=889", text)
         self.assertIn("peer_call_expired daemon=c1 late_ms=0", text)
 
-    def test_a_refusal_is_told_with_what_its_gateway_believed(self) -> None:
+    def test_refusal_shows_the_state_known_to_the_gateway(self) -> None:
         found = explain_request("r1", [self.gateway, self.control])
         self.assertEqual(
             [line.fields["event"] for line in found.lines], ["tokens_refused", "request_refused"]
@@ -61,14 +61,14 @@
         self.assertEqual(found.missing, [])
         self.assertIn("Nothing is known to be missing", explanation_text(found))
 
-    def test_what_is_missing_is_said(self) -> None:
+    def test_missing_log_lines_are_reported(self) -> None:
         found = explain_request("r2", [self.gateway])
         self.assertIn("no line tells its end", found.missing[0])
         self.assertIn("no line names request r9", explain_request("r9", [self.control]).missing[0])
 
 
 class BoundedLogOutputTest(unittest.TestCase):
-    def test_a_reader_that_does_not_read_stops_nothing_and_is_told_of_what_it_missed(self) -> None:
+    def test_blocked_reader_does_not_block_writes_and_dropped_lines_are_reported(self) -> None:
         reading, writing = os.pipe()
         output = BoundedLogOutput(writing)
         line = "event=x " + "y" * 1000
@@ -91,7 +91,7 @@
         output.write("event=nobody_reads", "event=nobody_reads", limited=False)
         os.close(writing)
 
-    def test_a_flood_of_one_kind_does_not_crowd_out_another(self) -> None:
+    def test_rate_limit_applies_to_each_event_kind(self) -> None:
         reading, writing = os.pipe()
         output = BoundedLogOutput(writing)
         os.set_blocking(reading, False)
--- a/tests/test_grpc_poller.py
+++ b/tests/test_grpc_poller.py
@@ -1,9 +1,9 @@
-"""A process whose gRPC server was not stopped stood still for good, now and then.
+"""Tests of gRPC's poller in a busy event loop and at the garbage collection of a server.
 
-A daemon that ended as in a crash left its server as it was. When that was collected later on, gRPC
-ended its poller and joined the poller's thread from within the collection; the thread waited for
-calls that the server still expected. The main thread's stack was «join (threading.py)» below
-«create_task», in work that had nothing to do with gRPC.
+A daemon that ended as in a crash left its gRPC server running. When the server was garbage
+collected, gRPC shut its poller down and joined the poller's thread within the collection, while the
+thread waited for calls that the server still expected: the process blocked forever. The main
+thread's stack showed "join (threading.py)" below "create_task", in code unrelated to gRPC.
 """
 
 import asyncio
@@ -21,8 +21,8 @@
     add_ConsensusServicer_to_server,
 )
 
-_PATIENCE_S = 20.0  # the work itself takes less than one
-_LEAVES_A_SERVER = """
+_TIMEOUT_S = 20.0  # the program itself takes less than a second
+_ABANDONED_SERVER_PROGRAM = """
 import asyncio, gc
 from heronladder_runtime.rpc import make_server
 
@@ -49,20 +49,20 @@
 """
 
 
-_CALLS = 400  # some 280 unread wake-ups stop gRPC's thread
-_TURN_S = 0.005
-_MOST_TURNS = 200  # one a completion were over 800
+_CALLS = 400  # about 280 unread wake-up bytes block gRPC's thread
+_ITERATION_S = 0.005
+_MAX_ITERATIONS = 200  # one iteration for each completion would be over 800
 
 
-class _Together(ConsensusServicer):
-    """Answers all calls at the same moment."""
+class _SimultaneousResponses(ConsensusServicer):
+    """Answers all calls at the same time."""
 
     def __init__(self) -> None:
-        self.came = 0
+        self.arrived = 0
         self.answer = asyncio.Event()
 
     async def Hello(self, request: Any, context: Any) -> consensus_pb2.HelloReply:
-        self.came += 1
+        self.arrived += 1
         await self.answer.wait()
         return consensus_pb2.HelloReply()
 
@@ -70,7 +70,7 @@
 class CompletionsTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
-        self.service = _Together()
+        self.service = _SimultaneousResponses()
         self.server: grpc.aio.Server = make_server()
         add_ConsensusServicer_to_server(self.service, self.server)
         port = self.server.add_insecure_port("127.0.0.1:0")
@@ -80,35 +80,35 @@
         self.addAsyncCleanup(stubs.close)
         self.stub = stubs.consensus(f"127.0.0.1:{port}")
 
-    async def test_answers_that_come_together_take_few_turns_of_a_busy_loop(self) -> None:
-        """gRPC's thread stood still in a write, and one completion a turn was taken in."""
+    async def test_simultaneous_responses_take_few_iterations_of_a_busy_loop(self) -> None:
+        """gRPC's thread blocked in a write, and each iteration processed one completion."""
         calls = [
             asyncio.ensure_future(self.stub.Hello(consensus_pb2.HelloRequest()))
             for _ in range(_CALLS)
         ]
-        while self.service.came < _CALLS:
+        while self.service.arrived < _CALLS:
             await asyncio.sleep(0.01)
-        await asyncio.sleep(0.5)  # what woke the loop for that is read
+        await asyncio.sleep(0.5)  # the wake-up bytes of the calls are read
         self.service.answer.set()
-        turns = 0
+        iterations = 0
         while not all(call.done() for call in calls):
-            turns += 1
-            _be_busy()
+            iterations += 1
+            _block_loop()
             await asyncio.sleep(0)
-        self.assertLess(turns, _MOST_TURNS)
+        self.assertLess(iterations, _MAX_ITERATIONS)
 
 
-def _be_busy() -> None:
-    time.sleep(_TURN_S)
+def _block_loop() -> None:
+    time.sleep(_ITERATION_S)
 
 
 class PollerTest(unittest.TestCase):
-    def test_collecting_a_server_that_was_not_stopped_does_not_block(self) -> None:
+    def test_garbage_collection_of_a_running_server_does_not_block(self) -> None:
         process = subprocess.run(
-            [sys.executable, "-c", _LEAVES_A_SERVER],
+            [sys.executable, "-c", _ABANDONED_SERVER_PROGRAM],
             capture_output=True,
             text=True,
-            timeout=_PATIENCE_S,
+            timeout=_TIMEOUT_S,
             check=False,
         )
         self.assertIn("collected", process.stdout, process.stderr)
--- a/tests/test_schema_versions.py
+++ b/tests/test_schema_versions.py
@@ -1,4 +1,4 @@
-"""Builds side by side: each field that production's build does not know has its version."""
+"""Tests that the schema and its declared cluster versions match production's build."""
 
 import importlib
 import json
@@ -23,14 +23,14 @@
 from production_build import module_path
 
 _MODULES = ("agent", "consensus", "control", "ledger", "lending", "resources")
-_LIST = Path(__file__).with_name("list_fields.py")
-_IN_THE_LOG = ("Command", "StateSnapshot")
+_LIST_FIELDS_SCRIPT = Path(__file__).with_name("list_fields.py")
+_LOGGED_MESSAGES = ("Command", "StateSnapshot")
 Fields = dict[str, list[object]]
 
 
 def _production_fields() -> Fields:
     done = subprocess.run(
-        [sys.executable, str(_LIST), *_MODULES],
+        [sys.executable, str(_LIST_FIELDS_SCRIPT), *_MODULES],
         env={"PYTHONPATH": module_path(), "PATH": ""},
         capture_output=True,
         text=True,
@@ -56,7 +56,7 @@
 
 
 def _reachable(names: tuple[str, ...]) -> set[str]:
-    """Return the messages that these hold, by way of fields of any version."""
+    """Return the full names of all messages reachable from these through fields of any version."""
     known: set[str] = set()
     left = [control_pb2.DESCRIPTOR.message_types_by_name[name] for name in names]
     while left:
@@ -76,7 +76,7 @@
         prefix = f"{field.containing_type.full_name}."
         return not any(name.startswith(prefix) for name in self.production)
 
-    def test_a_field_that_production_does_not_know_has_its_version(self) -> None:
+    def test_fields_unknown_to_production_declare_their_version(self) -> None:
         for field in _fields():
             if self._is_new_message(field) or str(field.full_name) in self.production:
                 continue
@@ -85,14 +85,14 @@
                 self.assertEqual(sum(marks), 1)
                 self.assertLessEqual(since(field), LATEST_VERSION)
 
-    def test_what_the_log_holds_is_never_only_ignorable(self) -> None:
-        # Results that a snapshot keeps are of commands which set none of the ignorable fields.
-        kept = _reachable(_IN_THE_LOG) - {control_pb2.CommandResult.DESCRIPTOR.full_name}
+    def test_fields_in_the_log_are_not_ignorable(self) -> None:
+        # Results in a snapshot belong to commands that set none of the ignorable fields.
+        kept = _reachable(_LOGGED_MESSAGES) - {control_pb2.CommandResult.DESCRIPTOR.full_name}
         for field in _fields():
             if field.containing_type.full_name in kept:
                 self.assertFalse(_option(field, "ignorable"), field.full_name)
 
-    def test_no_number_is_reused_and_nothing_retyped(self) -> None:
+    def test_field_numbers_and_types_do_not_change(self) -> None:
         numbers = {
             (name.rpartition(".")[0], shape[0]): (name.rpartition(".")[2], shape)
             for name, shape in self.production.items()
@@ -107,8 +107,8 @@
                 self.assertEqual(shape[1], field.type)
 
 
-class GateTest(unittest.TestCase):
-    def test_no_command_of_a_later_version_passes(self) -> None:
+class CommandVersionTest(unittest.TestCase):
+    def test_commands_of_later_versions_are_rejected(self) -> None:
         for field in control_pb2.Command.DESCRIPTOR.fields:
             command = control_pb2.Command()
             getattr(command, field.name).SetInParent()
@@ -119,11 +119,11 @@
             with self.subTest(field.name), self.assertRaises(ClusterVersionError):
                 require_allowed(command, INITIAL_VERSION)
 
-    def test_a_command_that_this_build_does_not_know_is_refused(self) -> None:
+    def test_unknown_commands_are_rejected(self) -> None:
         with self.assertRaises(ClusterVersionError):
             require_allowed(control_pb2.Command(), LATEST_VERSION)
 
-    def test_newer_fields_of_known_commands_are_left_out(self) -> None:
+    def test_newer_fields_of_known_commands_are_removed(self) -> None:
         command = control_pb2.Command()
         command.register_replica.replica.id = "a"
         command.register_replica.replica.start_ms = 5
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: declared once, checked all at once; logs; metrics; the command lines."""
+"""Tests of settings, background tasks, log lines and metrics."""
 
 import asyncio
 import unittest
@@ -17,13 +17,13 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_flags_go_before_variables_and_those_before_defaults(self) -> None:
+    def test_flags_override_variables_and_variables_override_defaults(self) -> None:
         environment = {"HERONLADDER_ZONE": "z2", "HERONLADDER_REGION": "r2"}
         settings = load({**GOOD, "zone": "z1"}, environment)
         self.assertEqual((settings.common.zone, settings.common.region), ("z1", "r2"))
         self.assertEqual(settings.router.max_body_bytes, 4194304)
 
-    def test_every_wrong_setting_is_named_with_value_source_and_range(self) -> None:
+    def test_every_invalid_setting_is_reported_with_value_source_and_range(self) -> None:
         environment = {"HERONLADDER_QUEUE_LIMIT": "none"}
         flags = {"name": "A B", "settle_interval_ms": "0", "data_folder": "/d"}
         with self.assertRaises(SettingsError) as caught:
@@ -35,12 +35,12 @@
         self.assertIn("from variable HERONLADDER_QUEUE_LIMIT", text)
         self.assertIn("name = 'A B'", text)
 
-    def test_roles_need_what_they_cannot_do_without(self) -> None:
+    def test_roles_require_their_settings(self) -> None:
         with self.assertRaises(SettingsError) as caught:
             load({"name": "a"}, {})
         self.assertEqual(len(caught.exception.problems), 2)
 
-    def test_names_are_unique_and_explained(self) -> None:
+    def test_names_are_unique_and_have_help_texts(self) -> None:
         found = declarations()
         self.assertEqual(len({declaration.name for declaration in found}), len(found))
         self.assertTrue(all(declaration.options.help for declaration in found))
@@ -54,24 +54,24 @@
         self.assertEqual(len(lines), 2)
         self.assertIn("roles = 'cook' from flag --roles", result.stderr)
 
-    def test_what_a_gateway_decides_anew_is_off_unless_it_is_set(self) -> None:
-        """A deployment that set nothing began to turn away and to give streams up earlier."""
+    def test_new_gateway_decisions_are_off_by_default(self) -> None:
+        """Deployments without these settings would otherwise reject requests and streams early."""
         gateway = load(GOOD, {}).gateway
         for name in ("wait_for_places", "measured_speed", "measured_patience", "behind_after_ms"):
             self.assertEqual(getattr(gateway, name), 0, name)
 
-    def test_the_settings_page_is_made_from_the_schema(self) -> None:
+    def test_settings_page_matches_the_schema(self) -> None:
         page = Path(__file__).parent.parent / "docs" / "operators" / "settings.md"
         self.assertEqual(page.read_text(), settings_page())
 
 
 class TasksTest(unittest.TestCase):
-    def test_a_task_that_loses_a_cancellation_is_told_again(self) -> None:
+    def test_task_that_loses_a_cancellation_is_cancelled_again(self) -> None:
         async def scenario() -> int:
             owner = TaskGroupOwner(EventLog("test", "a"))
             cancelled = 0
 
-            async def deaf_once() -> None:
+            async def ignore_first_cancellation() -> None:
                 nonlocal cancelled
                 while True:
                     try:
@@ -81,7 +81,7 @@
                         if cancelled > 1:
                             raise
 
-            owner.start("deaf", deaf_once())
+            owner.start("deaf", ignore_first_cancellation())
             await asyncio.sleep(0)
             await owner.stop()
             return cancelled
@@ -90,7 +90,7 @@
 
 
 class LogsTest(unittest.TestCase):
-    def test_an_event_is_one_line_of_pairs(self) -> None:
+    def test_event_is_one_line_of_key_value_pairs(self) -> None:
         line = format_event("lost", {"step": "dispatch", "why": 'a "b"\nc', "n": 3, "ok": True})
         self.assertEqual(line, 'event=lost step=dispatch why="a \\"b\\"\\nc" n=3 ok=true')
 
