--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -236,12 +236,12 @@
         Raises:
             BehindError: If nothing was sent yet: other gateways can serve it.
         """
-        standing = self._parts.link.standing
-        if not standing.must_not_act:
+        configuration_status = self._parts.link.configuration_status
+        if not configuration_status.must_not_act:
             return
         if not sends.count:
             raise BehindError("a newer configuration is in force", step="send")
-        await standing.wait_until_allowed_to_act()
+        await configuration_status.wait_until_allowed_to_act()
 
     def _log_send(
         self,
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -134,7 +134,7 @@
         )
         handlers.replica_loads = self._loads_told
         self._join_limits(handlers)
-        self.replicas.versions.heard_s = lambda: self.link.standing.last_contact_s
+        self.replicas.versions.heard_s = lambda: self.link.configuration_status.last_contact_s
         self.replicas.versions.count = lambda version: self.metrics.add("rollout_sends", version)
         handlers.rollout_grants = self.replicas.versions.granted
         handlers.promises_noted = self.tokens.held.confirmed
@@ -160,7 +160,9 @@
         self.metrics.gauge("crashing_requests_refused", lambda: self.crashing.refused_count)
         self.metrics.gauge("requests_waiting_for_connections", lambda: self._connections.waiting)
         self.metrics.gauge("replicas_unreached", lambda: self.unreached.count)
-        self.metrics.gauge("revision_in_force", lambda: self.link.standing.in_force_revision)
+        self.metrics.gauge(
+            "revision_in_force", lambda: self.link.configuration_status.in_force_revision
+        )
 
     def _record(self) -> ledger_pb2.DaemonRecord:
         options = self.options
@@ -191,7 +193,7 @@
         limits = self.replicas.limits
         limits.gateway = self.options.name
         limits.gateways = self._gateways_known
-        limits.leader_heard_s = lambda: self.link.standing.last_contact_s
+        limits.leader_heard_s = lambda: self.link.configuration_status.last_contact_s
         limits.send_heartbeat_now = self.link.send_heartbeat_now
         handlers.replica_limits = limits.take
         self.metrics.gauge("replicas_leaving", lambda: self.replicas.availability.leaving)
@@ -306,7 +308,7 @@
             self._look_at_load()
         silent_s = self._environment.monotonic() - self.link.last_heard_s
         heard = silent_s < self.options.stale_limit_s
-        held = self.link.standing.must_not_act
+        held = self.link.configuration_status.must_not_act
         return (
             self.server.ready
             and heard
--- a/packages/heronladder-router/src/heronladder_router/gateway_server.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_server.py
@@ -178,7 +178,7 @@
             raise StoppingError("this gateway is stopping", step=_STEP)
         if not self.ready:
             raise NotReadyError("no configuration is known yet", step=_STEP)
-        if self._link.standing.must_not_act:
+        if self._link.configuration_status.must_not_act:
             raise BehindError("a newer configuration is in force", step=_STEP)
         target = request.raw_path
         matched = self._routes.find(
@@ -293,7 +293,7 @@
             retry_after_s=error.retry_after_s,
             version=self._routes.version,
             revision=self._link.configuration.revision,
-            in_force=self._link.standing.in_force_revision,
+            in_force=self._link.configuration_status.in_force_revision,
             control_silent_s=self._environment.monotonic() - self._link.last_heard_s,
             why=error.message,
         )
--- a/packages/heronladder-runtime/src/heronladder_runtime/control_link.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/control_link.py
@@ -70,7 +70,7 @@
         self._handlers = handlers
         self._environment = environment
         self._log = EventLog("control_link", record.name)
-        self.standing = ConfigurationStatus(self.configuration, environment, self._log)
+        self.configuration_status = ConfigurationStatus(self.configuration, environment, self._log)
         self._tasks = TaskGroupOwner(self._log)
         self._member_prober = ControlMemberProber(stubs, self._tasks, environment, self._log)
         self._pending: dict[int, PendingCall] = {}
@@ -122,12 +122,12 @@
     def fresh(self) -> bool:
         """Whether the daemon may act on the configuration it holds."""
         leased = self._environment.monotonic() < self._fresh_until
-        return leased and self.rejected is None and not self.standing.must_not_act
+        return leased and self.rejected is None and not self.configuration_status.must_not_act
 
     @property
     def knows_newest(self) -> bool:
         """Whether no newer revision than the one held can be in force."""
-        return self.fresh and not self.standing.behind
+        return self.fresh and not self.configuration_status.behind
 
     def require_fresh(self) -> None:
         """Check that the daemon may act on the configuration it holds.
@@ -303,7 +303,7 @@
             frame.heartbeat.number = self._last_heartbeat_number
             frame.heartbeat.applied_revision = self.configuration.revision
             frame.heartbeat.control_time_ms = self._control_time_ms
-            frame.heartbeat.held_below = self.standing.hold_below
+            frame.heartbeat.held_below = self.configuration_status.hold_below
             frame.heartbeat.wall_ms = self._environment.wall_ms()
             if self._handlers.fill_heartbeat is not None:
                 self._handlers.fill_heartbeat(frame.heartbeat)
@@ -326,7 +326,7 @@
             self._session.wake.set()
 
     def _handle_frame(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
-        self.standing.record_leader_contact()
+        self.configuration_status.record_leader_contact()
         if frame.control_addresses:
             self._addresses = list(frame.control_addresses)
         if frame.routers:
@@ -364,7 +364,7 @@
 
     def _handle_in_force(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
         age_s = frame.in_force_age_ms / MILLISECONDS_PER_SECOND
-        self.standing.record_in_force(frame.in_force_revision, frame.hold_below, age_s)
+        self.configuration_status.record_in_force(frame.in_force_revision, frame.hold_below, age_s)
         if frame.hold_below:
             session.request_heartbeat()  # control waits for the confirmation
 
--- a/tests/test_gateway_behind.py
+++ b/tests/test_gateway_behind.py
@@ -46,7 +46,7 @@
 
     @property
     def _standing(self) -> ConfigurationStatus:
-        return self.gateway.link.standing
+        return self.gateway.link.configuration_status
 
     @property
     def _next_revision(self) -> int:
