--- a/packages/heronladder-runtime/src/heronladder_runtime/config_packing.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/config_packing.py
@@ -17,7 +17,7 @@
 COMPRESSION_THRESHOLD_BYTES = 4_096  # smaller updates are sent uncompressed
 PART_BYTES = 4_096  # 0.9 s, a router's silence timeout, at 36 kbit/s
 _COMPRESSION_LEVEL = 1  # the fastest; routes are similar, so that higher levels save little
-_MAX_UNCOMPRESSED_BYTES = 256 * 1024 * 1024  # limit against malicious input
+_MAX_UNCOMPRESSED_BYTES = 256 * 1024 * 1024  # correct peers never send more
 
 
 def without_source_document(event: control_pb2.ConfigEvent) -> control_pb2.ConfigEvent:
--- a/packages/heronladder-runtime/src/heronladder_runtime/link_session.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/link_session.py
@@ -66,7 +66,7 @@
         heartbeat_times: Send times of unacknowledged heartbeats, by number.
         parts: Joins the parts of configuration updates.
         parts_received: Number of parts received.
-        parts_acknowledged: Number of parts of which control was told.
+        parts_acknowledged: Number of parts whose receipt was reported to control.
         heartbeat_due: Whether a heartbeat is to be sent; initially set, because a new leader does
             not know which revision the daemon holds.
         closed: Whether the stream has ended.
--- a/packages/heronladder-runtime/src/heronladder_runtime/loop_lag.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/loop_lag.py
@@ -68,18 +68,22 @@
     def _tick(self) -> None:
         assert self._loop is not None
         now_s = self._loop.time()
-        late_s = _significant_lag(now_s - self._due_s)
-        self._total_lag_s += late_s
-        if late_s and self._metrics is not None:
-            self._metrics.observe("loop_late", late_s)
-        if late_s >= _REPORT_THRESHOLD_S and now_s >= self._next_report_s and self._log is not None:
+        loop_lag_s = _significant_lag(now_s - self._due_s)
+        self._total_lag_s += loop_lag_s
+        if loop_lag_s and self._metrics is not None:
+            self._metrics.observe("loop_late", loop_lag_s)
+        if (
+            loop_lag_s >= _REPORT_THRESHOLD_S
+            and now_s >= self._next_report_s
+            and self._log is not None
+        ):
             self._next_report_s = now_s + _REPORT_INTERVAL_S
-            self._log.warning("loop_late", step="loop", late_ms=int(late_s * _MS_PER_S))
+            self._log.warning("loop_late", step="loop", late_ms=int(loop_lag_s * _MS_PER_S))
         self._schedule()
 
 
-def _significant_lag(late_s: float) -> float:
-    return late_s if late_s > _MIN_LAG_S else 0.0
+def _significant_lag(loop_lag_s: float) -> float:
+    return loop_lag_s if loop_lag_s > _MIN_LAG_S else 0.0
 
 
 @dataclass(frozen=True)
@@ -88,16 +92,16 @@
 
     Attributes:
         silent_s: Time without a message, in seconds.
-        late_s: Lag of this process within that time, in seconds.
+        loop_lag_s: Lag of this process within that time, in seconds.
     """
 
     silent_s: float
-    late_s: float = 0.0
+    loop_lag_s: float = 0.0
 
     @property
     def late_ms(self) -> int:
         """The lag in milliseconds, for log lines."""
-        return int(self.late_s * _MS_PER_S)
+        return int(self.loop_lag_s * _MS_PER_S)
 
     def remaining_s(self, timeout_s: float) -> float:
         """Return the remaining time to wait for the peer, in seconds; 0 or less if it is over.
@@ -105,7 +109,7 @@
         The lag of this process is added to the timeout, but at most once the timeout: a process
         with permanent lag must also reach a decision.
         """
-        return timeout_s + min(self.late_s, timeout_s) - self.silent_s
+        return timeout_s + min(self.loop_lag_s, timeout_s) - self.silent_s
 
     def exceeds(self, timeout_s: float) -> bool:
         """Return whether the peer was silent for longer than the timeout."""
--- a/packages/heronladder-runtime/src/heronladder_runtime/rollouts/verdict.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/rollouts/verdict.py
@@ -54,7 +54,7 @@
 _MIN_SAMPLE_ANSWERS = 15  # of each version, for the two-sample test
 _MIN_BASELINE_TIMES = 5  # of the old version, before times of the target can count as slow
 _MIN_ROUTE_BASELINE_TIMES = 15  # of the old version on a route, before the target is accepted
-_MIN_BASELINE_ANSWERS = 10  # of the old version in all; below it, a prior stands in
+_MIN_BASELINE_ANSWERS = 10  # of the old version in all; below it, a prior is used instead
 # The prior: a service with hardly any responses fails 5 % of them, with the weight of 2 responses.
 _PRIOR_FAILED = 0.1
 _PRIOR_ANSWERS = 2.0
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -21,12 +21,12 @@
 class SilenceTest(unittest.TestCase):
     def test_own_lag_is_not_counted(self) -> None:
         self.assertTrue(Silence(1.0).exceeds(0.9))
-        self.assertFalse(Silence(1.0, late_s=0.2).exceeds(0.9))
-        self.assertTrue(Silence(1.2, late_s=0.2).exceeds(0.9))
+        self.assertFalse(Silence(1.0, loop_lag_s=0.2).exceeds(0.9))
+        self.assertTrue(Silence(1.2, loop_lag_s=0.2).exceeds(0.9))
 
     def test_permanent_lag_does_not_prevent_a_decision(self) -> None:
-        self.assertFalse(Silence(1.7, late_s=1.7).exceeds(0.9))
-        self.assertTrue(Silence(1.9, late_s=1.9).exceeds(0.9))
+        self.assertFalse(Silence(1.7, loop_lag_s=1.7).exceeds(0.9))
+        self.assertTrue(Silence(1.9, loop_lag_s=1.9).exceeds(0.9))
 
 
 class LoopLagTest(unittest.IsolatedAsyncioTestCase):
@@ -42,8 +42,8 @@
         await asyncio.sleep(0)
         _block_loop()
         silence = watch.silence()
-        self.assertGreater(silence.late_s, _STALL_S - 0.11)
-        self.assertLessEqual(silence.late_s, silence.silent_s)
+        self.assertGreater(silence.loop_lag_s, _STALL_S - 0.11)
+        self.assertLessEqual(silence.loop_lag_s, silence.silent_s)
 
     async def test_lag_is_recorded_and_logged(self) -> None:
         with self.assertLogs("heronladder.test", "WARNING") as logs:
