--- a/packages/heronladder-agent/src/heronladder_agent/adapters.py
+++ b/packages/heronladder-agent/src/heronladder_agent/adapters.py
@@ -2,14 +2,14 @@
 
 from abc import ABC, abstractmethod
 
-from heronladder_runtime.answers import BackendAnswer, BackendCall
+from heronladder_runtime.responses import BackendCall, BackendResponse
 
 
 class BackendAdapter(ABC):
     """Sends requests to one backend in the protocol of that backend."""
 
     @abstractmethod
-    async def open(self, call: BackendCall) -> BackendAnswer:
+    async def open(self, call: BackendCall) -> BackendResponse:
         """Send a request and return its response while the body is still arriving.
 
         Closing the iterator over the response's chunks cancels the request at the backend.
--- a/packages/heronladder-agent/src/heronladder_agent/pending_bills.py
+++ b/packages/heronladder-agent/src/heronladder_agent/pending_bills.py
@@ -9,10 +9,10 @@
 import asyncio
 from dataclasses import dataclass
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.errors import PeerUnavailableError
-from heronladder_runtime.pulse import Pulse
 from heronladder_schema.v1 import agent_pb2, control_pb2, ledger_pb2
 
 _SEND_TIMEOUT_S = 5.0
@@ -52,8 +52,8 @@
         self._environment = environment
         self._grace_s = grace_s
         self._bills: dict[tuple[int, int], PendingBill] = {}
-        self._due_changed = Pulse()
-        self.changed = Pulse()
+        self._due_changed = ChangeSignal()
+        self.changed = ChangeSignal()
 
     def __len__(self) -> int:
         return len(self._bills)
@@ -74,7 +74,7 @@
         for reservation in settled:
             self._bills.pop((reservation.lease_id, reservation.sequence), None)
         if settled:
-            self.changed.give()
+            self.changed.notify_waiters()
 
     def has_bills_of(self, router: RouterKey) -> bool:
         """Return whether any bill of this router incarnation is still held."""
@@ -85,7 +85,7 @@
         for bill in self._bills.values():
             if bill.router == router:
                 bill.due_s = 0.0
-        self._due_changed.give()
+        self._due_changed.notify_waiters()
 
     async def run(self, link: ControlLink) -> None:
         """Send bills whose grace time has expired; runs until cancelled."""
@@ -107,4 +107,4 @@
         for bill in due:
             key = (bill.settlement.lease_id, bill.settlement.sequence)
             self._bills.pop(key, None)
-        self.changed.give()
+        self.changed.notify_waiters()
--- a/packages/heronladder-consensus/src/heronladder_consensus/election.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/election.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections.abc import Callable
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.errors import StorageError
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.rpc_errors import RPC_ERRORS
 from heronladder_schema.v1 import consensus_pb2
 
@@ -37,7 +37,7 @@
         self._leader_known = False  # whether a leader was seen since this process started
         self._pre_vote_term = 0  # term that the pre-vote in progress asks for; 0: none in progress
         self._last_vote_s = float("-inf")  # monotonic time of the newest granted vote
-        self._newer_term_seen = Pulse()
+        self._newer_term_seen = ChangeSignal()
 
     async def run(self) -> None:
         """Start an election whenever no leader was heard from for the election delay."""
@@ -78,7 +78,7 @@
 
     def on_newer_term(self) -> None:
         """Record that this member was the leader until it learned of a newer term."""
-        self._newer_term_seen.give()
+        self._newer_term_seen.notify_waiters()
 
     async def _campaign_again(self) -> None:
         """Campaign at once, and again when the vote hold of the other members has expired."""
--- a/packages/heronladder-consensus/src/heronladder_consensus/node.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/node.py
@@ -177,7 +177,7 @@
         self.event_log.info("leader_elected", step="election", term=self.term)
         self.replication.start_leading()
         self.membership_manager.start_leading()
-        self.changed.give()
+        self.changed.notify_waiters()
 
     async def enter_term(self, term: int, voted_for: str = "") -> None:
         """Enter a term; a former leader campaigns again if the newer term has no leader."""
@@ -231,7 +231,7 @@
                 # A member that skipped an entry would diverge from the others.
                 self._fail_to_apply(HeronladderError(repr(error), step="apply", peer=self.name))
                 return
-            self.changed.give()
+            self.changed.notify_waiters()
             is_due = self.applied_index - self.log.base_index >= self.timing.snapshot_entries
             if is_due and not self._saving_snapshot:
                 # In a separate task: a slow disk must not delay applying what peers commit.
--- a/packages/heronladder-consensus/src/heronladder_consensus/peer_calls.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/peer_calls.py
@@ -111,14 +111,14 @@
         )
         timeout_s = max(min_s, adaptive.timeout_s)
         started_s = self._environment.monotonic()
-        lag_before_s = self._environment.lateness.total_s()
+        lag_before_s = self._environment.loop_lag.total_s()
         stub = self._stubs.consensus(peer.address)
         try:
             reply = await getattr(stub, method)(request, timeout=timeout_s)
         except RPC_ERRORS:
             if self._environment.monotonic() - started_s >= timeout_s:
                 adaptive.record_timeout()
-                lag_s = self._environment.lateness.total_s() - lag_before_s
+                lag_s = self._environment.loop_lag.total_s() - lag_before_s
                 self._log_timeout(peer.name, method, timeout_s, lag_s)
             raise
         adaptive.record_reply(self._environment.monotonic() - started_s)
--- a/packages/heronladder-consensus/src/heronladder_consensus/replication.py
+++ b/packages/heronladder-consensus/src/heronladder_consensus/replication.py
@@ -92,7 +92,7 @@
         while node.is_leader and node.term == term:
             await asyncio.sleep(node.timing.heartbeat_s)
             now = node.environment.monotonic()
-            samples.append((now, node.environment.lateness.total_s()))
+            samples.append((now, node.environment.loop_lag.total_s()))
             while samples[0][0] < now - timeout_s:
                 samples.popleft()
             lag_s = samples[-1][1] - samples[0][1]
@@ -164,7 +164,7 @@
         progress.next_index = progress.match_index + 1
         progress.confirmed_read_round = max(progress.confirmed_read_round, sent_round)
         self.advance_commit()
-        node.changed.give()
+        node.changed.notify_waiters()
 
     async def _send_heartbeat(self, member: consensus_pb2.Member, term: int) -> None:
         """Send a heartbeat to a peer whose disk refuses the snapshot.
@@ -286,7 +286,7 @@
     def begin_read_round(self) -> int:
         """Begin a read round, which only replies to messages sent from now on confirm."""
         self._read_round += 1
-        self._node.appended.give()
+        self._node.appended.notify_waiters()
         return self._read_round
 
     def read_round_confirmed(self, read_round: int) -> bool:
--- a/packages/heronladder-control/src/heronladder_control/command_packing.py
+++ b/packages/heronladder-control/src/heronladder_control/command_packing.py
@@ -10,7 +10,7 @@
 
 from heronladder_schema.v1 import control_pb2
 
-PACK_OVER_BYTES = 4_096  # compression gains nothing for smaller commands
+COMPRESSION_THRESHOLD_BYTES = 4_096  # compression gains nothing for smaller commands
 _COMPRESSED_PREFIX = b"\x00"  # starts no serialized command, since field numbers start at 1
 _COMPRESSION_LEVEL = 1  # fastest; higher levels save little because routes are similar
 
@@ -18,7 +18,7 @@
 def encode_command(command: control_pb2.Command) -> bytes:
     """Encode a command as a log entry, compressed if it is large."""
     data = command.SerializeToString()
-    if len(data) <= PACK_OVER_BYTES:
+    if len(data) <= COMPRESSION_THRESHOLD_BYTES:
         return data
     return _COMPRESSED_PREFIX + zlib.compress(data, _COMPRESSION_LEVEL)
 
--- a/packages/heronladder-control/src/heronladder_control/crashes/refusals.py
+++ b/packages/heronladder-control/src/heronladder_control/crashes/refusals.py
@@ -1,9 +1,9 @@
 """The leader's decisions to refuse a suspect request and to end the refusal."""
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
-from heronladder_runtime.pulse import Pulse
 from heronladder_schema.v1 import control_pb2
 
 from heronladder_control.crashes.table import CrashTable
@@ -53,7 +53,7 @@
         self._log = log
         self._sufficient_since_s: dict[str, float] = {}
         self._refused_since_s: dict[str, float] = {}
-        self.reported = Pulse()
+        self.reported = ChangeSignal()
         metrics.gauge("crashing_requests_refused", lambda: len(table.refused()))
 
     @property
@@ -102,7 +102,7 @@
         if body == "refuse_request":
             self._report_refusal(command.refuse_request)
         elif body == "report_crashes":
-            self.reported.give()
+            self.reported.notify_waiters()
             for crash in command.report_crashes.replicas:
                 self._metrics.add("crashes_reported")
                 self._log.info(
--- a/packages/heronladder-control/src/heronladder_control/daemon_session.py
+++ b/packages/heronladder-control/src/heronladder_control/daemon_session.py
@@ -1,7 +1,7 @@
 """State of one daemon's stream at the leader: what was sent on it and what is pending."""
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.config_packing import PART_BYTES
-from heronladder_runtime.pulse import Pulse
 from heronladder_schema.v1 import control_pb2
 
 from heronladder_control.lender_updates import LenderUpdates
@@ -27,7 +27,7 @@
         self.in_force_sent = 0
         self.hold_below = 0  # newest order to act on no older revision; 0: none
         self.hold_below_sent = 0  # newest hold order that was sent
-        self.wake = Pulse()
+        self.wake = ChangeSignal()
         self.closed = False
         self.answers: list[control_pb2.DaemonAnswer] = []
         self.notices: dict[str, control_pb2.DaemonNotice] = {}
@@ -49,4 +49,4 @@
     def close(self) -> None:
         """Close the stream, and wake the task that sends on it."""
         self.closed = True
-        self.wake.give()
+        self.wake.notify_waiters()
--- a/packages/heronladder-control/src/heronladder_control/fleet.py
+++ b/packages/heronladder-control/src/heronladder_control/fleet.py
@@ -4,7 +4,7 @@
 
 from heronladder_runtime.configuration import FLEET_KIND, FLEET_NAME, REPLICA_KIND
 from heronladder_runtime.fleet_validation import validate_fleet
-from heronladder_runtime.replica_starts import is_earlier_start
+from heronladder_runtime.replica_incarnations import is_earlier_incarnation
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_control.prepaid import PrepaidTable
@@ -108,7 +108,7 @@
     def is_replaced(self, reported: resources_pb2.Replica) -> bool:
         """Return whether another replica took over the address of this replica's incarnation."""
         known = self.replica(reported.id)
-        return known is not None and known.replaced and not is_earlier_start(known, reported)
+        return known is not None and known.replaced and not is_earlier_incarnation(known, reported)
 
     @staticmethod
     def _merged(
@@ -125,10 +125,10 @@
             returns: Whether a replica that is recorded as replaced is proved to run.
         """
         merged = resources_pb2.Replica()
-        if is_earlier_start(reported, known):
+        if is_earlier_incarnation(reported, known):
             merged.CopyFrom(known)
             return merged
-        if is_earlier_start(known, reported):
+        if is_earlier_incarnation(known, reported):
             merged.CopyFrom(reported)
             merged.sequence = 0
             merged.draining = reported.draining or reported.gone
@@ -165,10 +165,14 @@
             return success()  # it left before it was registered
         if self._is_overtaken(reported):
             return success()
-        starts = known is None or is_earlier_start(known, reported)
+        starts = known is None or is_earlier_incarnation(known, reported)
         before = known if known is not None else resources_pb2.Replica()
         state = self._merged(before, reported, returns=order.returns)
-        if (starts or order.cold_news) and not state.gone and not is_earlier_start(reported, state):
+        if (
+            (starts or order.cold_news)
+            and not state.gone
+            and not is_earlier_incarnation(reported, state)
+        ):
             state.cold_ms = reported.cold_ms
             state.cold_revision = index if reported.cold_ms else 0
         if known is None or state != known:
@@ -197,7 +201,7 @@
             and other.id != reported.id
             and other.address == reported.address
             and not other.gone
-            and is_earlier_start(reported, other)
+            and is_earlier_incarnation(reported, other)
             for other in others
         )
 
--- a/packages/heronladder-control/src/heronladder_control/in_force.py
+++ b/packages/heronladder-control/src/heronladder_control/in_force.py
@@ -118,7 +118,7 @@
         self._commits.clear()
         self._last_check_s = now
 
-    def note_contact(self, name: str) -> None:
+    def record_leader_contact(self, name: str) -> None:
         """Record a message of a daemon whose stream is not open yet."""
         progress = self.daemons.get(name)
         if progress is not None:
--- a/packages/heronladder-control/src/heronladder_control/leader_requests.py
+++ b/packages/heronladder-control/src/heronladder_control/leader_requests.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, SilenceWatch, within
-from heronladder_runtime.cluster_versions import at_version, is_allowed
+from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, SilenceWatch, wait_excluding_loop_lag
+from heronladder_runtime.cluster_versions import is_allowed, reduce_to_version
 from heronladder_runtime.rpc_errors import RPC_ERRORS
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
@@ -89,7 +89,7 @@
         stopwatch = SilenceWatch(self._member.environment)
         while True:
             elapsed = stopwatch.silence()
-            remaining_s = elapsed.left_s(timeout_s)
+            remaining_s = elapsed.remaining_s(timeout_s)
             if remaining_s <= 0:
                 return None
             request.age_ms = int(elapsed.silent_s * MILLISECONDS_PER_SECOND)
@@ -98,7 +98,7 @@
             reply = await self._send_once(request, remaining_s)
             if reply is not None and not (reply.not_leader or self._is_too_early(reply)):
                 return reply
-            remaining_s = stopwatch.silence().left_s(timeout_s)
+            remaining_s = stopwatch.silence().remaining_s(timeout_s)
             if reply is not None and self._is_too_early(reply):
                 if remaining_s <= _VERSION_CHECK_INTERVAL_S:
                     return reply
@@ -113,7 +113,9 @@
     ) -> control_pb2.CarryReply | None:
         if self._member.node.is_leader:
             try:
-                return await within(self._member.environment, remaining_s, self._carry(request))
+                return await wait_excluding_loop_lag(
+                    self._member.environment, remaining_s, self._carry(request)
+                )
             except TimeoutError:
                 return None
         address = self._member.leader_address()
@@ -158,7 +160,7 @@
         """
         reduced = control_pb2.CarryRequest()
         reduced.CopyFrom(request)
-        reduced.command.CopyFrom(at_version(request.command, version))
+        reduced.command.CopyFrom(reduce_to_version(request.command, version))
         return reduced
 
     @staticmethod
--- a/packages/heronladder-control/src/heronladder_control/promise_recorder.py
+++ b/packages/heronladder-control/src/heronladder_control/promise_recorder.py
@@ -9,9 +9,9 @@
 
 import asyncio
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
 from heronladder_runtime.errors import HeronladderError
-from heronladder_runtime.pulse import Pulse
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
 from heronladder_control.daemon_session import DaemonSession
@@ -41,7 +41,7 @@
         # Newest heartbeat with promises, by router.
         self._unconfirmed: dict[str, tuple[DaemonSession, control_pb2.Heartbeat]] = {}
         self._wall_ahead_ms: dict[str, int] = {}
-        self._wake = Pulse()
+        self._wake = ChangeSignal()
 
     def heartbeat(self, session: DaemonSession, heartbeat: control_pb2.Heartbeat) -> None:
         """Queue the promises of a heartbeat for the next log entry."""
@@ -51,13 +51,15 @@
         self._wall_ahead_ms[name] = heartbeat.wall_ms - now_ms
         self._member.prepaid_watch.note_wall_clock(name, heartbeat)
         if not heartbeat.promises:  # all its promises are in the log
-            self._member.prepaid_watch.note_contact((name, session.record.incarnation), heartbeat)
+            self._member.prepaid_watch.record_leader_contact(
+                (name, session.record.incarnation), heartbeat
+            )
             return
         raised = self._raised.setdefault((name, session.record.incarnation), {})
         for tenant, promise in heartbeat.promises.items():
             raised[tenant] = promise
         self._unconfirmed[name] = (session, heartbeat)
-        self._wake.give()
+        self._wake.notify_waiters()
 
     def forget(self, name: str) -> None:
         """Discard the wall clock of a router whose stream ended."""
@@ -102,9 +104,9 @@
             # A router declared gone in the meantime must not rely on a promise that was dropped.
             if self._member.state.is_current(record.name, record.incarnation):
                 holder = (record.name, record.incarnation)
-                self._member.prepaid_watch.note_contact(holder, heartbeat)
+                self._member.prepaid_watch.record_leader_contact(holder, heartbeat)
                 session.promises_noted = heartbeat.number
-                session.wake.give()
+                session.wake.notify_waiters()
 
     def _add_contact_times(self, notes: control_pb2.NotePromises) -> None:
         """Add the clocks from which a later leader derives the age of this command."""
--- a/packages/heronladder-control/src/heronladder_control/replica_limits.py
+++ b/packages/heronladder-control/src/heronladder_control/replica_limits.py
@@ -14,8 +14,8 @@
 from heronladder_runtime.metrics import Metrics
 from heronladder_runtime.replica_limit import (
     ENDED_REPORTED_S,
-    GRANT_HOLDS_S,
-    MOST_REPORTS,
+    GRANT_VALIDITY_S,
+    MAX_REPORTS,
     Incarnation,
     LimitReport,
     from_message,
@@ -145,7 +145,7 @@
             now_s - self.report.observed_s < _STALE_OBSERVATION_S
             or now_s - self.last_long_grant_s < _LONG_GRANT_INTERVAL_S
         ):
-            return GRANT_HOLDS_S
+            return GRANT_VALIDITY_S
         self.last_long_grant_s = now_s
         return _LONG_GRANT_S
 
@@ -186,7 +186,7 @@
         self._current_term = self._term()
         self._limits.clear()
         self._requested.clear()
-        self._grants_start_s = self._environment.monotonic() + GRANT_HOLDS_S
+        self._grants_start_s = self._environment.monotonic() + GRANT_VALIDITY_S
 
     # ---- reports of routers -------------------------------------------------
 
@@ -301,11 +301,11 @@
             for incarnation, limit in self._limits.items()
             if limit.version > sent_version
         )
-        for _, incarnation in changes[:MOST_REPORTS]:
+        for _, incarnation in changes[:MAX_REPORTS]:
             report = self._limits[incarnation].report
             frame.replica_limits.append(to_message(incarnation, report, now_s))
-        all_sent = len(changes) <= MOST_REPORTS
-        session.sent_limits = self._version if all_sent else changes[MOST_REPORTS - 1][0]
+        all_sent = len(changes) <= MAX_REPORTS
+        session.sent_limits = self._version if all_sent else changes[MAX_REPORTS - 1][0]
 
     def _prune(self, now_s: float) -> None:
         if now_s < self._next_prune_s:
--- a/packages/heronladder-control/src/heronladder_control/replica_loads.py
+++ b/packages/heronladder-control/src/heronladder_control/replica_loads.py
@@ -8,7 +8,7 @@
 import heapq
 from collections.abc import Mapping
 
-from heronladder_runtime.replica_sums import MOST_TOLD
+from heronladder_runtime.replica_load_totals import MAX_REPORTED_REPLICAS
 from heronladder_schema.v1 import control_pb2
 
 # Number of times the busiest replicas are selected while every router reports once. Selection at
@@ -69,9 +69,11 @@
 
         If all replicas fit, all are returned unsorted, so that new loads are reported at once.
         """
-        if len(self._totals) <= MOST_TOLD:
+        if len(self._totals) <= MAX_REPORTED_REPLICAS:
             return list(self._totals)
         if self._reports_since_selection * _SELECTIONS_PER_ROUND >= len(self._reported):
             self._reports_since_selection = 0
-            self._busiest = heapq.nlargest(MOST_TOLD, self._totals, key=self._totals.__getitem__)
+            self._busiest = heapq.nlargest(
+                MAX_REPORTED_REPLICAS, self._totals, key=self._totals.__getitem__
+            )
         return self._busiest
--- a/packages/heronladder-control/src/heronladder_control/rollouts/controller.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/controller.py
@@ -14,7 +14,7 @@
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
 from heronladder_runtime.configuration import ROLLOUT_KIND
 from heronladder_runtime.rollouts.evidence import Evidence
-from heronladder_runtime.rollouts.verdict import Decision, Verdict, Watch
+from heronladder_runtime.rollouts.verdict import Decision, TrialMonitor, Verdict
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_control.daemons import ROLE_ROUTER
@@ -54,14 +54,14 @@
     ordered_revision: int
     started_s: float
     ledger: GrantLedger
-    watch: Watch
+    watch: TrialMonitor
     reports: dict[str, control_pb2.RolloutReport] = field(default_factory=dict)
     reported_at_s: dict[str, float] = field(default_factory=dict)
     rate: RequestRate = field(default_factory=RequestRate)
     last_note_s: float = float("-inf")
     last_note_requests: int = 0
     verdict: Verdict = field(
-        default_factory=lambda: Verdict(Decision.GO_ON, "no answers counted yet")
+        default_factory=lambda: Verdict(Decision.CONTINUE, "no answers counted yet")
     )
 
     @property
@@ -151,7 +151,7 @@
                 record.ordered_revision,
                 self._now_s() - note.elapsed_ms / MILLISECONDS_PER_SECOND,
                 GrantLedger(note.ceiling),
-                Watch(self._affinity_routes()),
+                TrialMonitor(self._affinity_routes()),
             )
             self._progress[service] = known
         return known
@@ -188,8 +188,10 @@
         evidence = Evidence()
         for report in progress.reports.values():
             evidence.add(Evidence.from_messages(report.answers))
-        if record.phase in RUNNING and progress.verdict.decision is not Decision.GO_BACK:
-            progress.verdict = progress.watch.judge(evidence, alone=record.phase == MOVING)
+        if record.phase in RUNNING and progress.verdict.decision is not Decision.ROLL_BACK:
+            progress.verdict = progress.watch.judge(
+                evidence, without_baseline=record.phase == MOVING
+            )
         elapsed_s = self._now_s() - progress.started_s
         progress.rate.note(self._now_s(), progress.requests)
         sent = sum(report.sent for report in progress.reports.values())
--- a/packages/heronladder-control/src/heronladder_control/rollouts/plan.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/plan.py
@@ -89,7 +89,7 @@
         A version whose only fault is too few answers gets more time, since its replicas or the
         routers' reports may have come late.
         """
-        if self.verdict.lacks_answers:
+        if self.verdict.lacks_responses:
             return self.elapsed_s >= _EXTENDED_DURATION_FACTOR * self.duration_s
         return self.elapsed_s >= self.duration_s
 
@@ -130,7 +130,7 @@
 
 
 def _roll_back_if_bad(view: RolloutView) -> Step | None:
-    if view.verdict.decision is Decision.GO_BACK:
+    if view.verdict.decision is Decision.ROLL_BACK:
         return Step(ROLLED_BACK, view.verdict.reason)
     return None
 
--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -79,7 +79,7 @@
             return  # the stream was closed before its first frame
         if not self._member.leader_address():
             await self._member.admission.delay_stream_refusal()
-        self._member.in_force.note_contact(first.hello.daemon.name)
+        self._member.in_force.record_leader_contact(first.hello.daemon.name)
         refusal = await self._register(first.hello)
         if refusal is not None:
             yield refusal
@@ -169,7 +169,7 @@
         if session is None or session.hold_below >= revision:
             return False
         session.hold_below = revision
-        session.wake.give()
+        session.wake.notify_waiters()
         return True
 
     @staticmethod
@@ -263,7 +263,7 @@
             async for frame in frames:
                 if frame.parts_received:
                     self._config_feed.confirm_parts(session, frame.parts_received)
-                    session.wake.give()
+                    session.wake.notify_waiters()
                 if frame.HasField("heartbeat"):
                     self._heartbeat(session, frame.heartbeat)
                 for call in frame.calls:
@@ -300,8 +300,8 @@
             heartbeat.control_time_ms / MILLISECONDS_PER_SECOND,
         )
         session.heartbeat_ack = heartbeat.number
-        session.wake.give()
-        self._member.progress.give()
+        session.wake.notify_waiters()
+        self._member.progress.notify_waiters()
 
     async def _execute_call(self, session: DaemonSession, call: control_pb2.DaemonCall) -> None:
         try:
@@ -311,7 +311,7 @@
             return
         self._services.allotments.annotate(call.command, result)
         session.answers.append(control_pb2.DaemonAnswer(call_id=call.call_id, result=result))
-        session.wake.give()
+        session.wake.notify_waiters()
 
     async def _leave(self, session: DaemonSession) -> None:
         if self.sessions.get(session.record.name) is session:  # otherwise a successor has the name
@@ -352,13 +352,13 @@
 
     def _wake_all(self) -> None:
         for session in self.sessions.values():
-            session.wake.give()
+            session.wake.notify_waiters()
 
     def _wake_lagging(self, in_force_revision: int) -> None:
         for name in self._member.in_force.lagging_daemons(in_force_revision):
             session = self.sessions.get(name)
             if session is not None:
-                session.wake.give()
+                session.wake.notify_waiters()
 
     def _notify_other_role(self, role: str, name: str, incarnation: str, *, gone: bool) -> None:
         for session in self.sessions.values():
@@ -369,7 +369,7 @@
                 previous = self._member.state.daemons.daemons[name].previous
                 if previous:
                     self._add_notice(session, name, previous[-1], True)
-            session.wake.give()
+            session.wake.notify_waiters()
 
     def _update_lenders(self, name: str) -> None:
         """Update the lender lists of lending routers after a daemon's record changed."""
@@ -377,7 +377,7 @@
         at_once = len(self.sessions) <= _MAX_SESSIONS_FOR_IMMEDIATE_LENDERS
         for session in self.sessions.values():
             if session.record.lending_address and session.lenders.record_daemon(record) and at_once:
-                session.wake.give()
+                session.wake.notify_waiters()
 
     # ---- members and other regions ----------------------------------------------------
 
--- a/packages/heronladder-router/src/heronladder_router/attaching.py
+++ b/packages/heronladder-router/src/heronladder_router/attaching.py
@@ -7,8 +7,8 @@
 import asyncio
 from collections.abc import AsyncIterator
 
-from heronladder_runtime.answers import EVENT_STREAM, AgentAnswer
-from heronladder_runtime.settlements import settlement_of
+from heronladder_runtime.responses import EVENT_STREAM, AgentResponse
+from heronladder_runtime.settlements import make_settlement
 from heronladder_schema.v1 import agent_pb2, ledger_pb2
 
 from heronladder_router.caller_response import CallerResponse
@@ -121,7 +121,7 @@
         return False
 
     async def _attached_response(
-        self, request: CallerRequest, claim: ledger_pb2.Claim, response: AgentAnswer
+        self, request: CallerRequest, claim: ledger_pb2.Claim, response: AgentResponse
     ) -> CallerResponse:
         assert response.chunks is not None
         self._parts.metrics.add("attached")
@@ -140,7 +140,7 @@
         return CallerResponse(claim.request_id, response.status, response.content_type, body)
 
     async def _relay_stream(
-        self, request: CallerRequest, claim: ledger_pb2.Claim, response: AgentAnswer
+        self, request: CallerRequest, claim: ledger_pb2.Claim, response: AgentResponse
     ) -> AsyncIterator[bytes]:
         """Yield the event stream of an attempt of another router and settle the attempt."""
         assert response.chunks is not None
@@ -158,7 +158,7 @@
         yield DONE_EVENT
 
     async def _settle(
-        self, request: CallerRequest, claim: ledger_pb2.Claim, response: AgentAnswer
+        self, request: CallerRequest, claim: ledger_pb2.Claim, response: AgentResponse
     ) -> None:
         """Send the settlement of an attempt that another router started.
 
@@ -175,7 +175,7 @@
             tenant=claim.tenant,
             service=request.service,
         )
-        settlement = settlement_of(dispatch, response.end, already_billed=claim.already_billed)
+        settlement = make_settlement(dispatch, response.end, already_billed=claim.already_billed)
         await self._parts.bookkeeper.settle_durably(settlement, claim.agent)
 
 
--- a/packages/heronladder-router/src/heronladder_router/confirmations.py
+++ b/packages/heronladder-router/src/heronladder_router/confirmations.py
@@ -7,10 +7,10 @@
 to control: after that, the restart cannot have hidden any attempt.
 """
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.errors import PeerUnavailableError
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import control_pb2
 
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         self._agents_by_reservation: dict[ReservationKey, AgentKey] = {}
-        self.closed = Pulse()
+        self.closed = ChangeSignal()
 
     def open(self, reservation: Reservation, agent: str, incarnation: str) -> None:
         """Record that an attempt under a reservation is sent to an agent."""
@@ -46,7 +46,7 @@
             self._agents_by_reservation.pop((reservation.lease_id, reservation.sequence), None)
             is not None
         ):
-            self.closed.give()
+            self.closed.notify_waiters()
 
     async def wait_all_closed(self, opened: list[ReservationKey]) -> None:
         """Wait until all the given reservations are settled."""
--- a/packages/heronladder-router/src/heronladder_router/errors.py
+++ b/packages/heronladder-router/src/heronladder_router/errors.py
@@ -5,7 +5,7 @@
 """
 
 from heronladder_runtime.errors import HeronladderError
-from heronladder_runtime.start_hint import RETRY_AT_START_S
+from heronladder_runtime.startup_retry import RETRY_AT_START_S
 from heronladder_schema.v1 import ledger_pb2
 
 OUTCOME_HEADER_VALUES = {
--- a/packages/heronladder-router/src/heronladder_router/forwarding.py
+++ b/packages/heronladder-router/src/heronladder_router/forwarding.py
@@ -1,8 +1,8 @@
 """Forwarding of requests to replicas: admission, reservation, attempts and retries."""
 
-from heronladder_runtime.answers import EVENT_STREAM, AgentAnswer
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
 from heronladder_runtime.invariants import invariant
+from heronladder_runtime.responses import EVENT_STREAM, AgentResponse
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import agent_pb2, ledger_pb2
 
@@ -279,7 +279,7 @@
             directory.record_attempt_ended(replica)
             raise
 
-    async def _handle_refusal(self, attempt: Attempt, response: AgentAnswer) -> None:
+    async def _handle_refusal(self, attempt: Attempt, response: AgentResponse) -> None:
         """Handle a refusal, which proves that the attempt never runs.
 
         After the refusal of a duplicate, however, an earlier copy of the dispatch may have run.
@@ -383,7 +383,7 @@
         return await self._read_complete_response(request, replica, attempt, response)
 
     async def _read_complete_response(
-        self, request: CallerRequest, replica: Replica, attempt: Attempt, response: AgentAnswer
+        self, request: CallerRequest, replica: Replica, attempt: Attempt, response: AgentResponse
     ) -> CallerResponse:
         """Read a response that is not a stream, and settle the attempt."""
         assert response.chunks is not None
--- a/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_dispatch.py
@@ -268,14 +268,14 @@
             BehindError: If the list is out of date and there was no attempt yet: the caller can
                 use another gateway.
         """
-        standing = self._context.link.standing
-        if not standing.must_hold:
+        configuration_status = self._context.link.configuration_status
+        if not configuration_status.must_not_act:
             return
         if not history.count:
             raise BehindError(
                 "this gateway's configuration is out of date: a newer one is in force", step="send"
             )
-        await standing.wait_until_it_may_act()
+        await configuration_status.wait_until_allowed_to_act()
 
     def _log_attempt(
         self,
--- a/packages/heronladder-router/src/heronladder_router/gateway_role.py
+++ b/packages/heronladder-router/src/heronladder_router/gateway_role.py
@@ -6,7 +6,7 @@
 
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
-from heronladder_runtime.link_handlers import LinkHandlers
+from heronladder_runtime.link_handlers import ControlLinkHandlers
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
 from heronladder_runtime.rpc import StubFactory
@@ -116,7 +116,7 @@
         self.metrics = Metrics()
         self.log = EventLog("gateway", options.name)
         self._tasks = TaskGroupOwner(self.log)
-        handlers = LinkHandlers(rejected=self._begin_new_incarnation)
+        handlers = ControlLinkHandlers(rejected=self._begin_new_incarnation)
         self.link = ControlLink(
             self._daemon_record(),
             options.control_addresses,
@@ -129,7 +129,7 @@
         self.routes = HostRouteTable(self.link.configuration, options.names.key_scheme)
         self.tokens = self._make_tokens(stubs)
         self.replicas = self._make_replicas()
-        handlers.session_began = self.tokens.held.session_began
+        handlers.session_started = self.tokens.held.session_started
         handlers.fill_heartbeat = self._fill_heartbeat
         self.slot_queue = self._make_slot_queue()
         self.readiness = GatewayReadiness(
@@ -142,7 +142,9 @@
         )
         handlers.replica_loads = self._on_replica_loads
         self._connect_replica_limits(handlers)
-        self.replicas.versions.last_control_contact_s = lambda: self.link.standing.last_contact_s
+        self.replicas.versions.last_control_contact_s = lambda: (
+            self.link.configuration_status.last_contact_s
+        )
         self.replicas.versions.count = lambda version: self.metrics.add("rollout_sends", version)
         handlers.rollout_grants = self.replicas.versions.apply_grants
         handlers.promises_noted = self.tokens.held.confirmed
@@ -168,7 +170,9 @@
         self.metrics.gauge("crashing_requests_refused", lambda: self.crashing.refused_count)
         self.metrics.gauge("requests_waiting_for_connections", lambda: self._connections.waiting)
         self.metrics.gauge("replicas_unreached", lambda: self.unreached.count)
-        self.metrics.gauge("revision_in_force", lambda: self.link.standing.in_force_revision)
+        self.metrics.gauge(
+            "revision_in_force", lambda: self.link.configuration_status.in_force_revision
+        )
 
     def _daemon_record(self) -> ledger_pb2.DaemonRecord:
         options = self.options
@@ -194,13 +198,13 @@
         )
         return TokenAccess(lending, self.link, stubs, self._environment, self.metrics, self.log)
 
-    def _connect_replica_limits(self, handlers: LinkHandlers) -> None:
+    def _connect_replica_limits(self, handlers: ControlLinkHandlers) -> None:
         self.replicas.availability.gateways = lambda: self.link.routers
         limits = self.replicas.limits
         limits.gateway = self.options.name
         limits.gateways = self._gateways_known
-        limits.last_leader_contact_s = lambda: self.link.standing.last_contact_s
-        limits.beat_now = self.link.beat_now
+        limits.last_leader_contact_s = lambda: self.link.configuration_status.last_contact_s
+        limits.send_heartbeat_now = self.link.send_heartbeat_now
         handlers.replica_limits = limits.apply_frame
         self.metrics.gauge("replicas_leaving", lambda: self.replicas.availability.leaving)
         self.metrics.gauge("replicas_backing_off", lambda: self.replicas.availability.backing_off)
@@ -317,7 +321,7 @@
             self._update_readiness()
         silent_s = self._environment.monotonic() - self.link.last_heard_s
         is_connected = silent_s < self.options.stale_limit_s
-        is_outdated = self.link.standing.must_hold
+        is_outdated = self.link.configuration_status.must_not_act
         return (
             self.server.ready
             and is_connected
--- a/packages/heronladder-router/src/heronladder_router/leases.py
+++ b/packages/heronladder-router/src/heronladder_router/leases.py
@@ -7,12 +7,12 @@
 import asyncio
 from dataclasses import dataclass, field
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.errors import PeerUnavailableError
 from heronladder_runtime.invariants import invariant
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
@@ -99,7 +99,7 @@
     rate_at_s: float = 0.0
     largest_recent: int = 0
     refusal: control_pb2.CommandResult | None = None
-    changed: Pulse = field(default_factory=Pulse)
+    changed: ChangeSignal = field(default_factory=ChangeSignal)
 
 
 class LeaseManager:
@@ -209,7 +209,7 @@
         state = self._budgets[reservation.budget]
         if state.lease is not lease:
             self._tasks.start("return_old_lease", self._return_tokens(lease, lease.available))
-        state.changed.give()
+        state.changed.notify_waiters()
 
     # ---- demand and lease size --------------------------------------------
 
@@ -253,7 +253,7 @@
             pass
         finally:
             state.request_in_flight = False
-            state.changed.give()
+            state.changed.notify_waiters()
 
     async def _send_request(
         self, state: _BudgetState, command: control_pb2.Command, *, urgent: bool
@@ -265,7 +265,7 @@
         state.refusal = result if refused else None
         if result.HasField("lease"):
             self._apply_lease(state, result.lease)
-        state.changed.give()
+        state.changed.notify_waiters()
         if refused and urgent:
             # Control is recalling tokens from other holders; delay the next request a little.
             await asyncio.sleep(_RETRY_DELAY_S)
@@ -351,7 +351,7 @@
             state.lease = None
             state.request_number = 0
             state.refusal = None
-            state.changed.give()
+            state.changed.notify_waiters()
         self._log.warning("leases_dropped", step="drop_leases")
 
     def available(self, budget: str) -> int:
--- a/packages/heronladder-router/src/heronladder_router/replica_limits.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_limits.py
@@ -10,13 +10,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.replica_limit import (
     ENDED_REPORTED_S,
-    MOST_REPORTS,
+    MAX_REPORTS,
     Incarnation,
     LimitReport,
     from_message,
@@ -102,12 +102,12 @@
         self._limited: dict[Incarnation, _LimitedReplica] = {}
         self._demand = LimitDemand()
         self._unscheduled_heartbeat_s = float("-inf")
-        self._leader_responded = Pulse()  # signalled on each response to a heartbeat
+        self._leader_responded = ChangeSignal()  # signalled on each response to a heartbeat
         self._responded_heartbeat_s = float("-inf")  # send time of the heartbeat it responds to
         self.gateway = ""
         self.gateways: Callable[[], KnownGateways] = lambda: KnownGateways((), 1)
         self.last_leader_contact_s: Callable[[], float] = lambda: float("-inf")
-        self.beat_now: Callable[[], None] = lambda: None
+        self.send_heartbeat_now: Callable[[], None] = lambda: None
 
     @property
     def count(self) -> int:
@@ -172,7 +172,7 @@
         for service in self._demand.services():
             self._demand.record_granted(service, granted.get(service, 0), now_s)
         self._responded_heartbeat_s = sent_s
-        self._leader_responded.give()
+        self._leader_responded.notify_waiters()
 
     def _merge_report(self, incarnation: Incarnation, report: LimitReport, how: str) -> None:
         limited = self._limited.get(incarnation)
@@ -304,7 +304,7 @@
         now_s = self._environment.monotonic()
         if now_s - self._unscheduled_heartbeat_s >= _MIN_HEARTBEAT_INTERVAL_S:
             self._unscheduled_heartbeat_s = now_s
-            self.beat_now()
+            self.send_heartbeat_now()
 
     def caller_retry_after_s(self, service: str) -> float:
         """Return the retry-after in seconds for a caller refused because of the rate limits."""
@@ -323,7 +323,7 @@
         wanted = self._wanted(now_s)
         for incarnation, limited in sorted(
             self._limited.items(), key=lambda item: item[0] not in wanted
-        )[:MOST_REPORTS]:
+        )[:MAX_REPORTS]:
             message = to_message(incarnation, limited.report, now_s)
             if incarnation in wanted:
                 message.service, message.wanted = wanted[incarnation]
--- a/packages/heronladder-router/src/heronladder_router/replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/replicas.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 
 import xxhash
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import ConfigurationStore
-from heronladder_runtime.pulse import Pulse
 from heronladder_schema.v1 import agent_pb2, control_pb2, resources_pb2
 
 _EJECTION_FAILURES = 3
@@ -95,7 +95,7 @@
         self._by_service: dict[str, list[Replica]] = {}
         self._incarnations: dict[str, str] = {}
         self._platform_leaving: set[str] = set()
-        self.changed = Pulse()
+        self.changed = ChangeSignal()
         configuration.listen(self._rebuild)
 
     def _rebuild(self) -> None:
@@ -111,7 +111,7 @@
             by_service.setdefault(spec.service, []).append(replica)
         self._replicas = replicas
         self._by_service = by_service
-        self.changed.give()
+        self.changed.notify_waiters()
 
     def notice(self, notice: control_pb2.DaemonNotice) -> None:
         """Apply a notice from control that an agent started or is gone."""
@@ -127,7 +127,7 @@
             if incarnation != replica.incarnation:
                 replica.incarnation = incarnation
                 self._reset(replica)
-        self.changed.give()
+        self.changed.notify_waiters()
 
     def _reset(self, replica: Replica) -> None:
         replica.failures = 0
@@ -197,7 +197,7 @@
     def record_attempt_ended(self, replica: Replica) -> None:
         """Record that an attempt at a replica has ended."""
         replica.outstanding -= 1
-        self.changed.give()
+        self.changed.notify_waiters()
 
     def record_response_head(self, replica: Replica, head: agent_pb2.AnswerHead) -> None:
         """Record the load and leaving state that an agent reports in a response header."""
--- a/packages/heronladder-router/src/heronladder_router/request_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/request_tokens.py
@@ -91,7 +91,7 @@
 
     def _remote_control_allowance_s(self) -> float:
         """Return the additional wait for tokens if control is in another region, in seconds."""
-        additional_s = max(0.0, self._link.quickest_round_trip_s - _LOCAL_ROUND_TRIP_S)
+        additional_s = max(0.0, self._link.min_round_trip_s - _LOCAL_ROUND_TRIP_S)
         return min(_MAX_REMOTE_CONTROL_S, _RESERVE_ROUND_TRIPS * additional_s)
 
     def used(self, request: GatewayRequest, progress: ResponseProgress) -> int:
--- a/packages/heronladder-router/src/heronladder_router/rollouts/service_gate.py
+++ b/packages/heronladder-router/src/heronladder_router/rollouts/service_gate.py
@@ -10,8 +10,8 @@
 from collections.abc import Collection
 
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND
-from heronladder_runtime.rollouts.evidence import Evidence, step_of
-from heronladder_runtime.rollouts.verdict import Decision, Watch
+from heronladder_runtime.rollouts.evidence import Evidence, histogram_bucket
+from heronladder_runtime.rollouts.verdict import Decision, TrialMonitor
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 from heronladder_router.replica_state import FleetReplica
@@ -68,7 +68,7 @@
         self.clear = False
         self.is_connected = True
         self._old_version_remains = False
-        self._watch = Watch(shared_prompt_routes)
+        self._watch = TrialMonitor(shared_prompt_routes)
         self._received_s = now_s
         self._checked_s = -math.inf
         self._sent_by_route: Counter[str] = Counter()
@@ -230,9 +230,9 @@
         side.failed += failed
         side.longest_ms = max(side.longest_ms, int(whole_s * MILLISECONDS_PER_SECOND))
         if first_s is not None:
-            side.first[step_of(first_s)] += 1
+            side.first[histogram_bucket(first_s)] += 1
         if gap_s is not None:
-            side.gap[step_of(gap_s)] += 1
+            side.gap[histogram_bucket(gap_s)] += 1
         is_due = now_s - self._checked_s >= _CHECK_INTERVAL_S
         if of_target and is_due and self.record.phase in _RUNNING:
             self._checked_s = now_s
@@ -245,8 +245,8 @@
         """
         if self.stopped:
             return
-        verdict = self._watch.judge(self.evidence, alone=self.routes_all_to_target)
-        if verdict.decision is Decision.GO_BACK:
+        verdict = self._watch.judge(self.evidence, without_baseline=self.routes_all_to_target)
+        if verdict.decision is Decision.ROLL_BACK:
             self.stopped = verdict.reason
 
     # ---- report to control ------------------------------------------------
--- a/packages/heronladder-router/src/heronladder_router/settlement_sender.py
+++ b/packages/heronladder-router/src/heronladder_router/settlement_sender.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.pulse import Pulse
 from heronladder_runtime.tasks import TaskGroupOwner
 from heronladder_schema.v1 import agent_pb2, control_pb2, ledger_pb2
 
@@ -68,9 +68,9 @@
         self._interval_s = interval_s
         self._tasks = TaskGroupOwner(log)
         self._pending: list[_PendingSettlement] = []
-        self._added = Pulse()
+        self._added = ChangeSignal()
         self._unconfirmed = 0
-        self._confirmed = Pulse()
+        self._confirmed = ChangeSignal()
         self._acknowledged: dict[str, list[agent_pb2.SettledReservation]] = defaultdict(list)
 
     def start(self) -> None:
@@ -97,7 +97,7 @@
         durable: asyncio.Future[SettlementStatus] = asyncio.get_running_loop().create_future()
         self._pending.append(_PendingSettlement(settlement, agent, durable))
         self._unconfirmed += 1
-        self._added.give()
+        self._added.notify_waiters()
         return durable
 
     def take_acknowledged(self, agent: str) -> list[agent_pb2.SettledReservation]:
@@ -127,7 +127,7 @@
             self._unconfirmed -= 1
             if pending.agent:
                 self._acknowledge(pending.settlement, pending.agent)
-        self._confirmed.give()
+        self._confirmed.notify_waiters()
 
     def _acknowledge(self, settlement: ledger_pb2.Settlement, agent: str) -> None:
         known = self._acknowledged[agent]
--- a/packages/heronladder-router/src/heronladder_router/streaming.py
+++ b/packages/heronladder-router/src/heronladder_router/streaming.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import AsyncIterator
 
-from heronladder_runtime.answers import EVENT_STREAM, AgentAnswer
+from heronladder_runtime.responses import EVENT_STREAM, AgentResponse
 from heronladder_runtime.tasks import TaskGroupOwner
 
 from heronladder_router.attempt import Attempt
@@ -33,7 +33,7 @@
         self._tasks = tasks
 
     def response(
-        self, request: CallerRequest, replica: Replica, attempt: Attempt, response: AgentAnswer
+        self, request: CallerRequest, replica: Replica, attempt: Attempt, response: AgentResponse
     ) -> CallerResponse:
         """Return a caller's response that relays the event stream of an agent.
 
@@ -57,7 +57,7 @@
         return caller_response
 
     async def _relay(
-        self, request: CallerRequest, attempt: Attempt, response: AgentAnswer
+        self, request: CallerRequest, attempt: Attempt, response: AgentResponse
     ) -> AsyncIterator[bytes]:
         """Yield an event stream, and its last event only after waiting for the settlement.
 
@@ -91,7 +91,7 @@
         else:
             yield DONE_EVENT
 
-    async def _resume(self, request: CallerRequest, attempt: Attempt) -> AgentAnswer | None:
+    async def _resume(self, request: CallerRequest, attempt: Attempt) -> AgentResponse | None:
         """Return the response of an attempt whose stream was interrupted, from its start.
 
         Returns:
--- a/packages/heronladder-router/src/heronladder_router/tokens/held_tokens.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/held_tokens.py
@@ -176,7 +176,7 @@
         return int(balance.rate * min(self._draw_latency.coverage_after_reconnect_s, _HORIZON_S))
 
     def _recently_reconnected(self) -> bool:
-        return self._environment.monotonic() < self._link.regained_s + _RECENT_RECONNECT_S
+        return self._environment.monotonic() < self._link.reconnected_s + _RECENT_RECONNECT_S
 
     async def _await_draw(
         self, tenant: resources_pb2.PrepaidTenant, tokens: int, deadline_s: float
@@ -383,9 +383,9 @@
 
     # ---- spending promises ------------------------------------------------
 
-    def session_began(self) -> None:
+    def session_started(self) -> None:
         """Handle a new stream to a leader, to which nothing has been promised yet."""
-        self.window.session_began()
+        self.window.session_started()
 
     def fill_heartbeat(self, heartbeat: control_pb2.Heartbeat) -> None:
         """Add the promises that control has not confirmed to a heartbeat."""
--- a/packages/heronladder-router/src/heronladder_router/tokens/spending_window.py
+++ b/packages/heronladder-router/src/heronladder_router/tokens/spending_window.py
@@ -9,10 +9,10 @@
 
 from collections.abc import Iterable
 
+from heronladder_runtime.change_signal import ChangeSignal
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.control_link import ControlLink
-from heronladder_runtime.prepaid_window import PACE_FROM_S, WINDOW_HOLDS_S, paced
-from heronladder_runtime.pulse import Pulse
+from heronladder_runtime.prepaid_window import RATE_START_S, WINDOW_VALIDITY_S, rate_allowance
 from heronladder_schema.v1 import control_pb2
 
 from heronladder_router.errors import PrepaidUnavailableError
@@ -21,7 +21,7 @@
 
 # Time that a spending promise covers: the silence before the promised rate applies, and a commit
 # over a link of low bandwidth. The whole promise is charged for a lost gateway.
-_PROMISE_AHEAD_S = PACE_FROM_S + 0.9
+_PROMISE_AHEAD_S = RATE_START_S + 0.9
 _MAX_OPENING_WAIT_S = 0.5  # a request waits for the window to open if it does so within this time
 _POLL_S = 0.01
 _DISCONNECTED_S = 1.2  # after this long without a message, control is not expected to answer
@@ -42,7 +42,7 @@
         self._link = link
         self._environment = environment
         self._draw_latency = draw_latency
-        self._confirmed = Pulse()
+        self._confirmed = ChangeSignal()
         # By heartbeat number and tenant: the promised tokens and the promised rate.
         self._sent_promises: dict[int, dict[str, tuple[int, int]]] = {}
         self._promise_all = True
@@ -84,7 +84,7 @@
         while not self._allows(balance, tokens):
             # The promise must be confirmed before the tokens are used.
             balance.raise_promise(balance.awaiting_promise, _PROMISE_AHEAD_S)
-            self._link.beat_now()
+            self._link.send_heartbeat_now()
             opens_in_s = self._time_until_allowed_s(balance, tokens)
             if self.is_disconnected and opens_in_s <= _MAX_OPENING_WAIT_S:
                 # Disconnected for so long that the promised rate, or the end of the window, soon
@@ -102,23 +102,23 @@
                 )
 
     def _allows(self, balance: TokenBalance, tokens: int) -> bool:
-        if self.silent_s > WINDOW_HOLDS_S:
+        if self.silent_s > WINDOW_VALIDITY_S:
             return True
-        allowed = balance.confirmed + paced(balance.confirmed_rate, self.silent_s)
+        allowed = balance.confirmed + rate_allowance(balance.confirmed_rate, self.silent_s)
         return balance.used + tokens <= allowed
 
     def _time_until_allowed_s(self, balance: TokenBalance, tokens: int) -> float:
         """Return the time until the tokens may be used if control stays silent, in seconds."""
-        all_in_s = WINDOW_HOLDS_S - self.silent_s
+        all_in_s = WINDOW_VALIDITY_S - self.silent_s
         if not balance.confirmed_rate:
             return all_in_s
         missing = balance.used + tokens - balance.confirmed
-        at_rate_in_s = PACE_FROM_S + missing / balance.confirmed_rate - self.silent_s
+        at_rate_in_s = RATE_START_S + missing / balance.confirmed_rate - self.silent_s
         return min(all_in_s, at_rate_in_s)
 
     # ---- spending promises ------------------------------------------------
 
-    def session_began(self) -> None:
+    def session_started(self) -> None:
         """Handle a new stream to a leader, to which nothing has been promised yet."""
         self._promise_all = True
 
@@ -152,4 +152,4 @@
                 if balance is not None:
                     balance.confirmed = max(balance.confirmed, tokens)
                     balance.confirmed_rate = max(balance.confirmed_rate, rate)
-        self._confirmed.give()
+        self._confirmed.notify_waiters()
--- a/packages/heronladder-runtime/src/heronladder_runtime/control_link.py
+++ b/packages/heronladder-runtime/src/heronladder_runtime/control_link.py
@@ -1,8 +1,8 @@
-"""A daemon's link to control: one long stream to the leader of its region.
+"""Link of a daemon to control: one long-lived stream to the leader of its region.
 
-The link registers the daemon, keeps its freshness lease, takes in the
-configuration and carries commands. A command stays pending until it is
-answered and is sent again on each new stream; all commands are idempotent.
+The link registers the daemon, renews its freshness lease, receives the configuration and carries
+commands. A command is pending until its result arrives and is sent again on each new stream,
+because all commands are idempotent.
 """
 
 import asyncio
@@ -11,24 +11,24 @@
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment, SilenceWatch
-from heronladder_runtime.cluster_versions import FIRST_VERSION, at_version, require_allowed
+from heronladder_runtime.cluster_versions import INITIAL_VERSION, reduce_to_version, require_allowed
 from heronladder_runtime.config_packing import unpack
 from heronladder_runtime.configuration import ConfigurationStore
-from heronladder_runtime.control_ways import LONG_WAY_S, ControlWays
+from heronladder_runtime.configuration_status import ConfigurationStatus
+from heronladder_runtime.control_member_prober import LONG_CONNECT_TIME_S, ControlMemberProber
 from heronladder_runtime.errors import PeerUnavailableError, StaleConfigurationError
-from heronladder_runtime.link_handlers import LinkHandlers
-from heronladder_runtime.link_orders import take_orders
+from heronladder_runtime.link_handlers import ControlLinkHandlers
 from heronladder_runtime.link_session import (
     LinkSession,
     PendingCall,
     SessionRejectedError,
     hello,
-    longest_silence_s,
+    silence_limit_s,
 )
 from heronladder_runtime.logs import EventLog
+from heronladder_runtime.order_dispatch import dispatch_orders
 from heronladder_runtime.rpc import StubFactory
 from heronladder_runtime.rpc_errors import RPC_ERRORS
-from heronladder_runtime.standing import ConfigurationStanding
 from heronladder_runtime.tasks import TaskGroupOwner
 
 _RECONNECT_PAUSE_S = 0.1
@@ -38,14 +38,14 @@
     """Keeps a daemon connected to its region's control leader.
 
     Args:
-        record: Who the daemon is.
+        record: Identity of the daemon.
         addresses: gRPC addresses of the control members.
-        stubs: Makes stubs to them.
+        stubs: Creates stubs for them.
         heartbeat_interval_s: Time between heartbeats, in seconds.
-        handlers: What to do on orders from control.
-        environment: Time and randomness.
-        acts_past_lease: Whether the daemon goes on by what it holds while control is
-            silent; control then waits for it as long as it is heard.
+        handlers: Callbacks for orders from control.
+        environment: Source of time and randomness.
+        acts_past_lease: Whether the daemon acts on the configuration it holds while it is
+            disconnected. Control then waits for it as long as it is connected.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         addresses: list[str],
         stubs: StubFactory,
         heartbeat_interval_s: float,
-        handlers: LinkHandlers,
+        handlers: ControlLinkHandlers,
         environment: Environment,
         *,
         acts_past_lease: bool = False,
@@ -70,32 +70,32 @@
         self._handlers = handlers
         self._environment = environment
         self._log = EventLog("control_link", record.name)
-        self.standing = ConfigurationStanding(self.configuration, environment, self._log)
+        self.configuration_status = ConfigurationStatus(self.configuration, environment, self._log)
         self._tasks = TaskGroupOwner(self._log)
-        self._ways = ControlWays(stubs, self._tasks, environment, self._log)
+        self._member_prober = ControlMemberProber(stubs, self._tasks, environment, self._log)
         self._pending: dict[int, PendingCall] = {}
-        self._last_call_id = self._heartbeat_number = 0
+        self._last_call_id = self._last_heartbeat_number = 0
         self._fresh_until = 0.0
         self._session: LinkSession | None = None
-        self._hint = ""
-        self._failed = 0  # newest ones in a row that ended without a leader's word
-        self._wordless_streams = 0  # newest ones that were given up before a first word
+        self._leader_address = ""
+        self._failed_streams = 0  # newest streams in a row without a leader's frame
+        self._unanswered_streams = 0  # newest streams in a row closed without any frame
         self._leaving = False
-        self._began_anew = False  # the process goes on under a new incarnation
+        self._incarnation_replaced = False  # the process continues under a new one
         self._became_fresh = asyncio.Event()
         self._control_time_ms = 0
-        self.last_heard_s = float("-inf")  # newest heartbeat that a leader answered
-        self.heard_since_s = float("inf")  # first word on this stream; inf: none yet
-        self.regained_s = float("-inf")  # end of the newest long silence of control
-        self.quickest_round_trip_s = 0.0  # of the heartbeats on this stream; 0: none yet
-        self.round_trip_s = 0.0  # of the newest heartbeat that was acknowledged
-        self._late_ms = 0  # of the silence that ended the newest stream
-        self.loop_late_s = 0.0  # how late the timer between heartbeats woke last
-        self.routers = 1  # routers that control counts, this one among them
-        self.cluster_version = FIRST_VERSION  # as control told it last; it never falls
+        self.last_heard_s = float("-inf")  # newest heartbeat response of a leader
+        self.first_frame_s = float("inf")  # on this stream; infinite if there is none
+        self.reconnected_s = float("-inf")  # end of the newest long disconnection
+        self.min_round_trip_s = 0.0  # of heartbeats on this stream; 0 if there is none
+        self.round_trip_s = 0.0  # of the newest acknowledged heartbeat
+        self._last_loop_lag_ms = 0  # during the silence that ended the newest stream
+        self.timer_lag_s = 0.0  # lag of the last timer between two heartbeats
+        self.routers = 1  # routers that control counts, this one included
+        self.cluster_version = INITIAL_VERSION  # newest one reported; it never falls
 
     def add_addresses(self, addresses: list[str]) -> None:
-        """Learn of further addresses of control members."""
+        """Add addresses of control members in front of the known ones."""
         self._addresses = list(dict.fromkeys([*addresses, *self._addresses]))
 
     def start(self) -> None:
@@ -103,9 +103,9 @@
         self._tasks.start("control_link", self._run())
 
     async def stop(self) -> None:
-        """Say that the daemon leaves, then close the stream."""
+        """Announce that the daemon leaves, then close the stream."""
         self._leaving = True
-        self._fresh_until = 0.0  # control counts on a leaving daemon no more
+        self._fresh_until = 0.0  # control no longer waits for a leaving daemon
         session = self._session
         if session is not None:
             session.wake.set()
@@ -113,7 +113,7 @@
         await self.abort()
 
     async def abort(self) -> None:
-        """Close the stream at once, saying nothing."""
+        """Close the stream at once without an announcement."""
         await self._tasks.stop()
         for call in self._pending.values():
             call.answer.cancel()
@@ -122,18 +122,18 @@
     def fresh(self) -> bool:
         """Whether the daemon may act on the configuration it holds."""
         leased = self._environment.monotonic() < self._fresh_until
-        return leased and self.rejected is None and not self.standing.must_hold
+        return leased and self.rejected is None and not self.configuration_status.must_not_act
 
     @property
     def knows_newest(self) -> bool:
-        """Whether nothing newer than what is held can be in force."""
-        return self.fresh and not self.standing.behind
+        """Whether no newer revision than the one held can be in force."""
+        return self.fresh and not self.configuration_status.behind
 
     def require_fresh(self) -> None:
-        """Check the freshness lease.
+        """Check that the daemon may act on the configuration it holds.
 
         Raises:
-            StaleConfigurationError: If it has run out.
+            StaleConfigurationError: If its freshness lease has expired.
         """
         if not self.fresh:
             raise StaleConfigurationError(
@@ -149,15 +149,14 @@
     async def call(
         self, command: control_pb2.Command, timeout_s: float | None = None
     ) -> control_pb2.CommandResult:
-        """Have a command carried out by control, across changes of leader.
+        """Execute a command at control, across changes of leader.
 
         Args:
             command: The command; it must be idempotent.
-            timeout_s: Seconds to wait; None waits for ever.
+            timeout_s: Longest time to wait, in seconds; None waits indefinitely.
 
         Raises:
-            PeerUnavailableError: If no answer came in time. The command may
-                still be carried out.
+            PeerUnavailableError: If no result arrived in time; the command may still be executed.
             ClusterVersionError: If the cluster version in force does not allow it.
         """
         require_allowed(command, self.cluster_version)
@@ -174,7 +173,7 @@
             raise PeerUnavailableError(
                 "control did not answer in time",
                 step=command.WhichOneof("body") or "call",
-                peer=self._hint,
+                peer=self._leader_address,
             ) from error
         finally:
             self._pending.pop(call_id, None)
@@ -184,17 +183,19 @@
     async def _run(self) -> None:
         attempt = 0
         while self.rejected is None:
-            address, way_s = self._hint, 0.0
+            address, connect_time_s = self._leader_address, 0.0
             if not address:
-                address, way_s = await self._ways.choose(self._addresses, attempt, self._failed)
-            self._hint = ""
+                address, connect_time_s = await self._member_prober.choose(
+                    self._addresses, attempt, self._failed_streams
+                )
+            self._leader_address = ""
             attempt += 1
             try:
-                await self._run_session(address, way_s)
+                await self._run_session(address, connect_time_s)
             except RPC_ERRORS as error:
-                self._failed += 1
+                self._failed_streams += 1
                 self._report_loss(address, error)
-            if not self._hint:
+            if not self._leader_address:
                 await asyncio.sleep(self._environment.jitter(_RECONNECT_PAUSE_S))
 
     def _report_loss(self, address: str, error: BaseException) -> None:
@@ -204,77 +205,76 @@
             step="session",
             peer=address,
             silent_s=silent_s,
-            late_ms=self._late_ms,
+            late_ms=self._last_loop_lag_ms,
             revision=self.configuration.revision,
             error=repr(error),
         )
 
-    async def _run_session(self, address: str, way_s: float) -> None:
-        session = LinkSession(SilenceWatch(self._environment), way_s=way_s)
+    async def _run_session(self, address: str, connect_time_s: float) -> None:
+        session = LinkSession(SilenceWatch(self._environment), connect_time_s=connect_time_s)
         self._session = session
-        if self._handlers.session_began is not None:
-            self._handlers.session_began()
-        self._control_time_ms = 0  # another leader's clock says nothing to this one
-        self.quickest_round_trip_s = 0.0  # nor does the way to it
-        self.heard_since_s = float("inf")
-        stub = self._stubs.control(address, patient=way_s > LONG_WAY_S)
+        if self._handlers.session_started is not None:
+            self._handlers.session_started()
+        self._control_time_ms = 0  # not comparable with the clock of another leader
+        self.min_round_trip_s = 0.0
+        self.first_frame_s = float("inf")
+        stub = self._stubs.control(address, slow_connect=connect_time_s > LONG_CONNECT_TIME_S)
         stream = stub.Session(self._frames(session))
         watchdog = self._tasks.start("watchdog", self._watch_silence(session, stream))
         try:
             async for frame in stream:
-                session.note_frame()
-                self.heard_since_s = min(self.heard_since_s, self._environment.monotonic())
+                session.record_frame()
+                self.first_frame_s = min(self.first_frame_s, self._environment.monotonic())
                 self.bytes_received += frame.ByteSize()
                 if frame.not_leader:
-                    self._hint = frame.leader_address
+                    self._leader_address = frame.leader_address
                     return
-                # A member that names the leader is not the leader.
-                self._failed = self._wordless_streams = 0
+                # Frames that redirect to the leader come from a follower and do not reset these.
+                self._failed_streams = self._unanswered_streams = 0
                 if frame.rejected:
                     self._reject(frame.rejected, address)
                     return
-                self._take(session, frame)
+                self._handle_frame(session, frame)
         except asyncio.CancelledError:
-            # gRPC raises this in the reader of a stream that was cancelled here,
-            # just as if this task itself were cancelled.
-            if not session.given_up:
+            # gRPC also raises this here if only the stream was cancelled, by the watchdog.
+            if not session.cancelled_for_silence:
                 raise
-            raise TimeoutError("control was silent") from None
+            raise TimeoutError("control sent no frame in time") from None
         finally:
             watchdog.cancel()
-            self._late_ms = session.received.silence().late_ms
+            self._last_loop_lag_ms = session.received.silence().late_ms
             session.closed = True
             session.wake.set()
             self._session = None
             stream.cancel()
 
-    def _reject(self, why: str, address: str) -> None:
-        self._log.warning("session_rejected", step="session", peer=address, reason=why)
+    def _reject(self, reason: str, address: str) -> None:
+        self._log.warning("session_rejected", step="session", peer=address, reason=reason)
         self._fresh_until = 0.0
         self._became_fresh.clear()
         if self._handlers.rejected is None:
-            self.rejected = SessionRejectedError(why, step="session", peer=address)
+            self.rejected = SessionRejectedError(reason, step="session", peer=address)
             return
         self.record.incarnation = self._handlers.rejected()
-        self._began_anew = True
+        self._incarnation_replaced = True
 
     async def _watch_silence(self, session: LinkSession, stream: object) -> None:
-        """Beat at each interval; give the stream up once control has gone silent."""
-        limit_s = longest_silence_s(self._heartbeat_interval_s)
+        """Send a heartbeat at each interval; cancel the stream when control is silent too long."""
+        limit_s = silence_limit_s(self._heartbeat_interval_s)
         while True:
             due_s = self._environment.monotonic() + self._heartbeat_interval_s
             await asyncio.sleep(self._heartbeat_interval_s)
-            self.loop_late_s = self._environment.monotonic() - due_s
-            patience_s = session.patience_s(limit_s, self._wordless_streams)
-            if session.received.silence().outlasts(patience_s):
-                session.given_up = True
-                self._wordless_streams += not session.has_word
+            self.timer_lag_s = self._environment.monotonic() - due_s
+            silence_timeout_s = session.silence_timeout_s(limit_s, self._unanswered_streams)
+            if session.received.silence().exceeds(silence_timeout_s):
+                session.cancelled_for_silence = True
+                self._unanswered_streams += not session.has_frame
                 stream.cancel()  # type: ignore[attr-defined]
                 return
-            session.beat()
+            session.request_heartbeat()
 
     async def _frames(self, session: LinkSession) -> AsyncIterator[control_pb2.DaemonFrame]:
-        age_s = 0.0 if self._began_anew else self._environment.process_age_s()
+        age_s = 0.0 if self._incarnation_replaced else self._environment.process_age_s()
         revision = self.configuration.revision
         first = hello(self.record, revision, age_s, acts_past_lease=self._acts_past_lease)
         yield control_pb2.DaemonFrame(hello=first)
@@ -294,21 +294,21 @@
         for call_id, call in self._pending.items():
             if call_id not in session.sent_calls:
                 session.sent_calls.add(call_id)
-                command = at_version(call.command, self.cluster_version)
+                command = reduce_to_version(call.command, self.cluster_version)
                 frame.calls.add(call_id=call_id, command=command)
         if session.heartbeat_due:
             session.heartbeat_due = False
-            self._heartbeat_number += 1
-            session.heartbeat_times[self._heartbeat_number] = self._environment.monotonic()
-            frame.heartbeat.number = self._heartbeat_number
+            self._last_heartbeat_number += 1
+            session.heartbeat_times[self._last_heartbeat_number] = self._environment.monotonic()
+            frame.heartbeat.number = self._last_heartbeat_number
             frame.heartbeat.applied_revision = self.configuration.revision
             frame.heartbeat.control_time_ms = self._control_time_ms
-            frame.heartbeat.held_below = self.standing.hold_below
+            frame.heartbeat.held_below = self.configuration_status.hold_below
             frame.heartbeat.wall_ms = self._environment.wall_ms()
             if self._handlers.fill_heartbeat is not None:
                 self._handlers.fill_heartbeat(frame.heartbeat)
-        if session.parts_told < session.parts_received:
-            session.parts_told = session.parts_received
+        if session.parts_acknowledged < session.parts_received:
+            session.parts_acknowledged = session.parts_received
             frame.parts_received = session.parts_received
         if self._leaving and not self._pending:
             frame.leaving = True
@@ -316,17 +316,17 @@
 
     # ---- frames from control ----------------------------------------------
 
-    def beat_now(self) -> None:
+    def send_heartbeat_now(self) -> None:
         """Send a heartbeat without waiting for the next interval."""
         if self._session is not None:
-            self._session.beat()
+            self._session.request_heartbeat()
 
     def _wake(self) -> None:
         if self._session is not None:
             self._session.wake.set()
 
-    def _take(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
-        self.standing.note_contact()
+    def _handle_frame(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
+        self.configuration_status.record_leader_contact()
         if frame.control_addresses:
             self._addresses = list(frame.control_addresses)
         if frame.routers:
@@ -334,11 +334,11 @@
         self.cluster_version = max(self.cluster_version, frame.cluster_version)
         if frame.control_time_ms:
             self._control_time_ms = frame.control_time_ms
-            self._note_heard()
+            self._record_heartbeat_response()
         if frame.HasField("config") and self._apply_configuration(session, frame.config):
-            session.beat()  # tells control at once that it is applied
+            session.request_heartbeat()  # reports at once that it is applied
         if frame.in_force_revision or frame.hold_below:
-            self._take_standing(session, frame)
+            self._handle_in_force(session, frame)
         if frame.heartbeat_ack:
             self._renew_freshness(session, frame)
         for answer in frame.answers:
@@ -346,52 +346,52 @@
             call = self._pending.get(answer.call_id)
             if call is not None and not call.answer.done():
                 call.answer.set_result(answer.result)
-        take_orders(self._handlers, frame)
+        dispatch_orders(self._handlers, frame)
 
     def _apply_configuration(self, session: LinkSession, part: control_pb2.ConfigUpdate) -> bool:
-        """Take a part of an update; return whether it was the last one."""
+        """Add a part of an update; return whether the update is complete and applied."""
         session.parts_received += 1
-        session.wake.set()  # control sends the next part on that word
+        session.wake.set()  # control sends the next part after this acknowledgement
         update = session.parts.add(part)
         if update is None:
             return False
         try:
             unpacked = unpack(update)
         except ValueError as error:
-            raise ConnectionError(str(error)) from error  # another stream sends it anew
+            raise ConnectionError(str(error)) from error  # a new stream sends it again
         self.configuration.apply(unpacked)
         return True
 
-    def _take_standing(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
+    def _handle_in_force(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
         age_s = frame.in_force_age_ms / MILLISECONDS_PER_SECOND
-        self.standing.note_in_force(frame.in_force_revision, frame.hold_below, age_s)
+        self.configuration_status.record_in_force(frame.in_force_revision, frame.hold_below, age_s)
         if frame.hold_below:
-            session.beat()  # control waits for the promise
+            session.request_heartbeat()  # control waits for the confirmation
 
-    def _note_heard(self) -> None:
+    def _record_heartbeat_response(self) -> None:
         now_s = self._environment.monotonic()
         silent_s = now_s - self.last_heard_s
         self.last_heard_s = now_s
-        if silent_s <= longest_silence_s(self._heartbeat_interval_s):
+        if silent_s <= silence_limit_s(self._heartbeat_interval_s):
             return
         self._log.info("control_regained", step="session", silent_s=silent_s)
         if silent_s == float("inf"):
             return
-        self.regained_s = now_s
+        self.reconnected_s = now_s
         if self._handlers.control_regained is not None:
             self._handlers.control_regained()
 
     def _renew_freshness(self, session: LinkSession, frame: control_pb2.ControlFrame) -> None:
-        # The lease counts from when the heartbeat was sent, which is earlier
-        # than control's own reckoning: the daemon stops first.
+        # The lease starts when the heartbeat was sent, before the start that control assumes:
+        # the daemon stops before control considers the lease expired.
         sent = session.heartbeat_times.pop(frame.heartbeat_ack, None)
         if sent is None:
             return
         self.round_trip_s = self._environment.monotonic() - sent
         if self._handlers.replica_limits is not None:
             self._handlers.replica_limits(frame, sent)
-        quickest_s = self.quickest_round_trip_s or self.round_trip_s
-        self.quickest_round_trip_s = min(quickest_s, self.round_trip_s)
+        quickest_s = self.min_round_trip_s or self.round_trip_s
+        self.min_round_trip_s = min(quickest_s, self.round_trip_s)
         if self._leaving or not frame.freshness_ms:
             return
         until = sent + frame.freshness_ms / MILLISECONDS_PER_SECOND
--- a/tests/limit_simulation.py
+++ b/tests/limit_simulation.py
@@ -119,7 +119,9 @@
         names = frozenset(f"g{other}" for other in range(self.gateways))
         limits.gateways = lambda: KnownGateways(names, self.gateways)
         limits.last_leader_contact_s = lambda: self.observed_s[number]
-        limits.beat_now = lambda: self._schedule(0.0, lambda: self._send_heartbeat(number))
+        limits.send_heartbeat_now = lambda: self._schedule(
+            0.0, lambda: self._send_heartbeat(number)
+        )
         self.replicas[number], self.limited[number] = replicas, limits
         self.observed_s[number] = self.clock.now_s
         record = ledger_pb2.DaemonRecord(name=f"g{number}")
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from heronladder_platform.configuration import read_configuration
-from heronladder_runtime.config_packing import pack, without_document
+from heronladder_runtime.config_packing import pack, without_source_document
 from heronladder_runtime.configuration import FLEET_KIND, FLEET_NAME
 from heronladder_schema.v1 import control_pb2
 from platform_stand_ins import (
@@ -146,7 +146,7 @@
     event = control_pb2.ConfigEvent(kind=FLEET_KIND, name=FLEET_NAME)
     read = read_configuration(json.dumps(document).encode())
     event.resource.fleet_configuration.CopyFrom(read)
-    return pack(control_pb2.ConfigUpdate(events=[without_document(event)])).ByteSize()
+    return pack(control_pb2.ConfigUpdate(events=[without_source_document(event)])).ByteSize()
 
 
 async def _acknowledged(ask: Callable[[], Any]) -> float | None:
@@ -374,7 +374,7 @@
         self.link.back.stop()
         asking = asyncio.gather(_acknowledged(self._replace), _acknowledged(self._drain))
         await asyncio.sleep(_SILENCE_S)
-        self.link.back.let_go()
+        self.link.back.resume_traffic()
         let_go_s = _now_s()
         acknowledged_s = max(done_s or math.inf for done_s in await asking)
         self.assertLess(acknowledged_s, math.inf, "not acknowledged on the whole link")
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -13,7 +13,7 @@
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.configuration import REPLICA_KIND, ConfigurationStore
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.replica_sums import MOST_TOLD
+from heronladder_runtime.replica_load_totals import MAX_REPORTED_REPLICAS
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 _SERVICE = "model"
@@ -219,11 +219,14 @@
 
     def test_only_the_busiest_replicas_are_included(self) -> None:
         totals = ReplicaLoads()
-        reported = {f"r{n}": control_pb2.ReplicaLoad(in_flight=n + 1) for n in range(MOST_TOLD + 9)}
+        reported = {
+            f"r{n}": control_pb2.ReplicaLoad(in_flight=n + 1)
+            for n in range(MAX_REPORTED_REPLICAS + 9)
+        }
         totals.observe("a", reported)
         frame = control_pb2.ControlFrame()
         totals.fill("b", frame)
-        self.assertEqual(len(frame.replica_loads), MOST_TOLD)
+        self.assertEqual(len(frame.replica_loads), MAX_REPORTED_REPLICAS)
         self.assertNotIn("r0", frame.replica_loads)
 
 
--- a/tests/test_gateway_readiness.py
+++ b/tests/test_gateway_readiness.py
@@ -17,7 +17,7 @@
 from heronladder_runtime.configuration import REPLICA_KIND, ConfigurationStore
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
-from heronladder_runtime.replica_sums import MOST_TOLD
+from heronladder_runtime.replica_load_totals import MAX_REPORTED_REPLICAS
 from heronladder_schema.v1 import control_pb2, resources_pb2
 from platform_stand_ins import (
     Fleet,
@@ -225,15 +225,15 @@
 
     def test_totals_that_may_be_truncated_are_not_used(self) -> None:
         """Control reports only the busiest replicas, but a gateway counts all of its own load."""
-        names = [f"r{number}" for number in range(MOST_TOLD + 40)]
+        names = [f"r{number}" for number in range(MAX_REPORTED_REPLICAS + 40)]
         loads = {name: control_pb2.ReplicaLoad(in_flight=9) for name in names}
         for reported, own, known in (
-            (MOST_TOLD, 0, False),
-            (MOST_TOLD - 1, 0, True),
+            (MAX_REPORTED_REPLICAS, 0, False),
+            (MAX_REPORTED_REPLICAS - 1, 0, True),
             # Control leaves out replicas that only the gateway itself sends to.
-            (MOST_TOLD - 4, 4, False),
-            (0, MOST_TOLD, False),
-            (0, MOST_TOLD - 1, True),
+            (MAX_REPORTED_REPLICAS - 4, 4, False),
+            (0, MAX_REPORTED_REPLICAS, False),
+            (0, MAX_REPORTED_REPLICAS - 1, True),
         ):
             with self.subTest(reported=reported, own=own):
                 gateway = self._gateway(names)
@@ -248,7 +248,7 @@
 
 class NewStreamTest(unittest.TestCase):
     def test_first_totals_of_a_new_stream_do_not_put_a_gateway_behind(self) -> None:
-        link = SimpleNamespace(round_trip_s=0.9, loop_late_s=0.0, routers=20, heard_since_s=99.5)
+        link = SimpleNamespace(round_trip_s=0.9, timer_lag_s=0.0, routers=20, first_frame_s=99.5)
         loads = SimpleNamespace(in_flight_totals=lambda: (100, 0))
         clock = _Clock()
         readiness = GatewayReadiness(
@@ -269,7 +269,7 @@
 class SilentControlTest(unittest.TestCase):
     def test_gateway_does_not_stay_behind_while_control_is_silent(self) -> None:
         """Readiness was only recomputed when control responded."""
-        link = SimpleNamespace(round_trip_s=0.9, loop_late_s=0.0, routers=20, heard_since_s=0.0)
+        link = SimpleNamespace(round_trip_s=0.9, timer_lag_s=0.0, routers=20, first_frame_s=0.0)
         loads = SimpleNamespace(in_flight_totals=lambda: (100, 100))
         clock = _Clock()
         readiness = GatewayReadiness(
--- a/tests/test_gateway_refusals.py
+++ b/tests/test_gateway_refusals.py
@@ -41,7 +41,7 @@
     ) -> None:
         """A fixed wait of 0.3 s exceeded a quarter of short objectives, such as 0.2 s of 0.8 s."""
         tokens = _NoTokens()
-        link = SimpleNamespace(routers=1, quickest_round_trip_s=0.0)
+        link = SimpleNamespace(routers=1, min_round_trip_s=0.0)
         parts = SimpleNamespace(
             link=link,
             routes=None,
@@ -58,7 +58,7 @@
         )
         waited = {}
         for objective_ms, round_trip_s in itertools.product((800, 1500), (0.0, 0.024, 2.0)):
-            link.quickest_round_trip_s = round_trip_s
+            link.min_round_trip_s = round_trip_s
             request = SimpleNamespace(
                 request_id="r",
                 fingerprint="f",
--- a/tests/test_prepaid.py
+++ b/tests/test_prepaid.py
@@ -9,8 +9,8 @@
 from heronladder_router.event_stream import EventStreamBuffer
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.errors import RefusedByInvariantError
-from heronladder_runtime.invariants import BOOK
-from heronladder_runtime.prepaid_window import WINDOW_HOLDS_S
+from heronladder_runtime.invariants import INVARIANT_COUNTERS
+from heronladder_runtime.prepaid_window import WINDOW_VALIDITY_S
 from heronladder_schema.v1 import control_pb2, resources_pb2
 
 _TENANT = "t"
@@ -59,7 +59,9 @@
     def test_report_beyond_granted_tokens_is_refused(self) -> None:
         table = _table(1000)
         table.draw(_draw("a", 1, wanted=100))
-        self.addCleanup(BOOK.clear)  # violated on purpose; must not count in later tests
+        self.addCleanup(
+            INVARIANT_COUNTERS.clear
+        )  # violated on purpose; must not count in later tests
         with self.assertRaises(RefusedByInvariantError):
             table.draw(_draw("a", 2, spent=101))
 
@@ -221,7 +223,7 @@
             reported.promise.most = most
             self.table.note_promises(order, lambda *_: True)
         heartbeat = control_pb2.Heartbeat(control_time_ms=heard_ms)
-        self.watch.note_contact(("a", "1"), heartbeat)
+        self.watch.record_leader_contact(("a", "1"), heartbeat)
 
     def _charge(self) -> int:
         self.table.close(self.watch.close_command(("a", "1"), self.table))
@@ -229,7 +231,7 @@
 
     def test_router_replaced_within_window_is_charged_its_promise(self) -> None:
         self._record_heartbeat(100_000, 60)
-        self.clock.now_s = 100.0 + WINDOW_HOLDS_S - 0.2
+        self.clock.now_s = 100.0 + WINDOW_VALIDITY_S - 0.2
         self.watch.note_successor("a", "2")
         self.clock.now_s = 110.0
         self.assertEqual(self._charge(), 61)
@@ -241,19 +243,19 @@
         it had used 0.13 M.
         """
         self._record_heartbeat(100_000, 60)
-        self.clock.now_s = 100.0 + WINDOW_HOLDS_S + 0.5
+        self.clock.now_s = 100.0 + WINDOW_VALIDITY_S + 0.5
         self.watch.note_successor("a", "2", process_age_s=1.0)
         self.assertEqual(self._charge(), 61)
 
     def test_successor_started_after_window_does_not_limit_charge(self) -> None:
         self._record_heartbeat(100_000, 60)
-        self.clock.now_s = 100.0 + WINDOW_HOLDS_S + 1.0
+        self.clock.now_s = 100.0 + WINDOW_VALIDITY_S + 1.0
         self.watch.note_successor("a", "2", process_age_s=1.0)
         self.assertEqual(self._charge(), 300)
 
     def test_router_replaced_after_window_is_charged_all_it_held(self) -> None:
         self._record_heartbeat(100_000)
-        self.clock.now_s = 100.0 + WINDOW_HOLDS_S
+        self.clock.now_s = 100.0 + WINDOW_VALIDITY_S
         self.watch.note_successor("a", "2")
         self.assertEqual(self._charge(), 300)
 
--- a/tests/test_prepaid_promises.py
+++ b/tests/test_prepaid_promises.py
@@ -11,7 +11,7 @@
 from heronladder_control.promise_recorder import PromiseRecorder
 from heronladder_router.tokens.spending_window import SpendingWindow
 from heronladder_runtime.clock import MILLISECONDS_PER_SECOND, Environment
-from heronladder_runtime.prepaid_window import PACE_FROM_S, WINDOW_HOLDS_S, paced
+from heronladder_runtime.prepaid_window import RATE_START_S, WINDOW_VALIDITY_S, rate_allowance
 from heronladder_schema.v1 import control_pb2, resources_pb2
 from lending_process import TENANT
 from lending_run import outage_run
@@ -85,7 +85,10 @@
     """Faults injected into the product that the loss scenarios must detect."""
 
     def test_detects_promised_rate_that_is_not_charged(self) -> None:
-        with patch.object(prepaid_watch, "paced", lambda *_: 0), self.assertRaises(AssertionError):
+        with (
+            patch.object(prepaid_watch, "rate_allowance", lambda *_: 0),
+            self.assertRaises(AssertionError),
+        ):
             run_virtual(loss_during_burst(1.8, leader_first=True))
 
     def test_detects_use_of_newest_wall_clock(self) -> None:
@@ -115,7 +118,7 @@
             recorder: PromiseRecorder, session: Any, report: control_pb2.Heartbeat
         ) -> None:
             holder = (session.record.name, session.record.incarnation)
-            recorder._member.prepaid_watch.note_contact(holder, report)
+            recorder._member.prepaid_watch.record_leader_contact(holder, report)
             real(recorder, session, report)
 
         with (
@@ -224,20 +227,20 @@
         for name in "bcd":
             self._report_wall_clock(name, 2.0)
         # Last contact 0.4 s before the notes, replaced 0.3 s ago, and 0.1 s for clock drift.
-        expected = 101 + paced(50, 0.4 + 2.0 - 0.3 + 0.1)
+        expected = 101 + rate_allowance(50, 0.4 + 2.0 - 0.3 + 0.1)
         self.assertAlmostEqual(self._charge(), expected, delta=1)
 
     def test_wall_clock_that_was_set_back_does_not_lower_charge(self) -> None:
         self._start_term()
         for name, since_s in zip("bcd", (2.0, 0.0, 0.1), strict=True):
             self._report_wall_clock(name, since_s)
-        expected = 101 + paced(50, 0.4 + 2.0 - 0.3 + 0.1)
+        expected = 101 + rate_allowance(50, 0.4 + 2.0 - 0.3 + 0.1)
         self.assertAlmostEqual(self._charge(), expected, delta=1)
 
     def test_all_held_is_charged_after_window(self) -> None:
         self._start_term()
         for name in "bcd":
-            self._report_wall_clock(name, WINDOW_HOLDS_S)
+            self._report_wall_clock(name, WINDOW_VALIDITY_S)
         self.assertEqual(self._charge(), _HELD_TOKENS)
 
     def test_all_held_is_charged_if_notes_list_router_as_silent(self) -> None:
@@ -269,8 +272,8 @@
 
 class PromisedRateTest(unittest.TestCase):
     def test_promised_rate_counts_after_two_heartbeats(self) -> None:
-        self.assertEqual(paced(1000, PACE_FROM_S), 0)
-        self.assertEqual(paced(1000, PACE_FROM_S + 1.5), 1500)
+        self.assertEqual(rate_allowance(1000, RATE_START_S), 0)
+        self.assertEqual(rate_allowance(1000, RATE_START_S + 1.5), 1500)
 
 
 if __name__ == "__main__":
--- a/tests/test_prepaid_tokens.py
+++ b/tests/test_prepaid_tokens.py
@@ -15,7 +15,7 @@
 from heronladder_runtime.control_link import ControlLink
 from heronladder_runtime.errors import PeerUnavailableError
 from heronladder_runtime.logs import EventLog
-from heronladder_runtime.prepaid_window import WINDOW_HOLDS_S
+from heronladder_runtime.prepaid_window import WINDOW_VALIDITY_S
 from heronladder_schema.v1 import control_pb2, ledger_pb2, resources_pb2
 
 _TENANT = resources_pb2.PrepaidTenant(name="t", prepaid_tokens=1_000_000, limited=True)
@@ -51,7 +51,7 @@
         self.record = ledger_pb2.DaemonRecord(name="gateway", incarnation="1")
         self.routers = 1
         self.last_heard_s = clock.now_s
-        self.regained_s = float("-inf")
+        self.reconnected_s = float("-inf")
         self.is_connected = True
         self.draw_duration_s = 0.0
         self.silent_call_duration_s = 0.0
@@ -79,7 +79,7 @@
             self._clock.now_s += self.silent_call_duration_s
             raise PeerUnavailableError("silent", step="call", peer="control") from error
 
-    def beat_now(self) -> None:
+    def send_heartbeat_now(self) -> None:
         """Confirm all spending promises, unless disconnected."""
         if self.is_connected:
             asyncio.get_running_loop().call_soon(self._confirm)
@@ -97,7 +97,7 @@
         self.is_connected = True
         self._waiting.set()
         self.last_heard_s = now_s
-        self.regained_s = now_s
+        self.reconnected_s = now_s
 
 
 class HeldTokensTest(unittest.IsolatedAsyncioTestCase):
@@ -137,7 +137,7 @@
         """
         await self._serve(6)
         self.control.disconnect()
-        self.clock.now_s += WINDOW_HOLDS_S + 0.1  # whatever is held may be used by now
+        self.clock.now_s += WINDOW_VALIDITY_S + 0.1  # whatever is held may be used by now
         before = len(self.control.draws)
         await self._serve(4)
         self.control.reconnect(self.clock.now_s)
@@ -151,7 +151,7 @@
         account = _account(self.control)
         self.assertGreater(self.control.table.charged(account) - 160_000, 200_000)
         self.control.disconnect()
-        self.clock.now_s += WINDOW_HOLDS_S + 0.1
+        self.clock.now_s += WINDOW_VALIDITY_S + 0.1
         self.control.reconnect(self.clock.now_s)
         self.tokens.control_regained()
         await self._run_pending_tasks()
@@ -168,7 +168,7 @@
         This caused 506 rejections of a busy tenant in 4 s.
         """
         await self._serve(4)
-        self.control.regained_s = self.clock.now_s  # the target is low right after a partition
+        self.control.reconnected_s = self.clock.now_s  # the target is low right after a partition
         self.tokens.control_regained()
         await self._run_pending_tasks()
         before = len(self.control.draws)
@@ -244,7 +244,7 @@
     async def test_slow_draws_raise_the_balance_and_the_retry_after(self) -> None:
         """With a small balance on a congested link, each request waits for a draw of its own."""
         await self._serve(8)
-        self.control.regained_s = self.clock.now_s
+        self.control.reconnected_s = self.clock.now_s
         quick = self.tokens._tokens_after_reconnect(self.tokens._balance(_TENANT.name))
         self.control.draw_duration_s = 0.5
         for _ in range(8):
@@ -281,7 +281,7 @@
         )
         retry_after_s = refused.exception.retry_after_s
         assert retry_after_s is not None
-        all_in_s = self.control.last_heard_s + WINDOW_HOLDS_S - self.clock.now_s
+        all_in_s = self.control.last_heard_s + WINDOW_VALIDITY_S - self.clock.now_s
         self.assertLessEqual(retry_after_s, all_in_s + 0.05)
         self.clock.now_s += retry_after_s
         balance = self.tokens._balance(_TENANT.name)
@@ -296,7 +296,7 @@
             opens_in_s = window._time_until_allowed_s(
                 balance, balance.confirmed - balance.used + tokens
             )
-            self.assertLessEqual(opens_in_s, WINDOW_HOLDS_S)
+            self.assertLessEqual(opens_in_s, WINDOW_VALIDITY_S)
             for after_s, allowed in ((opens_in_s - 0.01, False), (opens_in_s + 0.01, True)):
                 self.clock.now_s += after_s
                 asked = balance.confirmed - balance.used + tokens
--- a/tests/test_region_tokens.py
+++ b/tests/test_region_tokens.py
@@ -163,7 +163,7 @@
 
 
 def _request_tokens(tokens: "_RecordingTokens | None", round_trip_s: float) -> RequestTokens:
-    link: Any = SimpleNamespace(quickest_round_trip_s=round_trip_s)
+    link: Any = SimpleNamespace(min_round_trip_s=round_trip_s)
     environment: Any = SimpleNamespace(monotonic=lambda: 100.0)
     nothing: Any = None
     return RequestTokens(link, nothing, cast(Any, tokens), environment, nothing)
--- a/tests/test_replica_limit_reports.py
+++ b/tests/test_replica_limit_reports.py
@@ -18,8 +18,8 @@
 from heronladder_runtime.logs import EventLog
 from heronladder_runtime.metrics import Metrics
 from heronladder_runtime.replica_limit import (
-    GRANT_HOLDS_S,
-    MOST_REPORTS,
+    GRANT_VALIDITY_S,
+    MAX_REPORTS,
     LimitReport,
     newest,
     read_limit,
@@ -145,7 +145,7 @@
     def test_a_grant_expires_while_the_machine_is_suspended(self) -> None:
         self.setup.grant_one()
         self.assertIs(self.limits.verdict(self.first), LimitVerdict.GRANTED)
-        self.clock.now_s += GRANT_HOLDS_S
+        self.clock.now_s += GRANT_VALIDITY_S
         self.setup.last_leader_contact_s = self.clock.now_s
         self.assertIs(self.limits.verdict(self.first), LimitVerdict.NOT_GRANTED)
 
@@ -155,7 +155,7 @@
         for _ in range(4):
             self.clock.now_s += 0.3
             self.limits.observe(self.first, "1.7", self.clock.now_s)
-            frame = self.setup.beat(late_s=GRANT_HOLDS_S)
+            frame = self.setup.beat(late_s=GRANT_VALIDITY_S)
         self.assertTrue(frame.replica_grants)
         self.assertIs(self.limits.verdict(self.first), LimitVerdict.NOT_GRANTED)
 
@@ -165,7 +165,7 @@
         began_s = self.clock.now_s
         while not self.setup.beat().replica_grants:
             self.clock.now_s += 0.1
-        self.assertGreaterEqual(self.clock.now_s - began_s, GRANT_HOLDS_S)
+        self.assertGreaterEqual(self.clock.now_s - began_s, GRANT_VALIDITY_S)
 
     def test_without_recent_responses_a_longer_grant_is_given(self) -> None:
         """At gateways with few requests, short grants expire unused and the end goes unnoticed."""
@@ -191,16 +191,16 @@
     def test_replicas_beyond_one_frame_follow_in_later_frames(self) -> None:
         reports = [
             control_pb2.ReplicaLimit(replica=f"x{number}", per_s=1.0)
-            for number in range(2 * MOST_REPORTS + 1)
+            for number in range(2 * MAX_REPORTS + 1)
         ]
         self.setup.leader.observe("g1", reports)
         reported: set[str] = set()
         for _ in range(3):
             frame = control_pb2.ControlFrame()
             self.setup.leader.fill(self.setup.session, frame)
-            self.assertLessEqual(len(frame.replica_limits), MOST_REPORTS)
+            self.assertLessEqual(len(frame.replica_limits), MAX_REPORTS)
             reported |= {message.replica for message in frame.replica_limits}
-        self.assertEqual(len(reported), 2 * MOST_REPORTS + 1)
+        self.assertEqual(len(reported), 2 * MAX_REPORTS + 1)
 
     def test_an_invalid_limit_from_a_gateway_is_ignored(self) -> None:
         bad = [
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -17,8 +17,8 @@
     RolloutTable,
 )
 from heronladder_control.state import ControlState
-from heronladder_runtime.rollouts.evidence import Answers, Evidence
-from heronladder_runtime.rollouts.verdict import Decision, Verdict, Watch
+from heronladder_runtime.rollouts.evidence import Evidence, ResponseTotals
+from heronladder_runtime.rollouts.verdict import Decision, TrialMonitor, Verdict
 from heronladder_schema.v1 import control_pb2, resources_pb2
 from rollout_trials import run_rollout, sample_scenario
 
@@ -300,13 +300,13 @@
         self.assertEqual(self._phase(elapsed_s=8.5), MOVING)
 
     def test_an_unproved_version_is_not_moved_to(self) -> None:
-        doubt = Verdict(Decision.GO_ON, "in doubt")
+        doubt = Verdict(Decision.CONTINUE, "in doubt")
         self.assertIsNone(self._phase(elapsed_s=9.9, verdict=doubt, per_s=2000.0))
         self.assertEqual(self._phase(elapsed_s=10.0, verdict=doubt), ROLLED_BACK)
 
     def test_a_doubtful_version_is_not_moved_to_just_before_the_deadline(self) -> None:
         """Requests until the deadline approach 0 and fit the limit, which is no proof."""
-        doubt = Verdict(Decision.GO_ON, "in doubt: failures of all 4.4")
+        doubt = Verdict(Decision.CONTINUE, "in doubt: failures of all 4.4")
         for per_s, duration_s, elapsed_s, left in (
             (148.0, 12.0, 11.75, 100),
             (148.0, 30.0, 29.7, 150),
@@ -322,18 +322,18 @@
         known = {"per_s": 91.0, "duration_s": 4.0, "left": 46, "longest_old_response_s": 0.035}
         self.assertIsNone(self._phase(**known, elapsed_s=3.3))
         self.assertEqual(self._phase(**known, elapsed_s=3.58), MOVING)
-        doubt = Verdict(Decision.GO_ON, "in doubt")
+        doubt = Verdict(Decision.CONTINUE, "in doubt")
         self.assertIsNone(self._phase(**known, elapsed_s=3.58, verdict=doubt))
 
     def test_after_the_deadline_only_a_sound_version_continues_its_move(self) -> None:
-        doubt = Verdict(Decision.GO_ON, "in doubt")
+        doubt = Verdict(Decision.CONTINUE, "in doubt")
         late = {"phase": MOVING, "elapsed_s": 10.0}
         self.assertEqual(self._phase(**late, verdict=doubt), ROLLED_BACK)
         self.assertIsNone(self._phase(**late))  # it waits for requests in flight at other versions
 
     def test_a_move_with_too_few_answers_gets_more_time(self) -> None:
         """A good version with 9 of 16 necessary answers is not rolled back at the deadline."""
-        few = Verdict(Decision.GO_ON, "9 answers of 16", lacks_answers=True)
+        few = Verdict(Decision.CONTINUE, "9 answers of 16", lacks_responses=True)
         self.assertIsNone(self._phase(phase=MOVING, elapsed_s=10.0, verdict=few))
         self.assertIsNone(self._phase(phase=MOVING, elapsed_s=14.9, verdict=few))
         self.assertEqual(self._phase(phase=MOVING, elapsed_s=15.0, verdict=few), ROLLED_BACK)
@@ -343,7 +343,7 @@
         self.assertIsNone(self._phase(elapsed_s=9.0, left=20))
 
     def test_a_bad_version_is_rolled_back_in_each_phase(self) -> None:
-        bad = Verdict(Decision.GO_BACK, "bad")
+        bad = Verdict(Decision.ROLL_BACK, "bad")
         for phase in (TRIAL, MOVING):
             self.assertEqual(self._phase(phase=phase, verdict=bad), ROLLED_BACK)
         self.assertEqual(self._phase(phase=MOVING, target_replicas=0), ROLLED_BACK)
@@ -354,39 +354,39 @@
         late = {"phase": MOVING, "elapsed_s": 9.5}
         self.assertEqual(self._phase(**late, others_drained=True), COMPLETED)
         self.assertIsNone(self._phase(**late))
-        doubt = Verdict(Decision.GO_ON, "in doubt")
+        doubt = Verdict(Decision.CONTINUE, "in doubt")
         self.assertIsNone(self._phase(**late, others_drained=True, verdict=doubt))
 
 
 class VerdictTest(unittest.TestCase):
     def test_target_answers_before_the_old_version_is_known_are_counted(self) -> None:
         """Without the target's first answers, a version that fails at once is not detected."""
-        watch = Watch()
+        watch = TrialMonitor()
         evidence = Evidence()
-        evidence.sides[("r", True)] = Answers(answers=20, failed=12)
-        evidence.sides[("r", False)] = Answers(answers=5)
-        self.assertIs(watch.judge(evidence).decision, Decision.GO_ON)
-        evidence.sides[("r", False)] = Answers(answers=60)
-        self.assertIs(watch.judge(evidence).decision, Decision.GO_BACK)
+        evidence.sides[("r", True)] = ResponseTotals(answers=20, failed=12)
+        evidence.sides[("r", False)] = ResponseTotals(answers=5)
+        self.assertIs(watch.judge(evidence).decision, Decision.CONTINUE)
+        evidence.sides[("r", False)] = ResponseTotals(answers=60)
+        self.assertIs(watch.judge(evidence).decision, Decision.ROLL_BACK)
 
     def test_a_good_start_does_not_hide_later_failures(self) -> None:
-        watch = Watch()
+        watch = TrialMonitor()
         evidence = Evidence()
-        evidence.sides[("r", False)] = Answers(answers=2000)
-        evidence.sides[("r", True)] = Answers(answers=300)
-        self.assertIsNot(watch.judge(evidence).decision, Decision.GO_BACK)
-        evidence.sides[("r", True)] = Answers(answers=312, failed=6)
-        self.assertIs(watch.judge(evidence).decision, Decision.GO_BACK)
+        evidence.sides[("r", False)] = ResponseTotals(answers=2000)
+        evidence.sides[("r", True)] = ResponseTotals(answers=300)
+        self.assertIsNot(watch.judge(evidence).decision, Decision.ROLL_BACK)
+        evidence.sides[("r", True)] = ResponseTotals(answers=312, failed=6)
+        self.assertIs(watch.judge(evidence).decision, Decision.ROLL_BACK)
 
     def test_failures_of_both_versions_do_not_count_against_the_target(self) -> None:
-        watch = Watch()
+        watch = TrialMonitor()
         evidence = Evidence()
-        evidence.sides[("r", False)] = Answers(answers=500)
-        evidence.sides[("r", True)] = Answers(answers=50)
+        evidence.sides[("r", False)] = ResponseTotals(answers=500)
+        evidence.sides[("r", True)] = ResponseTotals(answers=50)
         watch.judge(evidence)
-        evidence.sides[("r", False)] = Answers(answers=900, failed=200)
-        evidence.sides[("r", True)] = Answers(answers=60, failed=5)
-        self.assertIsNot(watch.judge(evidence).decision, Decision.GO_BACK)
+        evidence.sides[("r", False)] = ResponseTotals(answers=900, failed=200)
+        evidence.sides[("r", True)] = ResponseTotals(answers=60, failed=5)
+        self.assertIsNot(watch.judge(evidence).decision, Decision.ROLL_BACK)
 
     def test_sampled_bad_versions_stay_within_the_limit(self) -> None:
         """In seed 69, which is prone to exceed the limit, the first old answers fail often."""
@@ -398,7 +398,7 @@
             if not scenario.is_serious:
                 continue
             ran += 1
-            outcome = run_rollout(scenario, Watch().judge, source)
+            outcome = run_rollout(scenario, TrialMonitor().judge, source)
             if not outcome.is_within_limit:
                 exceeded.append((seed, scenario, outcome))
         self.assertGreater(ran, 3)
--- a/tests/test_rollout_low_traffic.py
+++ b/tests/test_rollout_low_traffic.py
@@ -4,8 +4,8 @@
 from random import Random
 
 from heronladder_control.rollouts.table import COMPLETED, ROLLED_BACK
-from heronladder_runtime.rollouts.evidence import Answers, Evidence
-from heronladder_runtime.rollouts.verdict import Decision, Watch
+from heronladder_runtime.rollouts.evidence import Evidence, ResponseTotals
+from heronladder_runtime.rollouts.verdict import Decision, TrialMonitor
 from rollout_trials import Scenario, run_rollout
 
 _SEEDS = 40
@@ -17,7 +17,9 @@
 
 class LowTrafficTest(unittest.TestCase):
     def _completed_in_time(self, scenario: Scenario) -> int:
-        outcomes = [run_rollout(scenario, Watch().judge, Random(seed)) for seed in range(_SEEDS)]
+        outcomes = [
+            run_rollout(scenario, TrialMonitor().judge, Random(seed)) for seed in range(_SEEDS)
+        ]
         return sum(o.phase == COMPLETED and o.ended_s <= scenario.duration_s for o in outcomes)
 
     def test_a_good_version_is_completed_in_time(self) -> None:
@@ -41,7 +43,7 @@
         for per_s, duration_s in ((6.0, 6.0), (2.0, 30.0), (10.0, 12.0)):
             scenario = _scenario(per_s, duration_s, [1.0], fails=0.5)
             outcomes = [
-                run_rollout(scenario, Watch().judge, Random(seed)) for seed in range(_SEEDS)
+                run_rollout(scenario, TrialMonitor().judge, Random(seed)) for seed in range(_SEEDS)
             ]
             back = sum(outcome.phase == ROLLED_BACK for outcome in outcomes)
             self.assertEqual(back, _SEEDS, (per_s, duration_s))
@@ -50,20 +52,22 @@
         self,
     ) -> None:
         for old in (0, 3, 9):
-            for alone in (True, False):
-                watch = Watch()
+            for without_baseline in (True, False):
+                watch = TrialMonitor()
                 evidence = Evidence()
-                evidence.sides[("r", False)] = Answers(answers=old)
+                evidence.sides[("r", False)] = ResponseTotals(answers=old)
                 for count in range(1, 31):
-                    evidence.sides[("r", True)] = Answers(answers=count, failed=count)
-                    verdict = watch.judge(evidence, alone=alone)
-                self.assertIs(verdict.decision, Decision.GO_BACK, (old, alone))
+                    evidence.sides[("r", True)] = ResponseTotals(answers=count, failed=count)
+                    verdict = watch.judge(evidence, without_baseline=without_baseline)
+                self.assertIs(verdict.decision, Decision.ROLL_BACK, (old, without_baseline))
 
     def test_one_check_of_many_failures_suffices(self) -> None:
         evidence = Evidence()
-        evidence.sides[("r", False)] = Answers(answers=9)
-        evidence.sides[("r", True)] = Answers(answers=500, failed=500)
-        self.assertIs(Watch().judge(evidence, alone=True).decision, Decision.GO_BACK)
+        evidence.sides[("r", False)] = ResponseTotals(answers=9)
+        evidence.sides[("r", True)] = ResponseTotals(answers=500, failed=500)
+        self.assertIs(
+            TrialMonitor().judge(evidence, without_baseline=True).decision, Decision.ROLL_BACK
+        )
 
 
 if __name__ == "__main__":
