--- a/packages/heronladder-emulator/src/heronladder_emulator/engine.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/engine.py
@@ -15,7 +15,7 @@
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.pulse import Pulse
 
-from heronladder_emulator.books import Books, EngineRun
+from heronladder_emulator.execution_records import EngineRun, ExecutionRecords
 from heronladder_emulator.prefix_cache import BLOCK_BYTES, PrefixCache, block_hashes
 
 BYTES_PER_TOKEN = 4
@@ -121,7 +121,7 @@
     return f" w{digest % 100_000:05d}"
 
 
-def whole_answer(prompt: bytes, max_tokens: int) -> str:
+def expected_completion(prompt: bytes, max_tokens: int) -> str:
     """Return the whole answer to a prompt."""
     length = answer_length(prompt, max_tokens)
     return "".join(answer_token(prompt, position) for position in range(length))
@@ -136,7 +136,9 @@
         environment: Time and randomness.
     """
 
-    def __init__(self, options: EngineOptions, books: Books, environment: Environment) -> None:
+    def __init__(
+        self, options: EngineOptions, books: ExecutionRecords, environment: Environment
+    ) -> None:
         self.options = options
         self.faults = EngineFaults()
         self.cache = PrefixCache(options.cache_blocks)
--- a/packages/heronladder-emulator/src/heronladder_emulator/books.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/execution_records.py
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class Books:
+class ExecutionRecords:
     """Books of all stand-ins of one run.
 
     Attributes:
--- a/packages/heronladder-emulator/src/heronladder_emulator/memory_stubs.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/memory_stubs.py
@@ -100,7 +100,7 @@
     async def _receive(self) -> AsyncIterator[Any]:
         network = self._network
         await network.connect(self._source, self._target)
-        await network.carry(self._source, self._target)
+        await network.transmit(self._source, self._target)
         if not network.alive(self._target):
             raise RefusedError(f"{self._target} refused the connection")
         self._up = network.pipe(self._source, self._target)
--- a/packages/heronladder-emulator/src/heronladder_emulator/network.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/network.py
@@ -14,7 +14,7 @@
 from heronladder_runtime.pulse import Pulse
 
 from heronladder_emulator.network_errors import NetworkError, RefusedError
-from heronladder_emulator.pipe import BREAK_AFTER_S, PROBE_S, Pipe
+from heronladder_emulator.pipe import KEEPALIVE_INTERVAL_S, KEEPALIVE_TIMEOUT_S, Pipe
 
 Result = TypeVar("Result")
 
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Place:
+class Location:
     """Where a process stands.
 
     Attributes:
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class Cut:
+class Partition:
     """A cut of the links from some processes to others.
 
     Attributes:
@@ -53,7 +53,7 @@
 
 
 @dataclass
-class Weather:
+class NetworkConditions:
     """How the network behaves where it is not cut.
 
     Attributes:
@@ -86,7 +86,7 @@
     """
 
     name: str
-    place: Place
+    place: Location
     start: int = 0
     alive: bool = False
     servers: dict[str, Any] = field(default_factory=dict)
@@ -102,18 +102,18 @@
         weather: How it behaves where it is not cut.
     """
 
-    def __init__(self, source: random.Random, weather: Weather) -> None:
+    def __init__(self, source: random.Random, conditions: NetworkConditions) -> None:
         self.random = source
-        self.weather = weather
+        self.conditions = conditions
         self.endpoints: dict[str, Endpoint] = {}
         self.names: dict[str, str] = {}  # process by IP number
-        self._cuts: list[Cut] = []
+        self._cuts: list[Partition] = []
         self.changed = Pulse()
         self._pipes: dict[Pipe, None] = {}
 
     # ---- processes --------------------------------------------------------
 
-    def start(self, name: str, place: Place, servers: dict[str, Any]) -> Endpoint:
+    def start(self, name: str, place: Location, servers: dict[str, Any]) -> Endpoint:
         """Put a process on the network, or a new start of one."""
         endpoint = self.endpoints.setdefault(name, Endpoint(name, place))
         endpoint.start += 1
@@ -178,11 +178,11 @@
 
     # ---- links ------------------------------------------------------------
 
-    def cut(self, cut: Cut) -> None:
+    def cut(self, cut: Partition) -> None:
         """Cut links."""
         self._cuts.append(cut)
 
-    def heal(self, cut: Cut) -> None:
+    def heal(self, cut: Partition) -> None:
         """End a cut."""
         self._cuts.remove(cut)
         for pipe in list(self._pipes):
@@ -198,27 +198,27 @@
         from_place = self.endpoints[source].place
         to_place = self.endpoints[target].place
         if from_place.region != to_place.region:
-            base = self.weather.region_delay_s
+            base = self.conditions.region_delay_s
         elif from_place.zone != to_place.zone:
-            base = self.weather.zone_delay_s
+            base = self.conditions.zone_delay_s
         else:
             base = _LOCAL_DELAY_S
-        return base + self.random.random() * self.weather.extra_delay_s
+        return base + self.random.random() * self.conditions.extra_delay_s
 
-    async def carry(self, source: str, target: str) -> None:
+    async def transmit(self, source: str, target: str) -> None:
         """Take the time of one message on a connection, which sends lost ones again.
 
         Raises:
             NetworkError: If the link stays cut for so long that the connection breaks.
         """
         await asyncio.sleep(self.delay(source, target))
-        while self.random.random() < self.weather.loss:
+        while self.random.random() < self.conditions.loss:
             await asyncio.sleep(_RESEND_S)
         silent_s = 0.0
         while not self.open(source, target):
             await asyncio.sleep(_RESEND_S)
             silent_s += _RESEND_S
-            if silent_s >= BREAK_AFTER_S:
+            if silent_s >= KEEPALIVE_TIMEOUT_S:
                 raise NetworkError(f"{source} to {target}: connection timed out")
         await self._wait_until_read(target)
 
@@ -276,37 +276,37 @@
         if source in self.endpoints and not self.alive(source):
             raise NetworkError(f"{source} is dead and sends nothing")
         await self.connect(source, target)
-        await self.carry(source, target)
+        await self.transmit(source, target)
         if not self.alive(target):
-            await self.carry(target, source)
+            await self.transmit(target, source)
             raise RefusedError(f"{source} to {target}: connection refused")
         endpoint = self.endpoints[target]
-        if may_duplicate and self.random.random() < self.weather.duplicates:
+        if may_duplicate and self.random.random() < self.conditions.duplicates:
             self.run_at(target, self._run_copy(endpoint, handle))
         work = self.run_at(target, handle(endpoint))
         try:
             result = await self._await_result(source, target, work)
         except asyncio.CancelledError:
             if work.cancelled():
-                await self.carry(target, source)
+                await self.transmit(target, source)
                 raise NetworkError(f"{source} to {target}: connection reset") from None
             raise
         except NetworkError:
             raise
         except Exception as error:
-            await self.carry(target, source)
+            await self.transmit(target, source)
             raise NetworkError(f"{source} to {target}: {error!r}") from error
-        await self.carry(target, source)
+        await self.transmit(target, source)
         return result
 
     async def _await_result(self, source: str, target: str, work: asyncio.Task[Result]) -> Result:
         """Wait for a handler, while the connection's keep-alive probes get through."""
         silent_s = 0.0
         while not work.done():
-            await asyncio.wait([work], timeout=PROBE_S)
+            await asyncio.wait([work], timeout=KEEPALIVE_INTERVAL_S)
             both = self.open(source, target) and self.open(target, source)
-            silent_s = 0.0 if both else silent_s + PROBE_S
-            if silent_s >= BREAK_AFTER_S and not work.done():
+            silent_s = 0.0 if both else silent_s + KEEPALIVE_INTERVAL_S
+            if silent_s >= KEEPALIVE_TIMEOUT_S and not work.done():
                 raise NetworkError(f"{source} to {target}: no keep-alive")
         return await work
 
--- a/packages/heronladder-emulator/src/heronladder_emulator/pipe.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/pipe.py
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from heronladder_emulator.network import MemoryNetwork
 
-BREAK_AFTER_S = 5.0  # keep-alive probes give a silent peer up
-PROBE_S = 1.0
+KEEPALIVE_TIMEOUT_S = 5.0  # keep-alive probes give a silent peer up
+KEEPALIVE_INTERVAL_S = 1.0
 _HELD_PARTS = 64
 
 
@@ -66,7 +66,7 @@
         self._held.append(part)
         if self._break_timer is None:
             loop = asyncio.get_running_loop()
-            self._break_timer = loop.call_later(BREAK_AFTER_S, self._break)
+            self._break_timer = loop.call_later(KEEPALIVE_TIMEOUT_S, self._break)
 
     def flush(self) -> None:
         """Send what was held back by a cut that is over."""
@@ -101,13 +101,13 @@
         while not self._arrived:
             if self.broken:
                 raise NetworkError(f"stream {self.source} to {self.target} broke")
-            if await self._changed.wait(PROBE_S):
+            if await self._changed.wait(KEEPALIVE_INTERVAL_S):
                 continue
             both = self._network.open(self.source, self.target) and self._network.open(
                 self.target, self.source
             )
-            silent_s = 0.0 if both else silent_s + PROBE_S
-            if silent_s >= BREAK_AFTER_S:
+            silent_s = 0.0 if both else silent_s + KEEPALIVE_INTERVAL_S
+            if silent_s >= KEEPALIVE_TIMEOUT_S:
                 self._break()
         part = self._arrived.popleft()
         self._changed.give()
@@ -122,7 +122,7 @@
             delay_s = self._network.delay(self.source, self.target)
             loop.call_at(max(loop.time() + delay_s, self._last_arrival_s), self._break)
         elif self._break_timer is None:
-            self._break_timer = loop.call_later(BREAK_AFTER_S, self._break)
+            self._break_timer = loop.call_later(KEEPALIVE_TIMEOUT_S, self._break)
 
     def _break(self) -> None:
         self.broken = True
--- a/packages/heronladder-emulator/src/heronladder_emulator/service.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/service.py
@@ -4,7 +4,7 @@
 import json
 from dataclasses import dataclass
 
-from heronladder_emulator.books import Books
+from heronladder_emulator.execution_records import ExecutionRecords
 
 
 class ServiceDownError(Exception):
@@ -37,7 +37,7 @@
     """
 
     def __init__(
-        self, name: str, books: Books, call_s: float = 0.01, checks_fences: bool = False
+        self, name: str, books: ExecutionRecords, call_s: float = 0.01, checks_fences: bool = False
     ) -> None:
         self.name = name
         self.faults = ServiceFaults()
--- a/packages/heronladder-tools/src/heronladder_tools/callers.py
+++ b/packages/heronladder-tools/src/heronladder_tools/callers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 import aiohttp
-from heronladder_emulator.engine import whole_answer
+from heronladder_emulator.engine import expected_completion
 from heronladder_emulator.engine_protocol import answer_text
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.metrics import LatencyHistogram
@@ -179,7 +179,7 @@
 
 def expected_text(call: CallerCall) -> str:
     """Return the only right answer to a model call."""
-    return whole_answer(call.prompt, call.kind.max_tokens)
+    return expected_completion(call.prompt, call.kind.max_tokens)
 
 
 class HttpCallers(CallerTransport):
--- a/packages/heronladder-tools/src/heronladder_tools/demo_fleet.py
+++ b/packages/heronladder-tools/src/heronladder_tools/demo_fleet.py
@@ -11,8 +11,8 @@
 import aiohttp
 from heronladder_daemon.daemon import Daemon
 from heronladder_daemon.http_listener import HttpListener
-from heronladder_emulator.books import Books
 from heronladder_emulator.engine import EmulatedEngine, EngineOptions
+from heronladder_emulator.execution_records import ExecutionRecords
 from heronladder_emulator.http import EngineFront, ServiceFront
 from heronladder_emulator.service import EmulatedService
 from heronladder_runtime.clock import Environment
@@ -80,7 +80,7 @@
         self, profile: Profile, folder: Path, budget_tokens: int, balancer: str = ""
     ) -> None:
         self.profile = profile
-        self.books = Books()
+        self.books = ExecutionRecords()
         self.bills = BillBook()
         self.controls: dict[str, Daemon] = {}
         self.routers: dict[str, Daemon] = {}
--- a/packages/heronladder-tools/src/heronladder_tools/oracle.py
+++ b/packages/heronladder-tools/src/heronladder_tools/oracle.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from heronladder_control.state import ControlState
-from heronladder_emulator.books import Books
+from heronladder_emulator.execution_records import ExecutionRecords
 from heronladder_runtime.invariants import BOOK
 from heronladder_schema.v1 import control_pb2, ledger_pb2
 
@@ -133,7 +133,7 @@
         budget_tokens: Prepaid tokens by budget, over all regions.
     """
 
-    books: Books
+    books: ExecutionRecords
     bills: BillBook
     results: list[CallResult]
     refusals: list[Refusal]
--- a/packages/heronladder-tools/src/heronladder_tools/simulation/faults.py
+++ b/packages/heronladder-tools/src/heronladder_tools/simulation/faults.py
@@ -6,7 +6,7 @@
 
 from heronladder_consensus.members import voters
 from heronladder_emulator.engine import EngineFaults
-from heronladder_emulator.network import Cut
+from heronladder_emulator.network import Partition
 from heronladder_emulator.service import ServiceFaults
 from heronladder_runtime.errors import HeronladderError
 from heronladder_runtime.invariants import invariant
@@ -71,7 +71,7 @@
             finally:
                 self.under_way[kind.name] = False
 
-    async def _cut(self, cuts: list[Cut], seconds: float) -> None:
+    async def _cut(self, cuts: list[Partition], seconds: float) -> None:
         for cut in cuts:
             self.fleet.network.cut(cut)
         await asyncio.sleep(seconds)
@@ -87,19 +87,21 @@
         """Cut a zone off from the others, both ways."""
         inside = self.fleet.processes_in(self._random.choice(self.fleet.profile.zones))
         outside = self._others(inside)
-        cuts = [Cut(inside, outside), Cut(outside, inside)]
+        cuts = [Partition(inside, outside), Partition(outside, inside)]
         await self._cut(cuts, self._random.uniform(3, 60))
 
     async def one_way_cut(self) -> None:
         """Lose what a zone sends, while it still hears."""
         inside = self.fleet.processes_in(self._random.choice(self.fleet.profile.zones))
-        await self._cut([Cut(inside, self._others(inside))], self._random.uniform(3, 40))
+        await self._cut([Partition(inside, self._others(inside))], self._random.uniform(3, 40))
 
     async def router_cut(self) -> None:
         """Cut a router off from control for long; callers and agents reach it."""
         router = frozenset({self._random.choice(self.fleet.router_names())})
         control = frozenset(self.fleet.control_names())
-        await self._cut([Cut(router, control), Cut(control, router)], self._random.uniform(5, 50))
+        await self._cut(
+            [Partition(router, control), Partition(control, router)], self._random.uniform(5, 50)
+        )
 
     async def silent_leader(self) -> None:
         """Cut the leader off from the other members in silence; daemons reach it."""
@@ -108,14 +110,18 @@
             return
         name = frozenset({leader.options.name})
         others = frozenset(self.fleet.control_names()) - name
-        await self._cut([Cut(name, others), Cut(others, name)], self._random.uniform(5, 40))
+        await self._cut(
+            [Partition(name, others), Partition(others, name)], self._random.uniform(5, 40)
+        )
 
     async def bad_weather(self) -> None:
         """Slow, lossy links that deliver twice and out of order."""
-        weather = self.fleet.network.weather
-        self.fleet.network.weather = replace(weather, extra_delay_s=0.2, loss=0.05, duplicates=0.05)
+        conditions = self.fleet.network.conditions
+        self.fleet.network.conditions = replace(
+            conditions, extra_delay_s=0.2, loss=0.05, duplicates=0.05
+        )
         await asyncio.sleep(self._random.uniform(5, 30))
-        self.fleet.network.weather = weather
+        self.fleet.network.conditions = conditions
 
     # ---- processes --------------------------------------------------------
 
--- a/packages/heronladder-tools/src/heronladder_tools/simulation/fleet.py
+++ b/packages/heronladder-tools/src/heronladder_tools/simulation/fleet.py
@@ -10,11 +10,11 @@
 from heronladder_consensus.timing import ConsensusTiming
 from heronladder_control.member import ControlMember
 from heronladder_control.options import ControlOptions
-from heronladder_emulator.books import Books
 from heronladder_emulator.engine import EmulatedEngine, EngineOptions
+from heronladder_emulator.execution_records import ExecutionRecords
 from heronladder_emulator.memory_disk import MemoryDisk
 from heronladder_emulator.memory_stubs import MemoryStubs
-from heronladder_emulator.network import MemoryNetwork, Place, Weather
+from heronladder_emulator.network import Location, MemoryNetwork, NetworkConditions
 from heronladder_emulator.service import EmulatedService
 from heronladder_router.role import RouterOptions, RouterRole
 from heronladder_runtime.clock import Environment
@@ -82,8 +82,8 @@
         self.profile = profile
         self._cache_blocks = cache_blocks
         self.environment = Environment(source, virtual=True)
-        self.network = MemoryNetwork(source, Weather(zone_delay_s=profile.zone_delay_s))
-        self.books = Books()
+        self.network = MemoryNetwork(source, NetworkConditions(zone_delay_s=profile.zone_delay_s))
+        self.books = ExecutionRecords()
         self.bills = BillBook()
         self.disks: dict[str, MemoryDisk] = {}
         self.controls: dict[str, ControlMember] = {}
@@ -112,8 +112,8 @@
         number = int(name.rpartition("-")[2])
         return self.profile.zones[number % len(self.profile.zones)]
 
-    def _place(self, zone: str) -> Place:
-        return Place(zone, self.profile.name)
+    def _place(self, zone: str) -> Location:
+        return Location(zone, self.profile.name)
 
     def processes_in(self, zone: str) -> frozenset[str]:
         """Return the names of all processes that stand in a zone."""
--- a/packages/heronladder-tools/src/heronladder_tools/toolbox_commands.py
+++ b/packages/heronladder-tools/src/heronladder_tools/toolbox_commands.py
@@ -12,8 +12,8 @@
 from aiohttp import web
 from heronladder_daemon.http_listener import HttpListener
 from heronladder_daemon.members import parse_members
-from heronladder_emulator.books import Books
 from heronladder_emulator.engine import EmulatedEngine, EngineOptions
+from heronladder_emulator.execution_records import ExecutionRecords
 from heronladder_emulator.http import EngineFront, PlatformFront, ServiceFront
 from heronladder_emulator.platform import PlatformList, WeightStore
 from heronladder_emulator.service import EmulatedService
@@ -190,11 +190,11 @@
         front: web.Application
         if what == "engine":
             options = EngineOptions(name, checks_fences=checks_fences, cache_blocks=cache_blocks)
-            engine = EmulatedEngine(options, Books(), environment)
+            engine = EmulatedEngine(options, ExecutionRecords(), environment)
             engine.start()
             front = EngineFront(engine).application()
         elif what == "service":
-            service = EmulatedService(name, Books(), checks_fences=checks_fences)
+            service = EmulatedService(name, ExecutionRecords(), checks_fences=checks_fences)
             front = ServiceFront(service).application()
         elif what == "platform":
             machines = PlatformList(environment, _PLATFORM_LAG_S)
--- a/tests/mixed_group.py
+++ b/tests/mixed_group.py
@@ -9,7 +9,7 @@
 from heronladder_control.results import failure
 from heronladder_emulator.memory_disk import MemoryDisk
 from heronladder_emulator.memory_stubs import MemoryStubs
-from heronladder_emulator.network import MemoryNetwork, Place, Weather
+from heronladder_emulator.network import Location, MemoryNetwork, NetworkConditions
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.cluster_versions import FIRST_VERSION, LATEST_VERSION, required_version
 from heronladder_runtime.errors import HeronladderError
@@ -40,7 +40,7 @@
         self.failures: list[str] = []
         self.in_old_logs: list[str] = []
         self.registered = 0
-        self._network = MemoryNetwork(self.source, Weather())
+        self._network = MemoryNetwork(self.source, NetworkConditions())
         self._environment = Environment(self.source, virtual=True)
         self._names = [f"m{number}" for number in range(size)]
         self._disks = {name: MemoryDisk(self.source) for name in self._names}
@@ -74,7 +74,7 @@
         if is_old:
             self._make_old(member)
         servers = {"consensus": member.consensus_service, "control": member.service}
-        self._network.start(name, Place(name, name), servers)
+        self._network.start(name, Location(name, name), servers)
         await member.start()
         self.running[name] = member
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -13,7 +13,7 @@
 from heronladder_consensus.timing import ConsensusTiming
 from heronladder_emulator.memory_disk import MemoryDisk
 from heronladder_emulator.memory_stubs import MemoryStubs
-from heronladder_emulator.network import Cut, MemoryNetwork, Place, Weather
+from heronladder_emulator.network import Location, MemoryNetwork, NetworkConditions, Partition
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.errors import HeronladderError
 from heronladder_schema.v1 import consensus_pb2
@@ -53,7 +53,7 @@
     def __init__(self, size: int = 3, seed: int = 1, snapshot_entries: int = 1000) -> None:
         self.random = random.Random(seed)
         self.environment = Environment(self.random, virtual=True)
-        self.network = MemoryNetwork(self.random, Weather())
+        self.network = MemoryNetwork(self.random, NetworkConditions())
         self.names = [f"m{number}" for number in range(size)]
         self.disks = {name: MemoryDisk(self.random) for name in self.names}
         self.nodes: dict[str, ConsensusNode[int]] = {}
@@ -80,7 +80,7 @@
             consensus_pb2.Member(name=name, address=f"{name}:1") if self.timing.losses else None,
             [f"{member}:1" for member in self.names],
         )
-        self.network.start(name, Place("z", "r"), {"consensus": ConsensusService(node)})
+        self.network.start(name, Location("z", "r"), {"consensus": ConsensusService(node)})
         self.nodes[name] = node
         self.machines[name] = machine
         await node.start()
@@ -108,15 +108,15 @@
         self.network.kill(name)
         await node.stop()
 
-    def cut_off(self, names: list[str]) -> list[Cut]:
+    def cut_off(self, names: list[str]) -> list[Partition]:
         inside = frozenset(names)
         outside = frozenset(self.network.endpoints) - inside
-        cuts = [Cut(inside, outside), Cut(outside, inside)]
+        cuts = [Partition(inside, outside), Partition(outside, inside)]
         for cut in cuts:
             self.network.cut(cut)
         return cuts
 
-    def heal(self, cuts: list[Cut]) -> None:
+    def heal(self, cuts: list[Partition]) -> None:
         for cut in cuts:
             self.network.heal(cut)
 
--- a/tests/test_engine_control.py
+++ b/tests/test_engine_control.py
@@ -7,8 +7,8 @@
 
 from heronladder_agent.engine_control import EngineKeeper, EngineOrder, HttpEngineControl
 from heronladder_daemon.http_listener import HttpListener
-from heronladder_emulator.books import Books
 from heronladder_emulator.engine import EmulatedEngine, EngineFaults, EngineOptions
+from heronladder_emulator.execution_records import ExecutionRecords
 from heronladder_emulator.http import EngineFront, PlatformFront
 from heronladder_emulator.platform import Machine, PlatformList, WeightStore
 from heronladder_router.platform_watch import PlatformWatch
@@ -47,7 +47,7 @@
         options = EngineOptions(
             "e", checks_fences=True, report_lag_s=0.0, event_lag_s=0.0, event_gap_every=3
         )
-        self.engine = EmulatedEngine(options, Books(), Environment(random.Random(1)))
+        self.engine = EmulatedEngine(options, ExecutionRecords(), Environment(random.Random(1)))
         self.engine.start()
         self.addAsyncCleanup(self.engine.stop)
         front = HttpListener(EngineFront(self.engine).application(), "127.0.0.1:0")
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -10,7 +10,7 @@
 
 import aiohttp
 import openai
-from heronladder_emulator.engine import EngineFaults, whole_answer
+from heronladder_emulator.engine import EngineFaults, expected_completion
 from heronladder_runtime.invariants import BOOK
 from heronladder_tools.demo_fleet import OPERATOR_TOKEN, DemoFleet
 from heronladder_tools.operator_client import ApiError, OperatorClient
@@ -63,7 +63,7 @@
         models = await client.models.list()
         self.assertEqual([model.id for model in models.data], ["menu-1"])
         messages = [{"role": "user", "content": "Which dishes have nuts?"}]
-        expected = whole_answer(b"user: Which dishes have nuts?", 20)
+        expected = expected_completion(b"user: Which dishes have nuts?", 20)
         whole = await client.chat.completions.create(
             model="menu-1", messages=messages, max_tokens=20
         )
@@ -84,7 +84,7 @@
         assert usage is not None
         self.assertEqual(usage.completion_tokens, whole.usage.completion_tokens)
         plain = await client.completions.create(model="menu-1", prompt="Soup", max_tokens=9)
-        self.assertEqual(plain.choices[0].text, whole_answer(b"Soup", 9))
+        self.assertEqual(plain.choices[0].text, expected_completion(b"Soup", 9))
         with self.assertRaises(openai.AuthenticationError):
             await self._openai("wrong").models.list()
         with self.assertRaises(openai.NotFoundError) as missing:
--- a/tests/test_link_between_regions.py
+++ b/tests/test_link_between_regions.py
@@ -11,7 +11,7 @@
 from heronladder_control.options import ControlOptions
 from heronladder_emulator.memory_disk import MemoryDisk
 from heronladder_emulator.memory_stubs import MemoryStubs
-from heronladder_emulator.network import Cut, MemoryNetwork, Place, Weather
+from heronladder_emulator.network import Location, MemoryNetwork, NetworkConditions, Partition
 from heronladder_runtime.clock import Environment
 from heronladder_runtime.errors import HeronladderError
 from heronladder_schema.v1 import consensus_pb2, control_pb2, resources_pb2
@@ -30,7 +30,7 @@
     def __init__(self, seed: int) -> None:
         self._source = random.Random(seed)
         self.environment = Environment(self._source, virtual=True)
-        self.network = MemoryNetwork(self._source, Weather(region_delay_s=_FAR_S))
+        self.network = MemoryNetwork(self._source, NetworkConditions(region_delay_s=_FAR_S))
         self.members: dict[str, ControlMember] = {}
         self.terms: set[int] = set()
 
@@ -43,7 +43,7 @@
             stubs = MemoryStubs(self.network, name)
             member = ControlMember(options, disk, stubs, self.environment, lambda error: None)
             servers = {"consensus": member.consensus_service, "control": member.service}
-            self.network.start(name, Place(name, name.partition("-")[0]), servers)
+            self.network.start(name, Location(name, name.partition("-")[0]), servers)
             await member.start()
             self.members[name] = member
         await asyncio.sleep(4)
@@ -53,13 +53,13 @@
         leading = [name for name in among if self.members[name].node.is_leader]
         return max(leading, key=lambda name: self.members[name].node.term, default="")
 
-    def cut(self, *pairs: tuple[tuple[str, ...], tuple[str, ...]]) -> list[Cut]:
-        cuts = [Cut(frozenset(one), frozenset(other)) for one, other in pairs]
+    def cut(self, *pairs: tuple[tuple[str, ...], tuple[str, ...]]) -> list[Partition]:
+        cuts = [Partition(frozenset(one), frozenset(other)) for one, other in pairs]
         for cut in cuts:
             self.network.cut(cut)
         return cuts
 
-    def heal(self, cuts: list[Cut]) -> None:
+    def heal(self, cuts: list[Partition]) -> None:
         for cut in cuts:
             self.network.heal(cut)
 
@@ -168,8 +168,8 @@
     def test_a_link_that_is_choked_elects_nobody_anew(self) -> None:
         async def work(group: _Group) -> None:
             term = group.members[group.leader()].node.term
-            group.network.weather = replace(
-                group.network.weather, region_delay_s=10 * _FAR_S, extra_delay_s=0.05
+            group.network.conditions = replace(
+                group.network.conditions, region_delay_s=10 * _FAR_S, extra_delay_s=0.05
             )
             await asyncio.sleep(20)
             self.assertEqual(group.members[group.leader()].node.term, term)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -9,7 +9,7 @@
 from heronladder_control.options import ControlOptions
 from heronladder_emulator.memory_disk import MemoryDisk
 from heronladder_emulator.memory_stubs import MemoryStubs
-from heronladder_emulator.network import Cut, MemoryNetwork, Place, Weather
+from heronladder_emulator.network import Location, MemoryNetwork, NetworkConditions, Partition
 from heronladder_router.errors import BudgetExhaustedError, BudgetUnavailableError
 from heronladder_router.leases import LeaseManager
 from heronladder_runtime.clock import Environment
@@ -29,7 +29,7 @@
     def __init__(self, seed: int) -> None:
         source = random.Random(seed)
         self.environment = Environment(source, virtual=True)
-        self.network = MemoryNetwork(source, Weather())
+        self.network = MemoryNetwork(source, NetworkConditions())
         self.random = source
         self.members: dict[str, list[ControlMember]] = {}
         self.links: dict[str, ControlLink] = {}
@@ -70,13 +70,13 @@
         disk = MemoryDisk(self.random).handle()
         member = ControlMember(options, disk, stubs, self.environment, lambda error: None)
         servers = {"consensus": member.consensus_service, "control": member.service}
-        self.network.start(name, Place(region, region), servers)
+        self.network.start(name, Location(region, region), servers)
         await member.start()
         return member
 
     async def _router(self, region: str) -> None:
         name = f"{region}-router"
-        self.network.start(name, Place(region, region), {})
+        self.network.start(name, Location(region, region), {})
         record = ledger_pb2.DaemonRecord(
             name=name, role="router", incarnation=f"{name}-1", region=region
         )
@@ -104,17 +104,17 @@
             await asyncio.sleep(0.05)
         return had
 
-    def cut(self) -> list[Cut]:
+    def cut(self) -> list[Partition]:
         sides = [
             frozenset(name for name in self.network.endpoints if name.startswith(region))
             for region in REGIONS
         ]
-        cuts = [Cut(sides[0], sides[1]), Cut(sides[1], sides[0])]
+        cuts = [Partition(sides[0], sides[1]), Partition(sides[1], sides[0])]
         for cut in cuts:
             self.network.cut(cut)
         return cuts
 
-    def heal(self, cuts: list[Cut]) -> None:
+    def heal(self, cuts: list[Partition]) -> None:
         for cut in cuts:
             self.network.heal(cut)
 
--- a/tests/test_stretched_group.py
+++ b/tests/test_stretched_group.py
@@ -13,7 +13,7 @@
 from heronladder_daemon.compose_gateway import compose_gateway
 from heronladder_emulator.memory_disk import MemoryDisk
 from heronladder_emulator.memory_stubs import MemoryStubs
-from heronladder_emulator.network import MemoryNetwork, Place, Weather
+from heronladder_emulator.network import Location, MemoryNetwork, NetworkConditions
 from heronladder_platform import names as platform_names
 from heronladder_platform.settings import CONTROL, GATEWAY, translate
 from heronladder_router.gateway_role import GatewayRole
@@ -84,7 +84,7 @@
         async def work() -> tuple[list[str], dict[str, str]]:
             source = random.Random(1)
             environment = Environment(source, virtual=True)
-            network = MemoryNetwork(source, Weather())
+            network = MemoryNetwork(source, NetworkConditions())
             ended: dict[str, str] = {}
             names = [f"m{number}" for number in range(len(groups))]
             first = [
@@ -102,7 +102,7 @@
                 stubs = MemoryStubs(network, name)
                 member = ControlMember(options, disk, stubs, environment, failed)
                 servers = {"consensus": member.consensus_service, "control": member.service}
-                network.start(name, Place(name, name), servers)
+                network.start(name, Location(name, name), servers)
                 await member.start()
                 members[name] = member
             await asyncio.sleep(10)
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from heronladder_emulator.books import Books
+from heronladder_emulator.execution_records import ExecutionRecords
 from heronladder_runtime.manifests import parse_manifests
 from heronladder_runtime.metrics import Metrics
 from heronladder_schema.v1 import ledger_pb2
@@ -103,7 +103,7 @@
         workload = Workload(PROFILES["comedores"], random.Random(1))
         calls = [workload.next_call() for _ in range(30)]
         call = next(call for call in calls if call.kind.name == "allergens")
-        books = Books()
+        books = ExecutionRecords()
         run = books.start_run("r1", "e", 20)
         run.generated = 30
         bills = BillBook()
