--- a/packages/heronladder-emulator/src/heronladder_emulator/__init__.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what heronladder talks to."""
+"""Emulated engines, services, platform, network and disks for tests and simulations."""
--- a/packages/heronladder-emulator/src/heronladder_emulator/engine.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/engine.py
@@ -1,9 +1,9 @@
-"""A stand-in for a model engine that batches continuously.
+"""Emulation of a model engine with continuous batching.
 
-Each step takes a time that grows with the prompts it reads and the sequences
-it carries on, and gives every running sequence one token. What it answers
-follows from the prompt alone, so that anyone can tell whether an answer is
-whole and belongs to its request.
+The duration of each step grows with the number of prompt tokens it processes
+and with the batch size; each step generates one token for every running
+sequence. The completion is a function of the prompt alone, so a caller can
+check that a response is complete and belongs to its request.
 """
 
 import asyncio
@@ -19,29 +19,29 @@
 from heronladder_emulator.prefix_cache import BLOCK_BYTES, PrefixCache, block_hashes
 
 BYTES_PER_TOKEN = 4
-_EVENTS_KEPT = 2_000
+_MAX_RECORDED_ENTRIES = 2_000
 
 
 class EngineCrashedError(Exception):
-    """The engine died, or broke off a stream, as it was told to."""
+    """The engine crashed or broke a stream because of an injected fault."""
 
 
 @dataclass(frozen=True)
 class EngineOptions:
-    """How an engine behaves; times in seconds.
+    """Performance and behaviour of an engine.
 
     Attributes:
-        name: Its name.
-        max_batch: Sequences carried on at once.
-        step_s: Time of a step by itself.
-        sequence_s: Time that each sequence adds to a step.
-        prefill_token_s: Time that each prompt token read adds to a step.
-        prefill_step_tokens: Prompt tokens read in one step at the most.
-        cache_blocks: Blocks of its prefix cache.
-        checks_fences: Whether it refuses orders with an old fence.
-        report_lag_s: Age of the load it reports.
-        event_lag_s: Age of the cache events it publishes.
-        event_gap_every: One in so many cache events is lost; 0 for none.
+        name: Name of the engine.
+        max_batch: Maximum number of sequences in the batch.
+        step_s: Fixed duration of a step, in seconds.
+        sequence_s: Time that each running sequence adds to a step, in seconds.
+        prefill_token_s: Time that each processed prompt token adds to a step, in seconds.
+        prefill_step_tokens: Maximum number of prompt tokens processed in one step.
+        cache_blocks: Capacity of the prefix cache, in blocks.
+        checks_fences: Whether the engine refuses orders with an outdated fence.
+        report_lag_s: Age of the reported load, in seconds.
+        event_lag_s: Delay after which cache events are published, in seconds.
+        event_gap_every: Every n-th cache event is lost; 0 loses none.
     """
 
     name: str
@@ -59,13 +59,13 @@
 
 @dataclass
 class EngineFaults:
-    """Faults switched on by command.
+    """Faults injected into an engine.
 
     Attributes:
-        stalled: No step is made.
-        crashed: No connection is taken and all streams break.
-        slow_factor: Steps take so many times as long.
-        drop_after_tokens: Streams break after so many tokens; 0 for never.
+        stalled: The engine executes no steps.
+        crashed: The engine refuses connections and breaks all streams.
+        slow_factor: Factor by which steps take longer.
+        drop_after_tokens: Number of tokens after which streams break; 0 for never.
     """
 
     stalled: bool = False
@@ -76,25 +76,28 @@
 
 @dataclass
 class Sequence:
-    """A request in the engine.
+    """A request that the engine has accepted.
 
     Attributes:
         prompt: The prompt.
-        max_tokens: Most tokens to generate.
-        priority: Higher ones are taken up first.
-        run: Its entry in the books.
-        prefill_left: Prompt tokens still to be read.
-        cached_tokens: Prompt tokens found in the cache.
-        length: Tokens it will have generated when it ends.
-        ready: Tokens generated and not yet passed on.
-        changed: Given at each change.
+        max_tokens: Maximum number of tokens to generate.
+        priority: Sequences with a higher priority join the batch first.
+        run: Record of the execution.
+        prefill_remaining: Number of prompt tokens not processed yet.
+        cached_tokens: Number of prompt tokens found in the prefix cache.
+        length: Number of tokens of the complete response.
+        emitted: Unused; ``run.generated`` counts the generated tokens.
+        failed: Whether the engine crashed while it held the sequence.
+        cancelled: Whether the stream was closed or the engine crashed.
+        arrival: Sequence number that orders requests of equal priority.
+        changed: Signals new tokens and failure.
     """
 
     prompt: bytes
     max_tokens: int
     priority: int
     run: EngineRun
-    prefill_left: int = 0
+    prefill_remaining: int = 0
     cached_tokens: int = 0
     length: int = 0
     emitted: int = 0
@@ -105,35 +108,35 @@
 
 
 def prompt_tokens(prompt: bytes) -> int:
-    """Return how many tokens the engine counts for a prompt."""
+    """Return the number of tokens of a prompt."""
     return -(-len(prompt) // BYTES_PER_TOKEN)
 
 
-def answer_length(prompt: bytes, max_tokens: int) -> int:
-    """Return how many tokens the engine answers to a prompt."""
+def completion_length(prompt: bytes, max_tokens: int) -> int:
+    """Return the number of tokens of the completion of a prompt."""
     length = 8 + xxhash.xxh3_64_intdigest(prompt) % 56
     return min(max_tokens, length)
 
 
-def answer_token(prompt: bytes, position: int) -> str:
-    """Return one token of the answer to a prompt."""
+def completion_token(prompt: bytes, position: int) -> str:
+    """Return the token at a position of the completion of a prompt."""
     digest = xxhash.xxh3_64_intdigest(prompt, seed=position + 1)
     return f" w{digest % 100_000:05d}"
 
 
 def expected_completion(prompt: bytes, max_tokens: int) -> str:
-    """Return the whole answer to a prompt."""
-    length = answer_length(prompt, max_tokens)
-    return "".join(answer_token(prompt, position) for position in range(length))
+    """Return the complete text that the engine generates for a prompt."""
+    length = completion_length(prompt, max_tokens)
+    return "".join(completion_token(prompt, position) for position in range(length))
 
 
 class EmulatedEngine:
-    """One engine.
+    """An engine with a batch, a prefix cache and injectable faults.
 
     Args:
-        options: How it behaves.
-        books: Where it notes what it did.
-        environment: Time and randomness.
+        options: Performance and behaviour of the engine.
+        books: Records of what the engine executes.
+        environment: Clock and source of randomness.
     """
 
     def __init__(
@@ -153,17 +156,17 @@
         self._arrivals = 0
         self._wake = Pulse()
         self._task: asyncio.Task[None] | None = None
-        self._loads: deque[tuple[float, int, int]] = deque(maxlen=_EVENTS_KEPT)
-        self._events: deque[tuple[float, int, str, int]] = deque(maxlen=_EVENTS_KEPT)
+        self._loads: deque[tuple[float, int, int]] = deque(maxlen=_MAX_RECORDED_ENTRIES)
+        self._events: deque[tuple[float, int, str, int]] = deque(maxlen=_MAX_RECORDED_ENTRIES)
         self._event_number = 0
         self.prefilled_tokens = 0
 
     def start(self) -> None:
-        """Begin to make steps."""
+        """Start executing steps."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
-        """End."""
+        """Stop executing steps."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.wait([self._task])
@@ -171,10 +174,10 @@
     # ---- requests ---------------------------------------------------------
 
     def submit(self, request_id: str, prompt: bytes, max_tokens: int, priority: int) -> Sequence:
-        """Take a request in.
+        """Accept a request and queue it for the batch.
 
         Raises:
-            EngineCrashedError: If the engine is down.
+            EngineCrashedError: If the engine has crashed.
         """
         if self.faults.crashed:
             raise EngineCrashedError(self.options.name)
@@ -182,16 +185,18 @@
         run = self._books.start_run(request_id, self.options.name, count)
         self._arrivals += 1
         sequence = Sequence(prompt, max_tokens, priority, run, arrival=self._arrivals)
-        sequence.length = answer_length(prompt, max_tokens)
+        sequence.length = completion_length(prompt, max_tokens)
         matched = self.cache.match(block_hashes(prompt))
         sequence.cached_tokens = min(count, matched * BLOCK_BYTES // BYTES_PER_TOKEN)
-        sequence.prefill_left = count - sequence.cached_tokens
+        sequence.prefill_remaining = count - sequence.cached_tokens
         self._waiting.append(sequence)
         self._wake.give()
         return sequence
 
     async def tokens(self, sequence: Sequence) -> AsyncIterator[str]:
-        """Yield a request's tokens as they are generated; closing it cancels the request.
+        """Yield a request's tokens as they are generated.
+
+        Closing the iterator cancels the request.
 
         Raises:
             EngineCrashedError: If the stream breaks.
@@ -203,7 +208,7 @@
                 while position < sequence.run.generated:
                     if drop_after and position >= drop_after:
                         raise EngineCrashedError("stream dropped")
-                    yield answer_token(sequence.prompt, position)
+                    yield completion_token(sequence.prompt, position)
                     position += 1
                 if sequence.failed:
                     raise EngineCrashedError(self.options.name)
@@ -214,7 +219,7 @@
             sequence.cancelled = True
 
     def resume(self, sequence: Sequence) -> None:
-        """Take a cancelled request up again where it stopped."""
+        """Continue a cancelled request after the tokens generated so far."""
         sequence.cancelled = False
         if sequence not in self._running and not sequence.run.finished:
             self._waiting.append(sequence)
@@ -224,12 +229,12 @@
 
     async def _run(self) -> None:
         while True:
-            self._drop_cancelled()
-            self._take_up()
+            self._remove_cancelled()
+            self._admit_waiting()
             if not self._running or self.faults.stalled or self.faults.crashed:
                 await self._wake.wait()
                 continue
-            prefill = self._read_prompts()
+            prefill = self._prefill_step()
             options = self.options
             step_s = options.step_s + options.sequence_s * len(self._running)
             step_s += options.prefill_token_s * prefill
@@ -239,31 +244,35 @@
             now = self._environment.monotonic()
             self._loads.append((now, len(self._running), len(self._waiting)))
 
-    def _drop_cancelled(self) -> None:
+    def _remove_cancelled(self) -> None:
         self._running = [entry for entry in self._running if not entry.cancelled]
         self._waiting = [entry for entry in self._waiting if not entry.cancelled]
 
-    def _take_up(self) -> None:
+    def _admit_waiting(self) -> None:
         self._waiting.sort(key=lambda entry: (-entry.priority, entry.arrival))
         while self._waiting and len(self._running) < self.options.max_batch:
             self._running.append(self._waiting.pop(0))
 
-    def _read_prompts(self) -> int:
-        """Read prompts up to the step's bound; return how many tokens were read."""
-        left = self.options.prefill_step_tokens
+    def _prefill_step(self) -> int:
+        """Process prompt tokens up to the limit of a step.
+
+        Returns:
+            Number of prompt tokens processed.
+        """
+        remaining = self.options.prefill_step_tokens
         for sequence in self._running:
-            read = min(left, sequence.prefill_left)
-            sequence.prefill_left -= read
-            left -= read
-            if read and sequence.prefill_left == 0:
+            processed = min(remaining, sequence.prefill_remaining)
+            sequence.prefill_remaining -= processed
+            remaining -= processed
+            if processed and sequence.prefill_remaining == 0:
                 self._publish(*self.cache.add(block_hashes(sequence.prompt)))
-        read_now = self.options.prefill_step_tokens - left
-        self.prefilled_tokens += read_now
-        return read_now
+        total_processed = self.options.prefill_step_tokens - remaining
+        self.prefilled_tokens += total_processed
+        return total_processed
 
     def _generate(self) -> None:
         for sequence in self._running:
-            if sequence.prefill_left:
+            if sequence.prefill_remaining:
                 continue
             if sequence.run.generated < sequence.length:
                 sequence.run.generated += 1
@@ -279,40 +288,58 @@
                 self._event_number += 1
                 gap = self.options.event_gap_every
                 if gap and self._event_number % gap == 0:
-                    continue  # lost on the way
+                    continue  # Emulates the loss of an event.
                 self._events.append((now, self._event_number, kind, block))
 
-    # ---- reports, orders, faults ------------------------------------------
+    # ---- reports, orders and faults ---------------------------------------
 
     def load_report(self) -> tuple[int, int]:
-        """Return (running, waiting) as they were a while ago."""
-        oldest = self._environment.monotonic() - self.options.report_lag_s
+        """Return the numbers of running and waiting sequences ``report_lag_s`` ago."""
+        reported_at_s = self._environment.monotonic() - self.options.report_lag_s
         report = (0, 0)
-        for moment, running, waiting in self._loads:
-            if moment > oldest:
+        for recorded_at_s, running, waiting in self._loads:
+            if recorded_at_s > reported_at_s:
                 break
             report = (running, waiting)
         return report
 
     def cache_events(self, after: int) -> list[tuple[int, str, int]]:
-        """Return (number, kind, block) of events after a number: late, and with gaps."""
-        oldest = self._environment.monotonic() - self.options.event_lag_s
+        """Return the published cache events that follow a sequence number.
+
+        Events appear ``event_lag_s`` after they occurred, and lost ones leave gaps.
+
+        Args:
+            after: Sequence number of the last event that the caller knows.
+
+        Returns:
+            Sequence number, kind (``stored`` or ``removed``) and block hash of each event.
+        """
+        latest_s = self._environment.monotonic() - self.options.event_lag_s
         return [
             (number, kind, block)
-            for moment, number, kind, block in self._events
-            if number > after and moment <= oldest
+            for recorded_at_s, number, kind, block in self._events
+            if number > after and recorded_at_s <= latest_s
         ]
 
     def export_blocks(self) -> list[int]:
-        """Return the blocks of the cache, for another engine."""
+        """Return the block hashes of the cache for import by another engine."""
         return self.cache.blocks()
 
     def import_blocks(self, blocks: list[int]) -> None:
-        """Take in blocks of another engine's cache."""
+        """Add blocks exported from another engine's cache."""
         self._publish(*self.cache.add(blocks))
 
     def order(self, action: str, argument: str, fence: int) -> bool:
-        """Carry out an order; return False if its fence is old."""
+        """Execute an order.
+
+        Args:
+            action: ``load_model``, ``load_adapter`` or ``set_role``; others do nothing.
+            argument: Name of the model, adapter or role.
+            fence: Fencing token of the order.
+
+        Returns:
+            False if the engine checks fences and has seen a higher one, otherwise True.
+        """
         if self.options.checks_fences:
             if fence < self.highest_fence:
                 return False
@@ -326,7 +353,7 @@
         return True
 
     def set_faults(self, faults: EngineFaults) -> None:
-        """Switch faults on or off."""
+        """Replace the injected faults; a crash fails all sequences and clears the cache."""
         was_crashed = self.faults.crashed
         self.faults = faults
         if faults.crashed and not was_crashed:
--- a/packages/heronladder-emulator/src/heronladder_emulator/engine_protocol.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/engine_protocol.py
@@ -1,4 +1,8 @@
-"""The OpenAI-compatible protocol of the emulated engine, apart from any transport."""
+"""The OpenAI-compatible protocol of the emulated engine.
+
+It is independent of the transport, so that the HTTP server and the simulated
+network share it.
+"""
 
 import json
 from collections.abc import AsyncIterator
@@ -7,17 +11,18 @@
 
 from heronladder_emulator.engine import EmulatedEngine, EngineCrashedError, Sequence
 
-_CREATED = 0  # the same answer is the same bytes
+_CREATED = 0  # A fixed time makes equal responses equal byte for byte.
 
 
 @dataclass
 class ProtocolAnswer:
-    """An answer as it goes over any transport.
+    """A response, independent of the transport.
 
     Attributes:
         status: HTTP status.
-        content_type: Content type.
-        chunks: Parts of the body; raises ``EngineCrashedError`` when it breaks.
+        content_type: Media type of the body.
+        chunks: Chunks of the body; iteration raises ``EngineCrashedError`` when the
+            stream breaks.
     """
 
     status: int
@@ -25,17 +30,17 @@
     chunks: AsyncIterator[bytes]
 
 
-async def _one(document: dict[str, Any]) -> AsyncIterator[bytes]:
+async def _single_chunk(document: dict[str, Any]) -> AsyncIterator[bytes]:
     yield json.dumps(document).encode()
 
 
 def _error(status: int, message: str) -> ProtocolAnswer:
     document = {"error": {"message": message, "type": "invalid_request_error"}}
-    return ProtocolAnswer(status, "application/json", _one(document))
+    return ProtocolAnswer(status, "application/json", _single_chunk(document))
 
 
 def prompt_of(document: dict[str, Any], *, chat: bool) -> bytes:
-    """Return the text that the engine reads of a request."""
+    """Return the prompt text of a completion or chat completion request."""
     if not chat:
         return str(document.get("prompt", "")).encode()
     messages = document.get("messages", [])
@@ -47,10 +52,17 @@
 async def complete(
     engine: EmulatedEngine, path: str, body: bytes, request_id: str, priority: int
 ) -> ProtocolAnswer:
-    """Serve a completion or chat completion.
+    """Serve a completion or chat completion request.
+
+    Args:
+        engine: Engine that executes the request.
+        path: Request path; it selects chat or plain completions.
+        body: JSON body of the request.
+        request_id: Id under which the execution is recorded.
+        priority: Priority in the engine's queue.
 
     Raises:
-        EngineCrashedError: If the engine is down, or dies before it answers.
+        EngineCrashedError: If the engine has crashed, or crashes before the response starts.
     """
     try:
         document = json.loads(body)
@@ -67,8 +79,8 @@
         stream = _stream(engine, sequence, model, request_id, chat=chat, usage=usage)
         return ProtocolAnswer(200, "text/event-stream", stream)
     text = "".join([token async for token in engine.tokens(sequence)])
-    document = _whole(sequence, model, request_id, text, chat=chat)
-    return ProtocolAnswer(200, "application/json", _one(document))
+    document = _complete_document(sequence, model, request_id, text, chat=chat)
+    return ProtocolAnswer(200, "application/json", _single_chunk(document))
 
 
 def _usage(sequence: Sequence) -> dict[str, Any]:
@@ -81,7 +93,7 @@
     }
 
 
-def _whole(
+def _complete_document(
     sequence: Sequence, model: str, request_id: str, text: str, *, chat: bool
 ) -> dict[str, Any]:
     choice: dict[str, Any] = {"index": 0, "finish_reason": "stop", "logprobs": None}
@@ -124,7 +136,7 @@
 
 
 def answer_text(chunks: list[bytes]) -> str:
-    """Return the text that a caller reads from the parts of an event stream."""
+    """Return the completion text contained in the chunks of an event stream."""
     text = []
     for event in b"".join(chunks).split(b"\n\n"):
         if not event.startswith(b"data: {"):
--- a/packages/heronladder-emulator/src/heronladder_emulator/execution_records.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/execution_records.py
@@ -1,4 +1,8 @@
-"""The stand-ins' own books: what really happened, to check heronladder against."""
+"""Records of what emulated engines and services executed.
+
+They are kept independently of heronladder, so that its bills and reports can be
+checked against what really happened.
+"""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -6,13 +10,13 @@
 
 @dataclass
 class EngineRun:
-    """What an engine did for one request.
+    """One execution of a request by an engine.
 
     Attributes:
         engine: Name of the engine.
-        prompt_tokens: Tokens of the prompt.
-        generated: Tokens generated so far.
-        finished: Whether it generated all that it meant to.
+        prompt_tokens: Number of tokens of the prompt.
+        generated: Number of tokens generated so far.
+        finished: Whether the completion was generated to its end.
     """
 
     engine: str
@@ -23,12 +27,12 @@
 
 @dataclass
 class ExecutionRecords:
-    """Books of all stand-ins of one run.
+    """Records of all emulated engines and services of one simulation or test.
 
     Attributes:
-        engine_runs: Runs of each request id, one for each time it was started.
-        executions: How often each order of a plain service was carried out.
-        executed_requests: Request ids that a plain service carried out.
+        engine_runs: Runs by request id, one for each time an engine accepted the request.
+        executions: Number of executions by order id, over all plain services.
+        executed_requests: Number of executions by request id, over all plain services.
     """
 
     engine_runs: dict[str, list[EngineRun]] = field(default_factory=dict)
@@ -36,21 +40,21 @@
     executed_requests: Counter[str] = field(default_factory=Counter)
 
     def start_run(self, request_id: str, engine: str, prompt_tokens: int) -> EngineRun:
-        """Open the books for a run that starts."""
+        """Add and return the record of a run that starts."""
         run = EngineRun(engine, prompt_tokens)
         self.engine_runs.setdefault(request_id, []).append(run)
         return run
 
     def ran(self, request_id: str) -> bool:
-        """Whether a request was started anywhere."""
+        """Return whether any engine or service started to execute a request."""
         return request_id in self.engine_runs or self.executed_requests[request_id] > 0
 
     def tokens_served(self) -> int:
-        """Return all prompt and generated tokens of all runs."""
+        """Return the number of prompt and generated tokens of all runs."""
         return sum(
             run.prompt_tokens + run.generated for runs in self.engine_runs.values() for run in runs
         )
 
     def tokens_generated(self) -> int:
-        """Return all generated tokens of all runs."""
+        """Return the number of generated tokens of all runs."""
         return sum(run.generated for runs in self.engine_runs.values() for run in runs)
--- a/packages/heronladder-emulator/src/heronladder_emulator/http.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/http.py
@@ -1,4 +1,4 @@
-"""HTTP fronts of the stand-ins."""
+"""HTTP servers for the emulated engine, plain service and platform."""
 
 import json
 from dataclasses import replace
@@ -12,7 +12,7 @@
 
 _REQUEST_ID = "X-Request-Id"
 _FENCE = "Heronladder-Fence"
-_MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
+_MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 def _number(request: web.Request, header: str) -> int:
@@ -24,15 +24,15 @@
     """Serves an emulated engine over HTTP.
 
     Args:
-        engine: The engine.
+        engine: Engine to serve.
     """
 
     def __init__(self, engine: EmulatedEngine) -> None:
         self._engine = engine
 
     def application(self) -> web.Application:
-        """Return the application."""
-        application = web.Application(client_max_size=_MAXIMUM_BODY_BYTES)
+        """Return the aiohttp application with all routes."""
+        application = web.Application(client_max_size=_MAX_BODY_BYTES)
         routes = application.router
         routes.add_post("/v1/chat/completions", self._complete)
         routes.add_post("/v1/completions", self._complete)
@@ -49,29 +49,29 @@
         request_id = request.headers.get(_REQUEST_ID, "")
         headers = {_REQUEST_ID: request_id}
         try:
-            answer = await complete(
+            completion = await complete(
                 self._engine,
                 request.path,
                 await request.read(),
                 request_id,
                 _number(request, "X-Priority"),
             )
-            response = web.StreamResponse(status=answer.status, headers=headers)
-            response.content_type = answer.content_type
-            if answer.content_type == "application/json":
-                body = b"".join([chunk async for chunk in answer.chunks])
+            response = web.StreamResponse(status=completion.status, headers=headers)
+            response.content_type = completion.content_type
+            if completion.content_type == "application/json":
+                body = b"".join([chunk async for chunk in completion.chunks])
                 return web.Response(
-                    status=answer.status,
+                    status=completion.status,
                     body=body,
                     headers=headers,
-                    content_type=answer.content_type,
+                    content_type=completion.content_type,
                 )
             await response.prepare(request)
             try:
-                async for chunk in answer.chunks:
+                async for chunk in completion.chunks:
                     await response.write(chunk)
             finally:
-                await answer.chunks.aclose()  # type: ignore[attr-defined]
+                await completion.chunks.aclose()  # type: ignore[attr-defined]
             return response
         except (EngineCrashedError, ConnectionResetError):
             if request.transport is not None:
@@ -118,15 +118,15 @@
     """Serves an emulated plain service over HTTP.
 
     Args:
-        service: The service.
+        service: Service to serve.
     """
 
     def __init__(self, service: EmulatedService) -> None:
         self._service = service
 
     def application(self) -> web.Application:
-        """Return the application."""
-        application = web.Application(client_max_size=_MAXIMUM_BODY_BYTES)
+        """Return the aiohttp application with all routes."""
+        application = web.Application(client_max_size=_MAX_BODY_BYTES)
         application.router.add_post("/faults", self._faults)
         application.router.add_route("*", "/{path:.*}", self._call)
         return application
@@ -162,8 +162,8 @@
     """Serves the platform's list of machines and its weight store over HTTP.
 
     Args:
-        machines: The list.
-        weights: The store.
+        machines: Machine list of the platform.
+        weights: Store of model weights.
     """
 
     def __init__(self, machines: PlatformList, weights: WeightStore) -> None:
@@ -171,7 +171,7 @@
         self._weights = weights
 
     def application(self) -> web.Application:
-        """Return the application."""
+        """Return the aiohttp application with all routes."""
         application = web.Application()
         application.router.add_get("/machines", self._list)
         application.router.add_put("/machines/{name}", self._set)
@@ -205,6 +205,6 @@
     async def _read_weights(self, request: web.Request) -> web.Response:
         text = request.match_info["size"]
         if not text.isdigit():
-            raise web.HTTPBadRequest(text="give the size in bytes")
+            raise web.HTTPBadRequest(text=f"size in bytes must be a decimal number, got {text!r}")
         await self._weights.read(int(text))
         return web.json_response({"size": int(text)})
--- a/packages/heronladder-emulator/src/heronladder_emulator/memory_disk.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/memory_disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory that loses what was not synced when its process crashes."""
+"""An in-memory disk that loses unsynced data when its process crashes."""
 
 import asyncio
 import random
@@ -8,11 +8,11 @@
 
 
 class MemoryDisk(Disk):
-    """The files of one process, over its crashes.
+    """The files of one process, which outlive its crashes.
 
     Args:
-        source: Source of random choices: how much of a torn write is left.
-        sync_s: Time of a sync, in seconds.
+        source: Random generator that decides how much of a torn write survives.
+        sync_s: Duration of a sync, in seconds.
     """
 
     def __init__(self, source: random.Random, sync_s: float = 0.001) -> None:
@@ -20,14 +20,14 @@
         self.sync_s = sync_s
         self._durable: dict[str, bytes] = {}
         self._current: dict[str, bytearray] = {}
-        self._starts = 0
+        self._start_count = 0
         self.fail_syncs = False
         self.refuse_removals = False
         self.refuse_whole_files = False
 
     def crash(self) -> None:
-        """Lose what was not synced; the last write may be torn at any byte."""
-        self._starts += 1
+        """Discard unsynced data; the last write may be torn at any byte."""
+        self._start_count += 1
         for name, durable in self._durable.items():
             written = self._current.get(name, bytearray())
             unsynced = bytes(written[len(durable) :])
@@ -37,53 +37,61 @@
         self._current = {name: bytearray(data) for name, data in self._durable.items()}
 
     def wipe(self) -> None:
-        """Lose everything, as when the disk is replaced."""
-        self._starts += 1
+        """Delete all files, as when the disk is replaced."""
+        self._start_count += 1
         self._durable.clear()
         self._current.clear()
 
     def handle(self) -> "DiskHandle":
-        """Return the disk as one start of the process uses it."""
-        return DiskHandle(self, self._starts)
+        """Return a handle for the current start of the process."""
+        return DiskHandle(self, self._start_count)
 
-    def same_start(self, start: int) -> bool:
-        """Whether the process that got its handle at ``start`` still lives."""
-        return start == self._starts
+    def is_current_start(self, start: int) -> bool:
+        """Return whether the process has not crashed since the given start."""
+        return start == self._start_count
 
     def names(self) -> list[str]:
         """Return the names of all files."""
         return sorted(self._current)
 
     def read(self, name: str) -> bytes:
-        """Return a whole file."""
+        """Return the content of a file, including unsynced data."""
         if name not in self._current:
             raise StorageError("no such file", step="read", peer=name)
         return bytes(self._current[name])
 
     def append(self, name: str, data: bytes) -> None:
-        """Add bytes, not yet synced."""
+        """Append bytes without syncing them."""
         self._current.setdefault(name, bytearray()).extend(data)
         self._durable.setdefault(name, b"")
 
     async def sync(self, name: str) -> None:
-        """Sync a file."""
+        """Make the current content of a file durable.
+
+        Raises:
+            StorageError: If syncs are set to fail; the file then loses its unsynced data.
+        """
         size = len(self._current[name])
-        start = self._starts
+        start = self._start_count
         await asyncio.sleep(self.sync_s)
-        if start != self._starts:
+        if start != self._start_count:
             return
         if self.fail_syncs:
-            # What could not be written is cut off again, as on a real folder.
+            # Unsynced data is truncated, as the disk implementation for real files does.
             self._current[name] = bytearray(self._durable.get(name, b""))
             raise StorageError("input/output error", step="sync", peer=name)
         if name in self._current:
             self._durable[name] = bytes(self._current[name][:size])
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Write a whole file, old or new after a crash."""
-        start = self._starts
+        """Replace a file atomically; after a crash it holds the old or the new content.
+
+        Raises:
+            StorageError: If syncs or replacements are set to fail.
+        """
+        start = self._start_count
         await asyncio.sleep(self.sync_s)
-        if start != self._starts:
+        if start != self._start_count:
             return
         if self.fail_syncs or self.refuse_whole_files:
             raise StorageError("input/output error", step="replace", peer=name)
@@ -91,12 +99,16 @@
         self._current[name] = bytearray(data)
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file."""
+        """Truncate a file to a size in bytes; this is durable at once."""
         del self._current[name][size:]
         self._durable[name] = bytes(self._current[name])
 
     async def delete(self, name: str) -> None:
-        """Remove a file."""
+        """Delete a file.
+
+        Raises:
+            StorageError: If deletions are set to fail.
+        """
         if self.refuse_removals:
             raise StorageError("input/output error", step="delete", peer=name)
         self._current.pop(name, None)
@@ -111,11 +123,14 @@
 
 
 class DiskHandle(Disk):
-    """A disk as one start of a process uses it; dead once that process crashed.
+    """A disk as one start of a process sees it.
+
+    After the process has crashed, writes through its handle have no effect, so a task
+    that outlives the crash can't change the files of the next start.
 
     Args:
-        disk: The disk.
-        start: Which start of the process.
+        disk: Disk of the process.
+        start: Number of the start of the process.
     """
 
     def __init__(self, disk: MemoryDisk, start: int) -> None:
@@ -124,37 +139,37 @@
 
     @property
     def _alive(self) -> bool:
-        return self._disk.same_start(self._start)
+        return self._disk.is_current_start(self._start)
 
     def names(self) -> list[str]:
         """Return the names of all files."""
         return self._disk.names()
 
     def read(self, name: str) -> bytes:
-        """Return a whole file."""
+        """Return the content of a file, including unsynced data."""
         return self._disk.read(name)
 
     def append(self, name: str, data: bytes) -> None:
-        """Add bytes, not yet synced."""
+        """Append bytes without syncing them."""
         if self._alive:
             self._disk.append(name, data)
 
     async def sync(self, name: str) -> None:
-        """Sync a file."""
+        """Make the current content of a file durable."""
         if self._alive:
             await self._disk.sync(name)
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Write a whole file."""
+        """Replace a file atomically."""
         if self._alive:
             await self._disk.replace(name, data)
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file."""
+        """Truncate a file to a size in bytes."""
         if self._alive:
             self._disk.truncate(name, size)
 
     async def delete(self, name: str) -> None:
-        """Remove a file."""
+        """Delete a file."""
         if self._alive:
             await self._disk.delete(name)
--- a/packages/heronladder-emulator/src/heronladder_emulator/memory_stubs.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/memory_stubs.py
@@ -1,4 +1,4 @@
-"""Stubs of the project's services over the network in memory."""
+"""Client stubs of heronladder's gRPC services over the in-memory network."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,21 +11,21 @@
 from heronladder_emulator.pipe import Pipe
 
 _DEFAULT_TIMEOUT_S = 10.0
-_END = object()
+_END_OF_STREAM = object()
 
 
 def _copy(message: Any) -> Any:
-    """Return a message as it would come out of the wire."""
+    """Return a message serialised and parsed again, as on a real connection."""
     assert isinstance(message, Message)
     return type(message).FromString(message.SerializeToString())
 
 
 class MemoryStubs:
-    """Makes stubs for one process.
+    """Creates stubs for one calling process.
 
     Args:
-        network: The network.
-        name: Name of the process that calls.
+        network: Network that carries the calls.
+        name: Name of the calling process.
     """
 
     def __init__(self, network: MemoryNetwork, name: str) -> None:
@@ -45,14 +45,14 @@
         return _Stub(self._network, self._name, self._network.resolve(address), "lending")
 
     async def greeted(self, address: str) -> None:
-        """Return at once: streams here need no connection."""
+        """Return at once, because in-memory streams have no connection to wait for."""
 
     async def close(self) -> None:
-        """Close nothing: streams end with their processes."""
+        """Do nothing, because streams end with their processes."""
 
 
 class _Stub:
-    """Has the methods of a generated stub."""
+    """Offers the methods of a generated gRPC stub."""
 
     def __init__(self, network: MemoryNetwork, source: str, target: str, kind: str) -> None:
         self._network = network
@@ -61,7 +61,7 @@
         self._kind = kind
 
     def Session(self, frames: AsyncIterator[Any]) -> "_MemoryStream":
-        """Open a stream of frames both ways."""
+        """Open a bidirectional stream of frames."""
         return _MemoryStream(self._network, self._source, self._target, frames)
 
     def __getattr__(self, method: str) -> Any:
@@ -79,7 +79,7 @@
 
 
 class _MemoryStream:
-    """A call of ``Session``, as the daemon sees it."""
+    """The client side of a ``Session`` call."""
 
     def __init__(
         self, network: MemoryNetwork, source: str, target: str, frames: AsyncIterator[Any]
@@ -88,8 +88,8 @@
         self._source = source
         self._target = target
         self._frames = frames
-        self._up: Pipe | None = None
-        self._down: Pipe | None = None
+        self._to_server: Pipe | None = None
+        self._to_client: Pipe | None = None
         self._sender: asyncio.Task[Any] | None = None
         self._server: asyncio.Task[Any] | None = None
         self._cancelled = False
@@ -103,56 +103,60 @@
         await network.transmit(self._source, self._target)
         if not network.alive(self._target):
             raise RefusedError(f"{self._target} refused the connection")
-        self._up = network.pipe(self._source, self._target)
-        self._down = network.pipe(self._target, self._source)
-        self._sender = network.run_at(self._source, self._send_up(self._up))
-        self._server = network.run_at(self._target, self._serve(self._up, self._down))
+        self._to_server = network.pipe(self._source, self._target)
+        self._to_client = network.pipe(self._target, self._source)
+        self._sender = network.run_at(self._source, self._send_frames(self._to_server))
+        self._server = network.run_at(self._target, self._serve(self._to_server, self._to_client))
         if self._cancelled:
             self.cancel()
         try:
             while True:
-                part = await self._down.receive()
-                if part is _END:
+                message = await self._to_client.receive()
+                if message is _END_OF_STREAM:
                     return
-                yield _copy(part)
+                yield _copy(message)
         finally:
             self.cancel()
 
-    async def _send_up(self, pipe: Pipe) -> None:
+    async def _send_frames(self, pipe: Pipe) -> None:
         try:
             async for frame in self._frames:
                 await pipe.writable()
                 pipe.send(frame)
-            pipe.send(_END)
+            pipe.send(_END_OF_STREAM)
         except NetworkError:
             return
 
     async def _frames_at_server(self, pipe: Pipe) -> AsyncIterator[Any]:
         while True:
-            part = await pipe.receive()
-            if part is _END:
+            message = await pipe.receive()
+            if message is _END_OF_STREAM:
                 return
-            yield _copy(part)
+            yield _copy(message)
 
     async def _serve(self, up: Pipe, down: Pipe) -> None:
         server = self._network.endpoints[self._target].servers["control"]
-        answers = server.Session(self._frames_at_server(up), None)
+        responses = server.Session(self._frames_at_server(up), None)
         try:
-            async for frame in answers:
+            async for frame in responses:
                 await down.writable()
                 down.send(frame)
-            down.send(_END)
+            down.send(_END_OF_STREAM)
         except (NetworkError, StopAsyncIteration):
             down.break_off()
         finally:
-            await answers.aclose()
+            await responses.aclose()
 
     def cancel(self) -> None:
-        """End the call: the server notices when the network lets it."""
+        """Cancel the call.
+
+        The server notices after the network delay, or after the keep-alive timeout while
+        the link is partitioned.
+        """
         self._cancelled = True
         if self._sender is not None:
             self._sender.cancel()
-        if self._up is not None and not self._up.closed:
-            self._up.break_off()
-        if self._down is not None:
-            self._down.close()
+        if self._to_server is not None and not self._to_server.closed:
+            self._to_server.break_off()
+        if self._to_client is not None:
+            self._to_client.close()
--- a/packages/heronladder-emulator/src/heronladder_emulator/network.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/network.py
@@ -1,8 +1,9 @@
-"""A network in memory between simulated processes, with faults.
+"""An in-memory network with fault injection between simulated processes.
 
-Processes are named; each has a place. Links may be cut one way or both, slow,
-lossy, and deliver calls twice or out of order. Streams are ordered as TCP's
-are: a cut holds their parts back, and breaks them when it lasts.
+Processes have a name and a location. Links can be partitioned in one or both
+directions, slow or lossy, and can deliver calls twice or out of order. Streams
+are ordered like TCP streams: a partition delays their messages, and breaks them
+when it lasts longer than the keep-alive timeout.
 """
 
 import asyncio
@@ -18,21 +19,21 @@
 
 Result = TypeVar("Result")
 
-_RESEND_S = 0.2
-_CONNECT_S = 1.0
-_OPEN_SHARE = 0.5
+_RETRANSMIT_INTERVAL_S = 0.2
+_CONNECT_TIMEOUT_S = 1.0
+_OPEN_CONNECTION_PROBABILITY = 0.5
 _LOCAL_DELAY_S = 0.0001
-_LEAST_WAIT_S = 1e-6  # a shorter one is no wait on a virtual clock
-_TURN_S = 0.005  # in which a process whose loop is late reads what has arrived
+_MIN_WAIT_S = 1e-6  # A shorter sleep may not advance a virtual clock.
+_READ_WINDOW_S = 0.005  # Time in which a lagging process reads what has arrived.
 
 
 @dataclass
 class Location:
-    """Where a process stands.
+    """Location of a process.
 
     Attributes:
-        zone: Its zone.
-        region: Its region.
+        zone: Name of the zone.
+        region: Name of the region.
     """
 
     zone: str
@@ -41,11 +42,11 @@
 
 @dataclass
 class Partition:
-    """A cut of the links from some processes to others.
+    """A one-way partition between two groups of processes.
 
     Attributes:
         sources: Names of the processes whose messages are lost.
-        targets: Names of the processes they are lost on the way to.
+        targets: Names of the processes that don't receive these messages.
     """
 
     sources: frozenset[str]
@@ -54,14 +55,15 @@
 
 @dataclass
 class NetworkConditions:
-    """How the network behaves where it is not cut.
+    """Delays and message faults of links that are not partitioned.
 
     Attributes:
-        zone_delay_s: One-way delay between zones.
-        region_delay_s: One-way delay between regions.
-        extra_delay_s: Largest further delay of a message, drawn evenly.
-        loss: Share of calls that are lost on the way.
-        duplicates: Share of calls that are delivered twice.
+        zone_delay_s: One-way delay between zones of a region, in seconds.
+        region_delay_s: One-way delay between regions, in seconds.
+        extra_delay_s: Upper bound of the additional, uniformly distributed delay of a
+            message, in seconds.
+        loss: Probability that a transmission is lost and has to be repeated.
+        duplicates: Probability that a call is delivered twice.
     """
 
     zone_delay_s: float = 0.0009
@@ -76,13 +78,13 @@
     """A process on the network.
 
     Attributes:
-        name: Its name.
-        place: Where it stands.
-        start: Counts its starts; messages to an earlier one are lost.
-        alive: Whether it runs.
-        servers: What it serves, by kind.
-        tasks: Work it does for others.
-        reads_from_s: When its event loop comes to what has arrived.
+        name: Name of the process.
+        place: Location of the process.
+        start: Number of times the process was started.
+        alive: Whether the process runs.
+        servers: Service implementations by kind.
+        tasks: Tasks of the process; they are cancelled when it is killed.
+        next_read_s: Loop time from which its event loop reads what has arrived.
     """
 
     name: str
@@ -91,30 +93,30 @@
     alive: bool = False
     servers: dict[str, Any] = field(default_factory=dict)
     tasks: dict[asyncio.Task[Any], None] = field(default_factory=dict)
-    reads_from_s: float = 0.0
+    next_read_s: float = 0.0
 
 
 class MemoryNetwork:
-    """All links.
+    """All processes and the links between them.
 
     Args:
-        source: Source of random choices.
-        weather: How it behaves where it is not cut.
+        source: Random generator for delays and faults.
+        conditions: Delays and message faults of links that are not partitioned.
     """
 
     def __init__(self, source: random.Random, conditions: NetworkConditions) -> None:
         self.random = source
         self.conditions = conditions
         self.endpoints: dict[str, Endpoint] = {}
-        self.names: dict[str, str] = {}  # process by IP number
-        self._cuts: list[Partition] = []
+        self.names: dict[str, str] = {}  # Process names by IP address.
+        self._partitions: list[Partition] = []
         self.changed = Pulse()
         self._pipes: dict[Pipe, None] = {}
 
     # ---- processes --------------------------------------------------------
 
     def start(self, name: str, place: Location, servers: dict[str, Any]) -> Endpoint:
-        """Put a process on the network, or a new start of one."""
+        """Connect a process to the network, or start it again."""
         endpoint = self.endpoints.setdefault(name, Endpoint(name, place))
         endpoint.start += 1
         endpoint.alive = True
@@ -122,7 +124,7 @@
         return endpoint
 
     def kill(self, name: str) -> None:
-        """Take a process off the network: its work ends, its streams break."""
+        """Disconnect a process: cancel its tasks and break its streams."""
         endpoint = self.endpoints[name]
         endpoint.alive = False
         endpoint.servers = {}
@@ -133,7 +135,7 @@
                 pipe.break_off()
 
     def run_at(self, name: str, work: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
-        """Run work of a process that ends when the process is killed."""
+        """Run a coroutine as a task of a process, cancelled when the process is killed."""
         endpoint = self.endpoints[name]
         task = asyncio.get_running_loop().create_task(work)
         endpoint.tasks[task] = None
@@ -141,103 +143,105 @@
         return task
 
     def alive(self, name: str) -> bool:
-        """Whether a process runs."""
+        """Return whether a process runs."""
         return name in self.endpoints and self.endpoints[name].alive
 
     def resolve(self, address: str) -> str:
-        """Return the name of the process at an address (IP or name, then port)."""
+        """Return the name of the process at an address (IP address or name, and port)."""
         host = address.split(":")[0]
         return self.names.get(host, host)
 
     async def stall(self, name: str, each_s: float, for_s: float) -> None:
-        """Have a process's event loop run late, again and again.
+        """Stall the event loop of a process repeatedly.
 
-        Its timers fire in time: what it decides by them, it decides before it has read what
-        its peers sent.
+        Its timers still fire on time, so decisions made on timers are made before the
+        process has read what its peers sent.
 
         Args:
-            name: The process.
-            each_s: How long each of its turns takes, in seconds.
-            for_s: For how long this goes on, in seconds.
+            name: Name of the process.
+            each_s: Duration of each stall, in seconds.
+            for_s: Total duration of the fault, in seconds.
         """
         endpoint = self.endpoints[name]
         loop = asyncio.get_running_loop()
         until_s = loop.time() + for_s
-        await asyncio.sleep(self.random.random() * each_s)  # not all processes at once
+        await asyncio.sleep(self.random.random() * each_s)  # Avoids stalling all processes at once.
         while loop.time() < until_s:
-            endpoint.reads_from_s = loop.time() + each_s
-            await asyncio.sleep(each_s + _TURN_S)
+            endpoint.next_read_s = loop.time() + each_s
+            await asyncio.sleep(each_s + _READ_WINDOW_S)
 
     async def _wait_until_read(self, name: str) -> None:
         endpoint = self.endpoints.get(name)
         if endpoint is None:
             return
         loop = asyncio.get_running_loop()
-        while (left_s := endpoint.reads_from_s - loop.time()) > 0:
-            await asyncio.sleep(max(left_s, _LEAST_WAIT_S))
+        while (remaining_s := endpoint.next_read_s - loop.time()) > 0:
+            await asyncio.sleep(max(remaining_s, _MIN_WAIT_S))
 
     # ---- links ------------------------------------------------------------
 
     def cut(self, cut: Partition) -> None:
-        """Cut links."""
-        self._cuts.append(cut)
+        """Start a partition."""
+        self._partitions.append(cut)
 
     def heal(self, cut: Partition) -> None:
-        """End a cut."""
-        self._cuts.remove(cut)
+        """End a partition and deliver the stream messages that it held back."""
+        self._partitions.remove(cut)
         for pipe in list(self._pipes):
             pipe.flush()
         self.changed.give()
 
     def open(self, source: str, target: str) -> bool:
-        """Whether messages get from one process to another."""
-        return not any(source in cut.sources and target in cut.targets for cut in self._cuts)
+        """Return whether no partition stops messages from one process to another."""
+        return not any(source in cut.sources and target in cut.targets for cut in self._partitions)
 
     def delay(self, source: str, target: str) -> float:
-        """Return the delay of one message, in seconds."""
-        from_place = self.endpoints[source].place
-        to_place = self.endpoints[target].place
-        if from_place.region != to_place.region:
+        """Return the one-way delay of one message, in seconds, with random jitter."""
+        source_location = self.endpoints[source].place
+        target_location = self.endpoints[target].place
+        if source_location.region != target_location.region:
             base = self.conditions.region_delay_s
-        elif from_place.zone != to_place.zone:
+        elif source_location.zone != target_location.zone:
             base = self.conditions.zone_delay_s
         else:
             base = _LOCAL_DELAY_S
         return base + self.random.random() * self.conditions.extra_delay_s
 
     async def transmit(self, source: str, target: str) -> None:
-        """Take the time of one message on a connection, which sends lost ones again.
+        """Wait as long as one message takes on a connection, with its retransmissions.
 
         Raises:
-            NetworkError: If the link stays cut for so long that the connection breaks.
+            NetworkError: If a partition outlasts the keep-alive timeout.
         """
         await asyncio.sleep(self.delay(source, target))
         while self.random.random() < self.conditions.loss:
-            await asyncio.sleep(_RESEND_S)
+            await asyncio.sleep(_RETRANSMIT_INTERVAL_S)
         silent_s = 0.0
         while not self.open(source, target):
-            await asyncio.sleep(_RESEND_S)
-            silent_s += _RESEND_S
+            await asyncio.sleep(_RETRANSMIT_INTERVAL_S)
+            silent_s += _RETRANSMIT_INTERVAL_S
             if silent_s >= KEEPALIVE_TIMEOUT_S:
                 raise NetworkError(f"{source} to {target}: connection timed out")
         await self._wait_until_read(target)
 
     async def connect(self, source: str, target: str) -> None:
-        """Take the time of opening a connection; half of all calls find one open.
+        """Wait for a connection; half of all calls reuse an open one.
 
         Raises:
-            RefusedError: If none could be opened, so that nothing was sent.
+            RefusedError: If no connection could be opened, so that nothing was sent.
         """
         if target not in self.endpoints:
-            raise RefusedError(f"there is no {target}")
-        if self.random.random() < _OPEN_SHARE:
+            raise RefusedError(f"there is no process named {target}")
+        if self.random.random() < _OPEN_CONNECTION_PROBABILITY:
             return
         waited_s = 0.0
         while not (self.open(source, target) and self.open(target, source)):
-            await asyncio.sleep(_RESEND_S)
-            waited_s += _RESEND_S
-            if waited_s >= _CONNECT_S:
-                raise RefusedError(f"{source} to {target}: no connection")
+            await asyncio.sleep(_RETRANSMIT_INTERVAL_S)
+            waited_s += _RETRANSMIT_INTERVAL_S
+            if waited_s >= _CONNECT_TIMEOUT_S:
+                raise RefusedError(
+                    f"{source} to {target}: no connection within {_CONNECT_TIMEOUT_S} s"
+                )
 
     async def call(
         self,
@@ -248,17 +252,18 @@
         *,
         may_duplicate: bool = True,
     ) -> Result:
-        """Make one call; the target's handler runs once, or twice if duplicated.
+        """Make one call; the handler runs twice if the network duplicates the call.
 
         Args:
             source: Name of the calling process.
-            target: Name of the process that is called.
-            handle: Given the target, returns the handler's coroutine.
-            timeout_s: Time for the whole call, in seconds.
-            may_duplicate: Whether the network may deliver it twice.
+            target: Name of the called process.
+            handle: Function that takes the target's endpoint and returns the handler's
+                coroutine.
+            timeout_s: Timeout of the whole call, in seconds.
+            may_duplicate: Whether the network may deliver the call twice.
 
         Raises:
-            NetworkError: If no answer came.
+            NetworkError: If no response arrived.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -274,7 +279,7 @@
         may_duplicate: bool,
     ) -> Result:
         if source in self.endpoints and not self.alive(source):
-            raise NetworkError(f"{source} is dead and sends nothing")
+            raise NetworkError(f"{source} is not running and can't send")
         await self.connect(source, target)
         await self.transmit(source, target)
         if not self.alive(target):
@@ -300,14 +305,16 @@
         return result
 
     async def _await_result(self, source: str, target: str, work: asyncio.Task[Result]) -> Result:
-        """Wait for a handler, while the connection's keep-alive probes get through."""
+        """Wait for a handler's result as long as keep-alive probes get through."""
         silent_s = 0.0
         while not work.done():
             await asyncio.wait([work], timeout=KEEPALIVE_INTERVAL_S)
-            both = self.open(source, target) and self.open(target, source)
-            silent_s = 0.0 if both else silent_s + KEEPALIVE_INTERVAL_S
+            connected = self.open(source, target) and self.open(target, source)
+            silent_s = 0.0 if connected else silent_s + KEEPALIVE_INTERVAL_S
             if silent_s >= KEEPALIVE_TIMEOUT_S and not work.done():
-                raise NetworkError(f"{source} to {target}: no keep-alive")
+                raise NetworkError(
+                    f"{source} to {target}: no keep-alive response within {KEEPALIVE_TIMEOUT_S} s"
+                )
         return await work
 
     async def _run_copy(
@@ -317,16 +324,16 @@
         try:
             await handle(endpoint)
         except Exception:
-            return  # nobody hears of it
+            return  # The caller only sees the outcome of the other delivery.
 
     # ---- streams ----------------------------------------------------------
 
     def pipe(self, source: str, target: str) -> Pipe:
-        """Return a new ordered stream of parts from one process to another."""
+        """Return a new ordered message stream from one process to another."""
         pipe = Pipe(self, source, target)
         self._pipes[pipe] = None
         return pipe
 
-    def forget(self, pipe: Pipe) -> None:
-        """Forget a stream that is over."""
+    def remove_pipe(self, pipe: Pipe) -> None:
+        """Remove a closed or broken stream."""
         self._pipes.pop(pipe, None)
--- a/packages/heronladder-emulator/src/heronladder_emulator/network_errors.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/network_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the network in memory; to callers of stubs they look like gRPC's."""
+"""Errors of the in-memory network; callers of stubs handle them like gRPC errors."""
 
 import grpc
 
@@ -8,4 +8,4 @@
 
 
 class RefusedError(NetworkError):
-    """Nobody listens at the address; nothing was delivered."""
+    """No process listens at the address; nothing was delivered."""
--- a/packages/heronladder-emulator/src/heronladder_emulator/platform.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform: its lagging list of machines, and its weight store."""
+"""Emulation of the platform: a delayed list of machines, and a store of model weights."""
 
 import asyncio
 from collections import deque
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True)
 class Machine:
-    """A machine as the platform lists it.
+    """An entry in the platform's list of machines.
 
     Attributes:
-        name: Its name.
-        address: Its IP number.
-        leaving: Whether it is to be taken away.
+        name: Name of the machine.
+        address: IP address of the machine.
+        leaving: Whether the platform is about to remove the machine.
     """
 
     name: str
@@ -23,11 +23,11 @@
 
 
 class PlatformList:
-    """Live and leaving machines, shown as they were a while ago.
+    """The platform's list of machines, visible with a delay.
 
     Args:
-        environment: Time.
-        lag_s: Age of what is shown, in seconds.
+        environment: Clock.
+        lag_s: Age of the visible list, in seconds.
     """
 
     def __init__(self, environment: Environment, lag_s: float) -> None:
@@ -42,33 +42,33 @@
         self._history.append((self._environment.monotonic(), self._current))
 
     def remove(self, name: str) -> None:
-        """Take a machine away."""
+        """Remove a machine."""
         self._current = {key: value for key, value in self._current.items() if key != name}
         self._history.append((self._environment.monotonic(), self._current))
 
     def shown(self) -> list[Machine]:
-        """Return the list as it was the lag's time ago."""
-        oldest = self._environment.monotonic() - self._lag_s
-        while len(self._history) > 1 and self._history[1][0] <= oldest:
+        """Return the machines, ordered by name, as they were ``lag_s`` ago."""
+        visible_at_s = self._environment.monotonic() - self._lag_s
+        while len(self._history) > 1 and self._history[1][0] <= visible_at_s:
             self._history.popleft()
         machines = self._history[0][1]
         return [machines[name] for name in sorted(machines)]
 
 
 class WeightStore:
-    """A store of model weights that gives out a bounded number of bytes a second.
+    """A store of model weights with limited bandwidth.
 
     Args:
-        bytes_per_second: Its rate over all readers.
+        bytes_per_second: Bandwidth shared by all readers.
     """
 
     def __init__(self, bytes_per_second: float) -> None:
         self._bytes_per_second = bytes_per_second
-        self._turn = asyncio.Lock()
+        self._read_lock = asyncio.Lock()
         self.bytes_read = 0
 
     async def read(self, size: int) -> None:
-        """Take the time that reading ``size`` bytes takes, one reader after the other."""
-        async with self._turn:
+        """Wait as long as reading ``size`` bytes takes; readers are served one at a time."""
+        async with self._read_lock:
             await asyncio.sleep(size / self._bytes_per_second)
             self.bytes_read += size
--- a/packages/heronladder-emulator/src/heronladder_emulator/prefix_cache.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/prefix_cache.py
@@ -1,4 +1,4 @@
-"""An engine's prefix cache: blocks of prompts in limited memory, oldest out first."""
+"""Emulation of an engine's prefix cache: prompt blocks with least-recently-used eviction."""
 
 from collections import OrderedDict
 
@@ -8,7 +8,7 @@
 
 
 def block_hashes(prompt: bytes) -> list[int]:
-    """Return the hash of each whole block of a prompt, chained with those before it."""
+    """Return the hash of each complete block of a prompt, chained with those before it."""
     hashes = []
     state = 0
     for start in range(0, len(prompt) - BLOCK_BYTES + 1, BLOCK_BYTES):
@@ -18,10 +18,10 @@
 
 
 class PrefixCache:
-    """Blocks that an engine holds.
+    """A least-recently-used cache of prompt blocks.
 
     Args:
-        capacity: Blocks that fit; 0 stands for no cache.
+        capacity: Maximum number of blocks; 0 disables the cache.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -34,11 +34,11 @@
         return block in self._blocks
 
     def blocks(self) -> list[int]:
-        """Return all blocks held, the oldest first."""
+        """Return the hashes of all cached blocks, least recently used first."""
         return list(self._blocks)
 
     def match(self, hashes: list[int]) -> int:
-        """Return how many leading blocks of a prompt are held, and touch them."""
+        """Return how many leading blocks of a prompt are cached, and mark them as used."""
         matched = 0
         for block in hashes:
             if block not in self._blocks:
@@ -50,7 +50,11 @@
         return matched
 
     def add(self, hashes: list[int]) -> tuple[list[int], list[int]]:
-        """Hold blocks; return those that came in and those that had to go."""
+        """Add blocks and evict the least recently used ones above the capacity.
+
+        Returns:
+            Hashes of the blocks that were added and of those that were evicted.
+        """
         added: list[int] = []
         removed: list[int] = []
         if self._capacity == 0:
@@ -65,5 +69,5 @@
         return added, removed
 
     def clear(self) -> None:
-        """Forget all blocks."""
+        """Remove all blocks."""
         self._blocks.clear()
--- a/packages/heronladder-emulator/src/heronladder_emulator/service.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service that takes orders and counts how often it ran each."""
+"""Emulation of a plain service that accepts orders and counts their executions."""
 
 import asyncio
 import json
@@ -8,17 +8,17 @@
 
 
 class ServiceDownError(Exception):
-    """The service is down, or broke off."""
+    """The service crashed or broke the connection because of an injected fault."""
 
 
 @dataclass
 class ServiceFaults:
-    """Faults switched on by command.
+    """Faults injected into a service.
 
     Attributes:
-        crashed: No connection is taken.
-        stalled: Calls wait until it is switched off.
-        break_after_execution: Calls are carried out, and their answers lost.
+        crashed: The service refuses connections.
+        stalled: Calls wait until this fault is switched off.
+        break_after_execution: Orders are executed, but their responses are lost.
     """
 
     crashed: bool = False
@@ -30,10 +30,10 @@
     """One replica of a pre-order or booking service.
 
     Args:
-        name: Its name.
-        books: Where it notes what it did.
-        call_s: Time of a call, in seconds.
-        checks_fences: Whether it refuses calls with an old fence.
+        name: Name of the service replica.
+        books: Records of what the service executes.
+        call_s: Duration of a call, in seconds.
+        checks_fences: Whether the service refuses orders with an outdated fence.
     """
 
     def __init__(
@@ -49,10 +49,14 @@
     async def call(
         self, method: str, path: str, body: bytes, request_id: str, fence: int
     ) -> tuple[int, bytes]:
-        """Serve one call; return status and body.
+        """Serve one call.
+
+        Returns:
+            HTTP status and JSON body.
 
         Raises:
-            ServiceDownError: If it is down, or breaks off.
+            ServiceDownError: If the service has crashed, or breaks the connection after
+                executing the order.
         """
         if self.faults.crashed:
             raise ServiceDownError(self.name)
