--- a/packages/heronladder-emulator/src/heronladder_emulator/memory_disk.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/memory_disk.py
@@ -22,8 +22,8 @@
         self._current: dict[str, bytearray] = {}
         self._start_count = 0
         self.fail_syncs = False
-        self.refuse_removals = False
-        self.refuse_whole_files = False
+        self.fail_deletions = False
+        self.fail_replacements = False
 
     def crash(self) -> None:
         """Discard unsynced data; the last write may be torn at any byte."""
@@ -93,7 +93,7 @@
         await asyncio.sleep(self.sync_s)
         if start != self._start_count:
             return
-        if self.fail_syncs or self.refuse_whole_files:
+        if self.fail_syncs or self.fail_replacements:
             raise StorageError("input/output error", step="replace", peer=name)
         self._durable[name] = data
         self._current[name] = bytearray(data)
@@ -109,7 +109,7 @@
         Raises:
             StorageError: If deletions are set to fail.
         """
-        if self.refuse_removals:
+        if self.fail_deletions:
             raise StorageError("input/output error", step="delete", peer=name)
         self._current.pop(name, None)
         self._durable.pop(name, None)
--- a/tests/test_disk_troubles.py
+++ b/tests/test_disk_troubles.py
@@ -160,7 +160,7 @@
             group = Group(snapshot_entries=_SNAPSHOT_ENTRIES)
             leader = await group.start_all()
             for disk in group.disks.values():
-                disk.refuse_removals = True
+                disk.fail_deletions = True
             for number in range(3 * _SNAPSHOT_ENTRIES):
                 async with asyncio.timeout(2):
                     await leader.propose(f"c{number}".encode())
@@ -177,14 +177,14 @@
             group = Group(snapshot_entries=_SNAPSHOT_ENTRIES)
             leader = await group.start_all()
             disk = group.disks[leader.name]
-            disk.refuse_removals = True
+            disk.fail_deletions = True
             for number in range(3 * _SNAPSHOT_ENTRIES):
                 await leader.propose(f"c{number}".encode())
                 await asyncio.sleep(0.01)
             self.assertGreater(leader.log.base_index, _SNAPSHOT_ENTRIES)
             assert leader.snapshots.newest is not None
             self.assertGreater(leader.snapshots.newest.meta.index, 2 * _SNAPSHOT_ENTRIES)
-            disk.refuse_removals = False
+            disk.fail_deletions = False
             for number in range(2 * _SNAPSHOT_ENTRIES):
                 await leader.propose(f"d{number}".encode())
                 await asyncio.sleep(0.01)
@@ -228,12 +228,12 @@
                 return snapshot()
 
             group.machines[leader.name].snapshot = counted  # type: ignore[method-assign]
-            group.disks[leader.name].refuse_whole_files = True
+            group.disks[leader.name].fail_replacements = True
             for number in range(5 * _SNAPSHOT_ENTRIES):
                 async with asyncio.timeout(2):
                     await leader.propose(f"c{number}".encode())
             self.assertLessEqual(made, 2)
-            group.disks[leader.name].refuse_whole_files = False
+            group.disks[leader.name].fail_replacements = False
             await asyncio.sleep(10)
             await leader.propose(b"one more")
             await asyncio.sleep(1)
@@ -251,7 +251,7 @@
             for number in range(3 * _SNAPSHOT_ENTRIES):
                 await leader.propose(f"c{number}".encode())
             await asyncio.sleep(1)
-            group.disks[name].refuse_whole_files = True
+            group.disks[name].fail_replacements = True
             node = await group.start(name)
             sent = 0
             install = node.snapshots.install
@@ -264,7 +264,7 @@
             node.snapshots.install = counted  # type: ignore[method-assign]
             await asyncio.sleep(6)
             self.assertTrue(1 <= sent <= 4, sent)
-            group.disks[name].refuse_whole_files = False
+            group.disks[name].fail_replacements = False
             await asyncio.sleep(6)
             self.assertEqual(len(group.machines[name].commands), 3 * _SNAPSHOT_ENTRIES)
             await group.stop()
@@ -285,7 +285,7 @@
             for number in range(3 * _SNAPSHOT_ENTRIES):
                 await leader.propose(f"c{number}".encode())
             await asyncio.sleep(1)
-            group.disks[name].refuse_whole_files = True
+            group.disks[name].fail_replacements = True
             node = await group.start(name)
             await asyncio.sleep(2)
             for _ in range(60):
