--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,8 @@
-"""The whole fleet in virtual time: fixed seeds, equal runs, and proof that faults show."""
+"""Tests of the fleet simulation in virtual time.
+
+They check the guarantees under injected faults with fixed seeds, that equal seeds give
+equal runs, and that deliberately broken code is detected.
+"""
 
 import logging
 import tempfile
@@ -28,26 +32,26 @@
         logging.getLogger("heronladder").setLevel(logging.CRITICAL)
         self.addCleanup(logging.getLogger("heronladder").setLevel, logging.NOTSET)
 
-    def _assert_kept(self, result: SimulationResult) -> None:
+    def _assert_guarantees_hold(self, result: SimulationResult) -> None:
         self.assertTrue(result.verdict.promises_kept(), result.verdict.notes)
         self.assertGreater(result.verdict.answered, 0.9 * result.verdict.requests)
 
-    def test_without_faults_everything_is_answered(self) -> None:
+    def test_all_requests_are_answered_without_faults(self) -> None:
         verdict = _simulate(1, faults=()).verdict
         self.assertTrue(verdict.promises_kept(), verdict.notes)
         self.assertEqual(verdict.answered, verdict.requests)
         self.assertEqual(verdict.tokens_billed, verdict.tokens_served)
         self.assertEqual(verdict.refused_by_code, {})
 
-    def test_promises_hold_under_all_faults_for_comedores(self) -> None:
+    def test_guarantees_hold_under_all_faults_for_comedores(self) -> None:
         for seed in (1, 2, 3):
-            self._assert_kept(_simulate(seed, 90.0))
+            self._assert_guarantees_hold(_simulate(seed, 90.0))
 
-    def test_promises_hold_under_all_faults_for_tidewater(self) -> None:
+    def test_guarantees_hold_under_all_faults_for_tidewater(self) -> None:
         for seed in (11, 12):
-            self._assert_kept(_simulate(seed, 90.0, "tidewater"))
+            self._assert_guarantees_hold(_simulate(seed, 90.0, "tidewater"))
 
-    def test_a_small_budget_is_never_passed_in_cuts(self) -> None:
+    def test_small_budget_is_not_exceeded_during_partitions(self) -> None:
         result = _simulate(
             5,
             60.0,
@@ -68,8 +72,8 @@
         self.assertIn(b"event=fault", first)
 
 
-class StoryTest(unittest.TestCase):
-    def test_a_broken_promise_is_told_with_time_and_last_events(self) -> None:
+class ViolationReportTest(unittest.TestCase):
+    def test_violation_is_reported_with_time_and_last_events(self) -> None:
         self.addCleanup(BOOK.clear)
         original = Gate._head
 
@@ -86,21 +90,21 @@
 
 
 class MutationTest(unittest.TestCase):
-    """Deliberate breakages, each caught by a named seed (docs/design/proof.md)."""
+    """Checks that fixed seeds detect deliberately broken code (docs/design/proof.md)."""
 
     def setUp(self) -> None:
         logging.getLogger("heronladder").setLevel(logging.CRITICAL)
         self.addCleanup(logging.getLogger("heronladder").setLevel, logging.NOTSET)
         self.addCleanup(BOOK.clear)
-        often = {
+        frequent_faults = {
             "operators-race": FaultKind("operators-race", 2.0, FaultInjector.operators_race),
             "router-cut": FaultKind("router-cut", 10.0, FaultInjector.router_cut),
         }
-        faults = mock.patch.dict(FAULTS, often)
+        faults = mock.patch.dict(FAULTS, frequent_faults)
         faults.start()
         self.addCleanup(faults.stop)
 
-    def _assert_caught(
+    def _assert_detected(
         self,
         target: type,
         name: str,
@@ -113,13 +117,13 @@
             with mock.patch.object(target, name, broken):
                 try:
                     verdict = _simulate(seed, patience_s=40.0, **changes).verdict
-                except Exception:  # the fleet did not even come up
+                except Exception:  # The fleet fails to start, which also detects the fault.
                     return
             if any(getattr(verdict, field) for field in fields):
                 return
-        self.fail(f"breaking {target.__name__}.{name} was not noticed")
+        self.fail(f"broken {target.__name__}.{name} was not detected")
 
-    def test_a_grant_that_does_not_debit(self) -> None:
+    def test_detects_grant_that_does_not_debit(self) -> None:
         original = Ledger.grant
 
         def grant(self, ask):  # type: ignore[no-untyped-def]
@@ -130,18 +134,18 @@
                 account.available = before
             return result
 
-        self._assert_caught(Ledger, "grant", grant, "invariant_violations", "overspend_tokens")
+        self._assert_detected(Ledger, "grant", grant, "invariant_violations", "overspend_tokens")
 
-    def test_a_watermark_that_is_ignored(self) -> None:
-        noticed = 0
+    def test_detects_ignored_settlement_watermark(self) -> None:
+        detected = 0
         for seed in (1, 2):
             with mock.patch("heronladder_control.ledger.is_settled", lambda *_: False):
                 verdict = _simulate(seed, 60.0).verdict
-            noticed += verdict.billed_twice + verdict.invariant_violations
-        self.assertGreater(noticed, 0)
+            detected += verdict.billed_twice + verdict.invariant_violations
+        self.assertGreater(detected, 0)
 
-    def test_an_attempt_that_is_accepted_twice(self) -> None:
-        self._assert_caught(
+    def test_detects_attempt_that_is_accepted_twice(self) -> None:
+        self._assert_detected(
             RunTable,
             "seen",
             lambda self, key: False,
@@ -151,14 +155,14 @@
             faults=("bad-weather", "service-fault"),
         )
 
-    def test_a_claim_that_is_always_free(self) -> None:
+    def test_detects_claim_that_is_always_free(self) -> None:
         original = ClaimTable.take
 
         def take(self, index, wanted):  # type: ignore[no-untyped-def]
             self.claims.pop((wanted.tenant, wanted.key), None)
             return original(self, index, wanted)
 
-        self._assert_caught(
+        self._assert_detected(
             ClaimTable,
             "take",
             take,
@@ -168,8 +172,8 @@
             faults=("router-crash", "bad-weather", "one-way-cut"),
         )
 
-    def test_a_change_shown_before_it_is_in_force(self) -> None:
-        self._assert_caught(
+    def test_detects_change_reported_before_it_is_in_force(self) -> None:
+        self._assert_detected(
             InForceTracker,
             "reached",
             lambda self, committed, in_force: committed,
@@ -178,7 +182,7 @@
             faults=("operators-race", "router-cut"),
         )
 
-    def test_fenced_routers_that_are_still_served(self) -> None:
+    def test_detects_fenced_router_that_is_still_served(self) -> None:
         original = Ledger.close
 
         def close(self, holder, incarnation, *, records_lost):  # type: ignore[no-untyped-def]
@@ -188,7 +192,7 @@
                 account.available += lease.granted
             original(self, holder, incarnation, records_lost=records_lost)
 
-        self._assert_caught(
+        self._assert_detected(
             Ledger,
             "close",
             close,
@@ -200,7 +204,7 @@
             budget_tokens=1_500,
         )
 
-    def test_answers_that_are_crossed(self) -> None:
+    def test_detects_responses_sent_to_the_wrong_caller(self) -> None:
         original = Gate._head
 
         def head(self, dispatch):  # type: ignore[no-untyped-def]
@@ -208,14 +212,14 @@
             answer.request_id = "another"
             return answer
 
-        self._assert_caught(
+        self._assert_detected(
             Gate, "_head", head, "invariant_violations", seconds=5.0, rate=1.0, faults=()
         )
 
-    def test_bills_that_agents_forget(self) -> None:
+    def test_detects_bills_that_agents_lose(self) -> None:
         from heronladder_agent.records import RecordKeeper
 
-        self._assert_caught(
+        self._assert_detected(
             RecordKeeper,
             "hold",
             lambda self, settlement, router: None,
@@ -224,11 +228,13 @@
             faults=("router-crash", "router-cut", "zone-cut"),
         )
 
-    def test_a_leaving_back_end_that_is_still_given_work(self) -> None:
-        often = {"operator-drain": FaultKind("operator-drain", 2, FaultInjector.operator_drain)}
+    def test_detects_draining_backend_that_still_gets_requests(self) -> None:
+        frequent_faults = {
+            "operator-drain": FaultKind("operator-drain", 2, FaultInjector.operator_drain)
+        }
         usable = mock.patch.object(Replica, "usable", lambda self, now_s: bool(self.incarnation))
-        with mock.patch.dict(FAULTS, often), usable:
-            self._assert_caught(
+        with mock.patch.dict(FAULTS, frequent_faults), usable:
+            self._assert_detected(
                 Gate,
                 "_backend_drains",
                 lambda self: False,
@@ -237,10 +243,10 @@
                 faults=("operator-drain",),
             )
 
-    def test_an_agent_that_admits_although_it_is_stale(self) -> None:
+    def test_detects_agent_that_admits_with_stale_configuration(self) -> None:
         from heronladder_runtime.control_link import ControlLink
 
-        self._assert_caught(
+        self._assert_detected(
             ControlLink,
             "fresh",
             property(lambda self: self.configuration.revision > 0),
