--- a/packages/heronladder-emulator/src/heronladder_emulator/network.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/network.py
@@ -79,7 +79,7 @@
 
     Attributes:
         name: Name of the process.
-        location: Location of the process.
+        place: Location of the process.
         start: Number of times the process was started.
         alive: Whether the process runs.
         servers: Service implementations by kind.
@@ -88,7 +88,7 @@
     """
 
     name: str
-    location: Location
+    place: Location
     start: int = 0
     alive: bool = False
     servers: dict[str, Any] = field(default_factory=dict)
@@ -115,9 +115,9 @@
 
     # ---- processes --------------------------------------------------------
 
-    def start(self, name: str, location: Location, servers: dict[str, Any]) -> Endpoint:
+    def start(self, name: str, place: Location, servers: dict[str, Any]) -> Endpoint:
         """Connect a process to the network, or start it again."""
-        endpoint = self.endpoints.setdefault(name, Endpoint(name, location))
+        endpoint = self.endpoints.setdefault(name, Endpoint(name, place))
         endpoint.start += 1
         endpoint.alive = True
         endpoint.servers = servers
@@ -197,8 +197,8 @@
 
     def delay(self, source: str, target: str) -> float:
         """Return the one-way delay of one message, in seconds, with random jitter."""
-        source_location = self.endpoints[source].location
-        target_location = self.endpoints[target].location
+        source_location = self.endpoints[source].place
+        target_location = self.endpoints[target].place
         if source_location.region != target_location.region:
             base = self.conditions.region_delay_s
         elif source_location.zone != target_location.zone:
--- a/packages/heronladder-tools/src/heronladder_tools/simulation/fleet.py
+++ b/packages/heronladder-tools/src/heronladder_tools/simulation/fleet.py
@@ -118,9 +118,7 @@
     def processes_in(self, zone: str) -> frozenset[str]:
         """Return the names of all processes that stand in a zone."""
         return frozenset(
-            name
-            for name, endpoint in self.network.endpoints.items()
-            if endpoint.location.zone == zone
+            name for name, endpoint in self.network.endpoints.items() if endpoint.place.zone == zone
         )
 
     # ---- starting ---------------------------------------------------------
@@ -130,26 +128,26 @@
         for name in self.control_names():
             await self.start_control(name)
         for number, (name, service, zone) in enumerate(backend_names(self.profile), start=1):
-            location = BackendPlace(name, service, zone, f"10.0.0.{number}:7781")
-            self.places[name] = location
-            self.network.names[f"10.0.0.{number}"] = location.agent
-            self._start_backend(location)
+            place = BackendPlace(name, service, zone, f"10.0.0.{number}:7781")
+            self.places[name] = place
+            self.network.names[f"10.0.0.{number}"] = place.agent
+            self._start_backend(place)
             await self.start_agent(name)
         for name in self.router_names():
             await self.start_router(name)
         self.network.start(CALLERS, self._place(OUTSIDE), {})
         self._run(self._check_routers())
 
-    def _start_backend(self, location: BackendPlace) -> None:
-        if location.service == self.profile.model_service:
+    def _start_backend(self, place: BackendPlace) -> None:
+        if place.service == self.profile.model_service:
             options = EngineOptions(
-                location.name, step_s=_ENGINE_STEP_S, cache_blocks=self._cache_blocks
+                place.name, step_s=_ENGINE_STEP_S, cache_blocks=self._cache_blocks
             )
             engine = EmulatedEngine(options, self.books, self.environment)
             engine.start()
-            self.engines[location.name] = engine
+            self.engines[place.name] = engine
         else:
-            self.services[location.name] = EmulatedService(location.name, self.books)
+            self.services[place.name] = EmulatedService(place.name, self.books)
 
     async def start_control(self, name: str) -> None:
         """Start a control member on its disk."""
@@ -184,11 +182,11 @@
 
     async def start_agent(self, name: str) -> None:
         """Start the agent beside a back end."""
-        location = self.places[name]
+        place = self.places[name]
         options = AgentOptions(
-            name=location.agent,
+            name=place.agent,
             region=self.profile.name,
-            zone=location.zone,
+            zone=place.zone,
             backend=name,
             control_addresses=[f"{member}:1" for member in self.control_names()],
         )
@@ -197,9 +195,9 @@
             if name in self.engines
             else MemoryServiceAdapter(self.services[name])
         )
-        stubs = MemoryStubs(self.network, location.agent)
+        stubs = MemoryStubs(self.network, place.agent)
         role = AgentRole(options, adapter, stubs, self.environment)
-        self.network.start(location.agent, self._place(location.zone), {"agent": role})
+        self.network.start(place.agent, self._place(place.zone), {"agent": role})
         self.agents[name] = role
         await role.start()
 
