--- a/packages/heronladder-emulator/src/heronladder_emulator/network.py
+++ b/packages/heronladder-emulator/src/heronladder_emulator/network.py
@@ -180,20 +180,23 @@
 
     # ---- links ------------------------------------------------------------
 
-    def cut(self, cut: Partition) -> None:
+    def cut(self, partition: Partition) -> None:
         """Start a partition."""
-        self._partitions.append(cut)
+        self._partitions.append(partition)
 
-    def heal(self, cut: Partition) -> None:
+    def heal(self, partition: Partition) -> None:
         """End a partition and deliver the stream messages that it held back."""
-        self._partitions.remove(cut)
+        self._partitions.remove(partition)
         for pipe in list(self._pipes):
             pipe.flush()
         self.changed.give()
 
     def open(self, source: str, target: str) -> bool:
         """Return whether no partition stops messages from one process to another."""
-        return not any(source in cut.sources and target in cut.targets for cut in self._partitions)
+        return not any(
+            source in partition.sources and target in partition.targets
+            for partition in self._partitions
+        )
 
     def delay(self, source: str, target: str) -> float:
         """Return the one-way delay of one message, in seconds, with random jitter."""
