--- a/packages/heronladder-control/src/heronladder_control/prepaid_watch.py
+++ b/packages/heronladder-control/src/heronladder_control/prepaid_watch.py
@@ -1,7 +1,7 @@
 """Charges of lost routers, from their spending promises and their last contact with the leader.
 
 A router keeps its spending promises while it receives frames from control, and for
-``WINDOW_HOLDS_S`` after the newest one (see ``prepaid_window``). Promises are written to the log
+``WINDOW_VALIDITY_S`` after the newest one (see ``prepaid_window``). Promises are written to the log
 before they are confirmed, so they outlive a leader. The leader also has to bound how long a lost
 router can have run after its last frame: from its last certain contact with a leader until its
 successor's process started.
--- a/packages/heronladder-control/src/heronladder_control/rollouts/controller.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/controller.py
@@ -61,7 +61,7 @@
     last_note_s: float = float("-inf")
     last_note_requests: int = 0
     verdict: Verdict = field(
-        default_factory=lambda: Verdict(Decision.CONTINUE, "no answers counted yet")
+        default_factory=lambda: Verdict(Decision.CONTINUE, "nothing counted yet")
     )
 
     @property
--- a/packages/heronladder-control/src/heronladder_control/rollouts/manifests.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/manifests.py
@@ -22,7 +22,7 @@
         step.ordered_revision = held.ordered_revision
         step.from_phase = held.phase
         step.to_phase = ROLLED_BACK
-        step.reason = "rolled back by an operator"
+        step.reason = "an operator ordered it"
         return command
     order = command.start_rollout
     order.service = service
--- a/packages/heronladder-control/src/heronladder_control/rollouts/plan.py
+++ b/packages/heronladder-control/src/heronladder_control/rollouts/plan.py
@@ -125,7 +125,7 @@
 
 def _next_for_newcomer(view: RolloutView) -> Step | None:
     if view.newcomer and view.elapsed_s >= _ORDER_RETRY_WINDOW_S:
-        return Step(view.phase, "no order for this version came in time")
+        return Step(view.phase, "no order came for it")
     return None
 
 
@@ -140,11 +140,11 @@
     if rollback is not None:
         return rollback
     if view.elapsed_s >= view.duration_s:
-        return Step(ROLLED_BACK, f"not proved sound in time: {view.verdict.reason}")
+        return Step(ROLLED_BACK, f"not proved in its time: {view.verdict.reason}")
     if not view.target_replicas:
         return None
     if view.phase == WAITING:
-        return Step(TRIAL, "replicas of the target are registered")
+        return Step(TRIAL, "its replicas are there")
     if view.elapsed_s >= view.move_start_s and view.can_move:
         return Step(MOVING, view.verdict.reason)
     return None
@@ -155,15 +155,15 @@
     if rollback is not None:
         return rollback
     if not view.target_replicas:
-        return Step(ROLLED_BACK, "no replica of the target is left")
+        return Step(ROLLED_BACK, "no replica of it is left")
     if view.elapsed_s >= _MAX_MOVE_DURATION_FACTOR * view.duration_s:
         return Step(
             ROLLED_BACK,
-            f"old responses still ran after {_MAX_MOVE_DURATION_FACTOR:g} times the duration",
+            f"old answers ran on for {_MAX_MOVE_DURATION_FACTOR:g} times its time",
         )
     is_sound = view.verdict.decision is Decision.SOUND
     if view.is_move_overdue and not is_sound:
-        return Step(ROLLED_BACK, f"not proved sound in time: {view.verdict.reason}")
+        return Step(ROLLED_BACK, f"not proved in its time: {view.verdict.reason}")
     is_due = view.elapsed_s >= view.duration_s - _COMPLETION_LEAD_S
     if is_due and view.others_drained and is_sound:
         return Step(COMPLETED, view.verdict.reason)
--- a/packages/heronladder-router/src/heronladder_router/replica_limits.py
+++ b/packages/heronladder-router/src/heronladder_router/replica_limits.py
@@ -83,7 +83,7 @@
         gateways: Returns what is known of all gateways.
         last_leader_contact_s: Returns the time of the last contact with a leader, on the monotonic
             clock.
-        beat_now: Sends an unscheduled heartbeat.
+        send_heartbeat_now: Sends an unscheduled heartbeat.
     """
 
     def __init__(
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -147,7 +147,7 @@
     def test_detects_attempt_that_is_accepted_twice(self) -> None:
         self._assert_detected(
             RunTable,
-            "seen",
+            "is_known",
             lambda self, key: False,
             "doubled",
             "billed_twice",
@@ -236,7 +236,7 @@
         with mock.patch.dict(FAULTS, frequent_faults), usable:
             self._assert_detected(
                 Gate,
-                "_backend_drains",
+                "_is_backend_draining",
                 lambda self: False,
                 "invariant_violations",
                 seeds=(1, 2),
