--- a/packages/heronladder-control/src/heronladder_control/sessions.py
+++ b/packages/heronladder-control/src/heronladder_control/sessions.py
@@ -115,10 +115,8 @@
             known = self._member.state.daemons.daemons.get(record.name)
             if known is not None and record.incarnation not in known.previous:
                 # Must precede the proposal: once it is applied, the predecessor is charged.
-                process_age_s = hello.process_age_ms / MILLISECONDS_PER_SECOND
-                self._member.prepaid_watch.note_successor(
-                    record.name, record.incarnation, process_age_s
-                )
+                age_s = hello.process_age_ms / MILLISECONDS_PER_SECOND
+                self._member.prepaid_watch.note_successor(record.name, record.incarnation, age_s)
             if known is None or known.gone or known.incarnation != record.incarnation:
                 command = control_pb2.Command()
                 command.register_daemon.daemon.CopyFrom(record)
--- a/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
+++ b/packages/heronladder-router/src/heronladder_router/fleet_replicas.py
@@ -142,8 +142,7 @@
     def _read_evacuations(self) -> None:
         """Update the evacuated zones; the replicas of a restored zone may be cold.
 
-        The zone may have been restored while this gateway was disconnected from control, or before
-        it started.
+        The zone may have been restored while this gateway was disconnected or not running.
         """
         change = self._zones.update(self._configuration.evacuations())
         for zone in change.restored:
@@ -325,10 +324,9 @@
     # ---- results of attempts ----------------------------------------------
 
     def sent(self, replica: FleetReplica, profile: RequestProfile) -> int:
-        """Record that a request is sent to a replica.
+        """Record a request to a replica; return the prompt tokens that it has to process.
 
-        Returns:
-            Prompt tokens that it has to process, to be passed to ``record_prompt_read``.
+        They are to be passed to ``record_prompt_read``.
         """
         unread = max(0, profile.prompt_tokens - replica.parts.cached_prefix_tokens(profile.parts))
         replica.in_flight += 1
